--- /dev/null
+++ b/daemon/messages_test.go
@@ -0,0 +1,83 @@
+package daemon
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"asterridge/config"
+	"asterridge/fail"
+	"asterridge/golden"
+	"asterridge/hold"
+	"asterridge/lease"
+	"asterridge/link"
+	"asterridge/register"
+	"asterridge/ring"
+	"asterridge/router"
+)
+
+// What daemons of this build say to each other keeps the form that earlier builds read; so do the records that cores store.
+func TestMessagesKeepTheirForm(t *testing.T) {
+	golden.CompareMessages(t, "testdata/messages.txt", []golden.Message{
+		{Name: "POST /core/hello: question and answer", Type: Hello{}},
+		{Name: "POST /core/pull, /core/whole, /agent/pull: question", Type: link.Ask{}},
+		{Name: "POST /core/pull, /core/whole, /agent/pull: answer", Type: link.Answer{}},
+		{Name: "status of an agent, within the question of its link", Type: AgentStatus{}},
+		{Name: "status of a proxy, within the question of its link", Type: router.Status{}},
+		{Name: "POST /core/hold, /agent/hold, /op/hold", Type: hold.Notice{}},
+		{Name: "POST /register/promise, /confirm, /accept, /settle: question", Type: RegisterMessage{}},
+		{Name: "POST /register/promise: answer", Type: register.Record{}},
+		{Name: "a version's file on disk, and the change in an accept", Type: register.Change{}},
+		{Name: "POST /ring/beat: question", Type: ring.Beat{}},
+		{Name: "POST /ring/beat: answer", Type: ring.Answer{}},
+		{Name: "POST /ring/doubt: question", Type: ring.Doubt{}},
+		{Name: "POST /ring/doubt: answer", Type: ring.Silence{}},
+		{Name: "POST /op/blueprint", Type: ConfigOrder{}},
+		{Name: "POST /op/keys", Type: KeyOrder{}},
+		{Name: "POST /op/replicas", Type: ReplicasOrder{}},
+		{Name: "POST /op/claim, /agent/claim", Type: ClaimOrder{}},
+		{Name: "POST /op/claim: answer", Type: router.Claim{}},
+		{Name: "POST /op/term", Type: LeaseOrder{}},
+		{Name: "POST /op/members", Type: MembersOrder{}},
+		{Name: "POST /op/settle", Type: SettleOrder{}},
+		{Name: "POST /op/settle: answer", Type: SettleAnswer{}},
+		{Name: "POST /op/declaration", Type: config.Declaration{}},
+		{Name: "POST /op/models", Type: ModelOrder{}},
+		{Name: "POST /op/retirement", Type: RetirementOrder{}},
+		{Name: "POST /op/advance", Type: AdvanceOrder{}},
+		{Name: "answer to an accepted change", Type: Accepted{}},
+		{Name: "answer to a rejected call", Type: fail.Body{}},
+		{Name: "POST /query, /agent/query", Type: Query{}},
+		{Name: "POST /query: answer", Type: QueryAnswer{}},
+		{Name: "question for rows of a proxy", Type: router.Query{}},
+		{Name: "report of a replica, with its cache", Type: reportBody{}},
+		{Name: "order to a replica with adapters", Type: router.AdapterOrder{}},
+		{Name: "event of an attempt, in the proxy's log", Type: router.Event{}},
+		{Name: "stored: a claim", Type: claimRecord{}},
+		{Name: "stored: a grant of a lease", Type: lease.Grant{}},
+		{Name: "stored: a member", Type: config.Member{}},
+		{Name: "stored: a replica", Type: config.Replica{}},
+		{Name: "stored: a model", Type: config.Model{}},
+		{Name: "stored: a load order", Type: config.LoadOrder{}},
+		{Name: "stored: an access key", Type: config.Access{}},
+		{Name: "stored: a tenant", Type: config.Tenant{}},
+		{Name: "stored: a pool", Type: config.Pool{}},
+		{Name: "stored: a path", Type: config.Path{}},
+		{Name: "stored: limits", Type: config.Limits{}},
+		{Name: "stored: the hold", Type: config.Hold{}},
+		{Name: "stored: an adapter", Type: config.Adapter{}},
+		{Name: "stored: a retirement", Type: config.Retirement{}},
+		{Name: "stored: the duty within a retirement", Type: config.Duty{}},
+	})
+}
+
+// The names under which state is stored and sent stay as they are.
+func TestStoredNamesKeepTheirForm(t *testing.T) {
+	is := is.New(t)
+	is.Equal([]string{selfFolder, incarnFile, founderFile, membersFile, silentFile, coresFile}, []string{"self", "incarnation", "founder", "members", "silent", "cores"})
+	is.Equal([]string{carryField, nextField, holdPrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
+	is.Equal([]string{config.Key, config.ModelsKey, config.LoadsKey, config.RetirementKey, config.ReplicasKey, config.MembersKey, config.KeysPrefix},
+		[]string{"blueprint", "models", "loads", "retirement", "replicas", "members", "keys/"})
+	is.Equal([]string{router.HoldKey, router.NamedKey, router.ProxiesKey, router.ReportsKey, router.KeptPrefix, router.OccupancyKey},
+		[]string{"hold", "named", "proxies", "reports", "kept/", "occupancy"})
+}
