--- a/daemon/acceptors.go
+++ b/daemon/acceptors.go
@@ -86,6 +86,12 @@
 	if m.Members > now.version {
 		now = c.awaitList(m.Members) // the asker has heard a moment sooner that a list is settled
 	}
+	if m.Members > now.version && c.refreshing.TryLock() {
+		go func() { // what follows from here says nothing of it while a change is under way that is not settled
+			defer c.refreshing.Unlock()
+			c.callOnMembers(context.Background(), now)
+		}()
+	}
 	if m.Members != now.version {
 		return fail.New(fail.OtherMembers, "the asker's list of members is %d, ours %d", m.Members, now.version)
 	}
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -55,6 +55,7 @@
 	carrying    sync.Mutex
 	carried     carried // with carrying
 	tending     sync.Mutex
+	refreshing  sync.Mutex                 // held while the members are asked for a newer list
 	noting      chan struct{}              // of one place, held while who is silent is written down
 	members     atomic.Pointer[membership] // nil until the fleet is founded
 	number      atomic.Uint32              // this core's among the members; no longer a member, it keeps the number, which nobody is given again
--- a/daemon/found.go
+++ b/daemon/found.go
@@ -25,6 +25,7 @@
 	Met         map[string]string `json:"met,omitempty"`       // founding: address → incarnation
 	MayFound    bool              `json:"may_found,omitempty"` // its disk is from the fleet's very first start
 	Members     []config.Member   `json:"members,omitempty"`
+	List        *settledMembers   `json:"list,omitempty"`  // the members as they stand in their register
 	HasSnapshot bool              `json:"image,omitempty"` // of a joiner: it has all that a majority has settled
 }
 
@@ -33,9 +34,10 @@
 func (c *Core) ownHello() Hello {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	now := c.membership()
 	return Hello{
 		Name: c.host.Name, Role: "core", Address: c.host.Address, Zone: c.host.Zone, Incarnation: c.incarnation,
-		Met: maps.Clone(c.met), MayFound: c.mayFound, Members: c.membership().members, HasSnapshot: c.hasSnapshot.Load(),
+		Met: maps.Clone(c.met), MayFound: c.mayFound, Members: now.members, List: now.settled, HasSnapshot: c.hasSnapshot.Load(),
 	}
 }
 
@@ -171,13 +173,14 @@
 	return answers
 }
 
-// callOnMembers makes this core known as a joiner that would be a member, and follows the list that they tell.
+// callOnMembers makes this core known to the members, as a joiner if it is none, and takes over the list that they tell.
 func (c *Core) callOnMembers(ctx context.Context, now membership) {
 	var addresses []string
 	for _, m := range now.members {
 		addresses = append(addresses, m.Address)
 	}
 	for h := range c.helloAll(ctx, addresses, c.ownHello()) {
+		c.adoptList(h.List)
 		if len(h.Members) > 0 {
 			c.followMembers(h.Members)
 		}
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -18,7 +18,15 @@
 type membership struct {
 	version uint64
 	members []config.Member
-	self    *config.Member // nil while this core is no member
+	self    *config.Member  // nil while this core is no member
+	settled *settledMembers // the register's content that the list is read from; nil if this core does not know it
+}
+
+// settledMembers is a settled content of the members' register. A core keeps it beside a newer change that is not settled yet, in memory and
+// on its disk, and hands it on: a member that lags may know of no list that names it, and the others cannot settle the change without it.
+type settledMembers struct {
+	Revision register.Revision `json:"stamp"`
+	Fields   register.Fields   `json:"fields"`
 }
 
 func (c membership) has(name, address string) bool {
@@ -41,9 +49,10 @@
 }
 
 const (
-	membersFile = "members"
-	carryField  = "~carry" // the list before, until every key is on a majority of the new one
-	nextField   = "~next"  // the highest number that a member ever had
+	membersFile = "members" // the version of the newest list that is known to be settled
+	listFile    = "list"    // that list's content
+	carryField  = "~carry"  // the list before, until every key is on a majority of the new one
+	nextField   = "~next"   // the highest number that a member ever had
 	fewest      = 3
 	fewestLost  = 2 // where a disk is gone for sure: the list is the weaker for it already
 	most        = 15
@@ -89,13 +98,16 @@
 	}
 	members, prior, _ := readMembers(record.Fields)
 	now := membership{version: record.Revision.Version, members: members}
-	if !record.IsSettled() {
+	if record.IsSettled() {
+		now.settled = &settledMembers{record.Revision, record.Fields}
+	} else {
 		raw, _ := c.disk.Get(selfFolder, membersFile) // none, or a torn one: no list is known to be settled
 		if settled, _ := strconv.ParseUint(string(raw), 10, 64); settled < now.version {
 			now.version--
 			if prior != nil {
 				now.members = prior
 			}
+			now.settled = c.recallList(now.version)
 		} else {
 			c.acceptor.Settle(config.MembersKey, record.Revision) // known before this life: the others are to learn it from here
 		}
@@ -111,9 +123,7 @@
 		}
 	}
 	if record.IsSettled() {
-		go func() { // only spares a question after a restart: neither a slow nor a failing disk holds anything up here
-			_ = c.disk.Put(selfFolder, membersFile, []byte(strconv.FormatUint(now.version, 10)))
-		}()
+		go c.recordList(now) // after a restart only: neither a slow nor a failing disk holds anything up here
 	}
 	c.members.Store(&now)
 	c.mu.Lock()
@@ -124,6 +134,42 @@
 	c.host.Log.Info().Str("event", "members").Uint64("version", now.version).Int("members", len(now.members)).Bool("is_member", now.self != nil).Msg("")
 }
 
+// recordList writes down which list is settled. Without it this core has to learn that from others after a restart.
+func (c *Core) recordList(now membership) {
+	raw, _ := json.Marshal(now.settled) // plain maps always encode
+	if err := c.disk.Put(selfFolder, listFile, raw); err != nil {
+		c.host.Log.Warn().Str("event", "list_not_recorded").Err(err).Msg("")
+	}
+	_ = c.disk.Put(selfFolder, membersFile, []byte(strconv.FormatUint(now.version, 10))) // as above: it only spares a question
+}
+
+// recallList gives the content of the list of that version if this core wrote it down, else nil.
+func (c *Core) recallList(version uint64) *settledMembers {
+	raw, err := c.disk.Get(selfFolder, listFile)
+	var list settledMembers
+	if err != nil || json.Unmarshal(raw, &list) != nil || list.Revision.Version != version {
+		return nil
+	}
+	return &list
+}
+
+// adoptList takes over a settled list that another core knows, if it is newer and names this core. Who is not on it learns no content of
+// registers by it: a core that only follows the members takes that from their links.
+func (c *Core) adoptList(list *settledMembers) {
+	if list == nil || list.Revision.Version <= c.membership().version {
+		return
+	}
+	members, _, _ := readMembers(list.Fields)
+	if !slices.ContainsFunc(members, func(m config.Member) bool { return m.Incarnation == c.incarnation }) {
+		return
+	}
+	if err := c.acceptor.Adopt(config.MembersKey, list.Revision, list.Fields); err != nil {
+		c.host.Log.Error().Str("event", "list_not_adopted").Err(err).Msg("")
+		return
+	}
+	c.learnMembers()
+}
+
 // acceptors is the owner's view: all members' acceptors as of the present list.
 func (c *Core) acceptors() (register.Membership, error) {
 	now := c.membership()
