--- a/cmd/fleet/chaos.go
+++ b/cmd/fleet/chaos.go
@@ -87,7 +87,7 @@
 }
 
 func (c *chaos) partial(format string, args ...any) {
-	c.tell(config.Key, daemon.ConfigOrder{IsPartial: true, Text: fmt.Appendf(nil, format, args...)})
+	c.tell(config.Key, daemon.ConfigOrder{Partial: true, Text: fmt.Appendf(nil, format, args...)})
 }
 
 // wipe loses a core's disk and starts the core anew, as a joiner.
@@ -152,7 +152,7 @@
 	for len(played) < count || len(now) > 0 {
 		if len(now) < 3 && len(played) < count {
 			pick := among[c.random.IntN(len(among))]
-			if !pick.isHarm || c.harmed == "" {
+			if !pick.harm || c.harmed == "" {
 				played = append(played, pick.name)
 				undo, err := pick.do(c)
 				if err != nil {
@@ -176,7 +176,7 @@
 		}
 	}
 	c.orders.Wait()
-	if c.isClosing {
+	if c.closing {
 		if _, err := c.kill(syscall.SIGKILL, c.daemons()...); err != nil {
 			return err
 		}
--- a/cmd/fleet/faults.go
+++ b/cmd/fleet/faults.go
@@ -19,7 +19,7 @@
 // fault is something that happens while the callers ask, and what undoes it. Each is a script of its own, too.
 type fault struct {
 	name, purpose string
-	isHarm        bool // costs a disk
+	harm          bool // costs a disk
 	do            func(c *chaos) (undo func() error, err error)
 }
 
@@ -87,7 +87,7 @@
 	{"wipe", "a core's disk is lost in the instant after a yes", true, func(c *chaos) (func() error, error) {
 		i := c.core()
 		text := fmt.Appendf(nil, `{"tenants":[{"name":%q,"weight":%d}]}`, c.tenant(), 1+c.random.IntN(9))
-		_, _ = c.order(c.ctx, config.Key, daemon.ConfigOrder{IsPartial: true, Text: text}) // asked of the cores in turn: the first says yes
+		_, _ = c.order(c.ctx, config.Key, daemon.ConfigOrder{Partial: true, Text: text}) // asked of the cores in turn: the first says yes
 		return nothing, c.wipe(i)
 	}},
 	{"torn", "a core's newest file of the configuration is torn", true, func(c *chaos) (func() error, error) {
@@ -180,7 +180,7 @@
 	{"storm", "six tenants are refused without a ground", false, func(c *chaos) (func() error, error) {
 		set := func(isRefusing bool) error {
 			for _, tenant := range c.tenants[:6] {
-				c.behave(fake.Behaviour{Tenant: tenant, IsRefusing: isRefusing, IsUnnamed: true})
+				c.behave(fake.Behaviour{Tenant: tenant, Refusing: isRefusing, Unnamed: true})
 			}
 			return nil
 		}
@@ -213,7 +213,7 @@
 	{"revoke-spare", "a tenant's second key is revoked", false, func(c *chaos) (func() error, error) {
 		tenant := c.tenant()
 		c.spared++
-		c.tell("keys", daemon.KeyOrder{Tenant: tenant, Hash: config.HashKey(c.spare(tenant)), IsRevoked: true})
+		c.tell("keys", daemon.KeyOrder{Tenant: tenant, Hash: config.HashKey(c.spare(tenant)), Revoked: true})
 		c.tell("keys", daemon.KeyOrder{Tenant: tenant, Hash: config.HashKey(fmt.Sprint(tenant, c.spared))})
 		return nothing, nil
 	}},
@@ -268,12 +268,12 @@
 		}
 		for _, row := range rows {
 			name, _ := row["name"].(string)
-			isMember := row["state"] == "member"
-			if isMember && (joiners[name] || row["live"] != true) {
+			member := row["state"] == "member"
+			if member && (joiners[name] || row["live"] != true) {
 				_, _ = f.order(ctx, "members", daemon.MembersOrder{Do: "retire", Name: name})
 				return false
 			}
-			if isMember {
+			if member {
 				count++
 			}
 		}
--- a/cmd/fleet/fleet.go
+++ b/cmd/fleet/fleet.go
@@ -34,7 +34,7 @@
 	agents    []string // addresses, of relays
 	tenants   []string
 	gone      map[int]bool // cores that were replaced for good
-	isClosing bool         // a closing fault ends the run
+	closing   bool         // a closing fault ends the run
 	mu        sync.Mutex
 	factLog   fake.FactLog
 	probed    []fake.Asked
@@ -187,8 +187,8 @@
 	if _, err := f.order(ctx, config.Key, daemon.ConfigOrder{Text: text}); err != nil {
 		return err
 	}
-	if f.options.isObserve {
-		if _, err := f.order(ctx, config.Key, daemon.ConfigOrder{Text: []byte(`{"hold":{"observe":true}}`), IsPartial: true}); err != nil {
+	if f.options.observe {
+		if _, err := f.order(ctx, config.Key, daemon.ConfigOrder{Text: []byte(`{"hold":{"observe":true}}`), Partial: true}); err != nil {
 			return err
 		}
 	}
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -37,7 +37,7 @@
 	set.IntVar(&o.count, "count", 0, "requests; 0: as the deployment has it")
 	set.IntVar(&o.rate, "rate", 0, "requests a second; 0: as the deployment has it")
 	set.Uint64Var(&o.seed, "seed", 1, "seed of the callers' mix and of the script")
-	set.BoolVar(&o.isObserve, "observe", false, "hold in observe-only mode: for paired runs without the shared hold")
+	set.BoolVar(&o.observe, "observe", false, "hold in observe-only mode: for paired runs without the shared hold")
 	set.IntVar(&o.index, "index", 200000, "entries of each proxy's index of kept prompts; 0: none")
 	script := set.String("script", "throttle", "what happens during the run")
 	_ = set.Parse(os.Args[1:])
@@ -52,7 +52,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	f, err := start(ctx, o)
-	f.isClosing = *script == "random"
+	f.closing = *script == "random"
 	if err == nil {
 		err = f.play(ctx, chosen)
 	}
@@ -73,7 +73,7 @@
 	bin, other, data, deployment, examples string
 	proxies, replicas, count, rate         int
 	seed                                   uint64
-	isObserve                              bool
+	observe                                bool
 	index                                  int
 }
 
@@ -121,12 +121,12 @@
 }
 
 // eventually asks again and again, within the limit, until the question is answered with yes.
-func eventually(ctx context.Context, limit time.Duration, what string, isSo func() bool) error {
+func eventually(ctx context.Context, limit time.Duration, what string, so func() bool) error {
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
-	for !isSo() {
+	for !so() {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("not within %v: %s", limit, what)
--- a/cmd/fleet/relay.go
+++ b/cmd/fleet/relay.go
@@ -97,10 +97,10 @@
 func (r *relays) await(from, to string) {
 	for {
 		r.mu.Lock()
-		isCut := r.cuts[[2]string{from, to}] || r.cuts[[2]string{"", to}] || r.cuts[[2]string{from, ""}]
+		cut := r.cuts[[2]string{from, to}] || r.cuts[[2]string{"", to}] || r.cuts[[2]string{from, ""}]
 		delay, news := r.delays[[2]string{from, to}], r.news
 		r.mu.Unlock()
-		if !isCut {
+		if !cut {
 			if delay > 0 {
 				time.Sleep(delay) // the link's own time
 			}
@@ -120,9 +120,9 @@
 }
 
 // part cuts a machine off both ways, or mends that.
-func (r *relays) part(ip string, isCut bool) {
-	r.cut(ip, "", isCut)
-	r.cut("", ip, isCut)
+func (r *relays) part(ip string, cut bool) {
+	r.cut(ip, "", cut)
+	r.cut("", ip, cut)
 }
 
 func (r *relays) slow(from, to string, delay time.Duration) {
--- a/cmd/fleet/report.go
+++ b/cmd/fleet/report.go
@@ -52,7 +52,7 @@
 	sum := map[string]float64{}
 	for _, row := range f.query("counts") {
 		for name, value := range row {
-			if n, isNumber := value.(float64); isNumber {
+			if n, number := value.(float64); number {
 				sum[name] += n
 			}
 		}
--- a/cmd/fleet/retire.go
+++ b/cmd/fleet/retire.go
@@ -43,9 +43,9 @@
 		for _, step := range []struct{ kind, column, value string }{{"adapter", "phase", "switched"}, {"retirement", "phase", "dropping"}} {
 			holder := ""
 			err := eventually(ctx, 60*time.Second, "it is "+step.value, func() bool {
-				isAt := w.count(step.kind, step.column, step.value) > 0
+				at := w.count(step.kind, step.column, step.value) > 0
 				holder, _, _ = strings.Cut(w.holder, ".")
-				return isAt && holder != ""
+				return at && holder != ""
 			})
 			if err != nil {
 				return err
@@ -67,7 +67,7 @@
 }
 
 func move(ctx context.Context, f *fleet, disturb func(w *watch) error) error {
-	if _, err := f.order(ctx, config.Key, daemon.ConfigOrder{Text: []byte(adapters), IsPartial: true}); err != nil {
+	if _, err := f.order(ctx, config.Key, daemon.ConfigOrder{Text: []byte(adapters), Partial: true}); err != nil {
 		return err
 	}
 	w := &watch{fleet: f, began: time.Now(), shown: map[string]string{}}
@@ -142,9 +142,9 @@
 			line = fmt.Sprintf("route of %s: %s, build %s", name, row["base"], row["build"])
 		}
 		key := fmt.Sprint(row["kind"], " ", name)
-		if before, isKnown := w.shown[key]; before == line {
+		if before, ok := w.shown[key]; before == line {
 			continue
-		} else if row["kind"] == "route" && isKnown {
+		} else if row["kind"] == "route" && ok {
 			w.fleet.factLog.Add(fake.Fact{Kind: fake.Base, Name: name, Value: fmt.Sprint(row["base"])})
 		}
 		w.shown[key] = line
@@ -179,7 +179,7 @@
 		}
 		c := bySecond[second][a.Kind]
 		c.all, sums.all = c.all+1, sums.all+1
-		if a.Status == 200 && a.IsEnded && len(runs[a.Tag]) == 1 {
+		if a.Status == 200 && a.Ended && len(runs[a.Tag]) == 1 {
 			c.single, sums.single = c.single+1, sums.single+1
 			if runs[a.Tag][0].Base == "ridge-2" {
 				c.moved, sums.moved = c.moved+1, sums.moved+1
--- a/cmd/hollow/backend.go
+++ b/cmd/hollow/backend.go
@@ -63,14 +63,14 @@
 func (b *hollowBackend) Kept(ctx context.Context, address string, from daemon.KeptPlace, wait time.Duration) (daemon.KeptNews, error) {
 	key := func(n int) string { return fmt.Sprintf("common@1/%s/%016x", address[6:], uint64(n)*0x9e3779b97f4a7c15) }
 	b.mu.Lock()
-	k, isFirst := b.news[address], from == daemon.KeptPlace{}
+	k, first := b.news[address], from == daemon.KeptPlace{}
 	if k == nil {
 		k = &keptNews{next: b.setup.Blocks / b.setup.Replicas, at: time.Now()}
 		b.news[address] = k
 	}
 	b.mu.Unlock()
-	news := daemon.KeptNews{Kept: map[string]int{}, IsSnapshot: isFirst}
-	if !isFirst {
+	news := daemon.KeptNews{Kept: map[string]int{}, Snapshot: first}
+	if !first {
 		if b.setup.Events == 0 {
 			return daemon.KeptNews{Place: from}, link.Pause(ctx, wait)
 		}
@@ -78,7 +78,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if isFirst {
+	if first {
 		for n := k.first; n < k.next; n++ {
 			news.Kept[key(n)] = 512
 		}
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -28,17 +28,17 @@
 
 // setup says which daemons a child has, and how they are set.
 type setup struct {
-	Role       string // cores, agents or proxies
-	Count      int
-	Cores      []string // addresses
-	Agents     []string // loopback addresses of agents, for proxies
-	IsPlatform bool     // set as on the users' platform; else as by our own defaults
-	Folder     string   // of the cores' disks
-	Replicas   int
-	Models     int
-	Blocks     int     // kept by all replicas together
-	Events     float64 // of kept blocks, a second, by all replicas together
-	Index      int     // entries of a proxy's index
+	Role     string // cores, agents or proxies
+	Count    int
+	Cores    []string // addresses
+	Agents   []string // loopback addresses of agents, for proxies
+	Platform bool     // set as on the users' platform; else as by our own defaults
+	Folder   string   // of the cores' disks
+	Replicas int
+	Models   int
+	Blocks   int     // kept by all replicas together
+	Events   float64 // of kept blocks, a second, by all replicas together
+	Index    int     // entries of a proxy's index
 }
 
 // started is a child's first answer.
@@ -197,7 +197,7 @@
 	name := fmt.Sprintf("%s-%03d", role, i+1)
 	network := &countingNet{Net: c.hosts(host), counter: c.counter}
 	var step time.Duration // 0: our own
-	if c.setup.IsPlatform {
+	if c.setup.Platform {
 		step = platformBounds.Beat
 	}
 	return daemon.Host{Name: name, Fleet: fleetName, Zone: fmt.Sprintf("zone-%d", i%zones+1), Address: address, RingStep: step, Seeds: c.setup.Cores[:min(3, len(c.setup.Cores))],
@@ -250,7 +250,7 @@
 		return err
 	}
 	options := daemon.CoreOptions{ClaimAge: time.Hour}
-	if c.setup.IsPlatform {
+	if c.setup.Platform {
 		options = platformBounds.Core()
 		options.Backend = c.backend
 	}
@@ -288,7 +288,7 @@
 func (toldDialect) ReportPath() string { return "" }
 
 // platformBounds are such as the users' deployments have.
-var platformBounds = daemon.Bounds{IsClosed: true, Revoke: 5 * time.Second, Apply: 12 * time.Second, Version: 20 * time.Second, Lease: 3 * time.Second,
+var platformBounds = daemon.Bounds{Closed: true, Revoke: 5 * time.Second, Apply: 12 * time.Second, Version: 20 * time.Second, Lease: 3 * time.Second,
 	Drain: 3 * time.Second, Grace: 5 * time.Second, Beat: 1200 * time.Millisecond, MemoryMB: 64}
 
 func (c *child) startAgents() (s started, err error) {
@@ -302,7 +302,7 @@
 			return s, err
 		}
 		options := daemon.AgentOptions{}
-		if c.setup.IsPlatform {
+		if c.setup.Platform {
 			options = platformBounds.Agent()
 			options.Dialect, options.Grace = toldDialect{}, 0
 		}
@@ -318,7 +318,7 @@
 	for i, agent := range c.setup.Agents {
 		host := c.place("proxy", i, zones, agent)
 		options := router.Options{Name: host.Name, Zone: host.Zone, Fleet: fleetName, Agent: agent, Net: host.Net, Log: host.Log, Index: c.setup.Index, Seed: uint64(i)}
-		if c.setup.IsPlatform {
+		if c.setup.Platform {
 			options.Dialect, options.AgentWait = toldDialect{}, platformBounds.Proxy().AgentWait
 		}
 		r := router.New(options)
@@ -327,8 +327,8 @@
 	return s, nil
 }
 
-func (c *child) sample(isCollected bool) sample {
-	if isCollected {
+func (c *child) sample(collected bool) sample {
+	if collected {
 		runtime.GC()
 	}
 	s := sample{At: time.Now(), Goroutines: runtime.NumGoroutine(), Traffic: c.counter.all(), InForce: map[uint64]inForce{}}
@@ -355,8 +355,8 @@
 	}
 	c.journal.mu.Lock()
 	defer c.journal.mu.Unlock()
-	for _, isCurrent := range c.journal.current {
-		if isCurrent {
+	for _, current := range c.journal.current {
+		if current {
 			s.Current++
 		}
 	}
--- a/cmd/hollow/count.go
+++ b/cmd/hollow/count.go
@@ -92,8 +92,8 @@
 	counter *counter
 	mu      sync.Mutex
 	path    string
-	isHead  bool // the answer's head has not ended
-	isFirst bool // nothing of the answer's body has come
+	head    bool // the answer's head has not ended
+	first   bool // nothing of the answer's body has come
 }
 
 var headEnd = []byte("\r\n\r\n")
@@ -103,7 +103,7 @@
 	head := 0
 	if bytes.HasPrefix(b, []byte("POST ")) || bytes.HasPrefix(b, []byte("GET ")) {
 		c.path, _, _ = strings.Cut(strings.Fields(string(b[:min(len(b), 200)]))[1], "?")
-		c.isHead, c.isFirst = true, true
+		c.head, c.first = true, true
 		head = max(bytes.Index(b, headEnd), 0) + len(headEnd)
 	}
 	path := c.path
@@ -124,14 +124,14 @@
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
 	path, head, snapshots := c.path, 0, 0
-	if c.isHead && n > 0 {
+	if c.head && n > 0 {
 		head = n
 		if end := bytes.Index(b[:n], headEnd); end >= 0 {
-			head, c.isHead = end+len(headEnd), false
+			head, c.head = end+len(headEnd), false
 		}
 	}
-	if body := b[head:n]; len(body) > 0 && c.isFirst {
-		c.isFirst = false
+	if body := b[head:n]; len(body) > 0 && c.first {
+		c.first = false
 		if bytes.Contains(body[:min(len(body), 300)], []byte(`"image":true`)) {
 			snapshots = 1
 		}
--- a/cmd/hollow/fleet.go
+++ b/cmd/hollow/fleet.go
@@ -94,8 +94,8 @@
 	daemons, replicas, tenants, models int
 	blocks                             int
 	events                             float64
-	isPlatform                         bool
-	isPolled                           bool // the replicas' reports are answered
+	platform                           bool
+	polled                             bool // the replicas' reports are answered
 	index                              int
 }
 
@@ -126,7 +126,7 @@
 	if f.folder, err = os.MkdirTemp("", "hollow-"); err != nil {
 		return f, err
 	}
-	common := setup{IsPlatform: s.isPlatform, Replicas: s.replicas, Models: s.models, Blocks: s.blocks, Events: s.events, Index: s.index}
+	common := setup{Platform: s.platform, Replicas: s.replicas, Models: s.models, Blocks: s.blocks, Events: s.events, Index: s.index}
 	made := common
 	made.Role, made.Count, made.Folder = "cores", coreCount, f.folder
 	if f.cores, err = startPart(start, made); err != nil {
@@ -199,7 +199,7 @@
 	b := config.Empty()
 	for i := range s.tenants {
 		name := fmt.Sprintf("tenant-%03d", i+1)
-		b.Tenants[name] = config.Tenant{Name: name, Weight: 1 + i%9, Backlog: 256, Scope: "tenant", IsWalled: i%4 == 0, Keys: []string{config.HashKey(name)}}
+		b.Tenants[name] = config.Tenant{Name: name, Weight: 1 + i%9, Backlog: 256, Scope: "tenant", Walled: i%4 == 0, Keys: []string{config.HashKey(name)}}
 	}
 	for i := range s.models {
 		name := modelName(i)
@@ -220,11 +220,11 @@
 	if err := f.change(ctx, b.Fields(), true); err != nil {
 		return err
 	}
-	if f.size.isPlatform {
+	if f.size.platform {
 		return nil // the cores list the replicas by themselves
 	}
 	address := "127.3.0.1:9"
-	if f.size.isPolled {
+	if f.size.polled {
 		l, err := f.hosts.listen(3, 0)
 		if err != nil {
 			return err
@@ -246,13 +246,13 @@
 }
 
 // change declares the next numbered configuration.
-func (f *fleet) change(ctx context.Context, items register.Fields, isFull bool) error {
-	_, err := f.changed(ctx, items, isFull)
+func (f *fleet) change(ctx context.Context, items register.Fields, full bool) error {
+	_, err := f.changed(ctx, items, full)
 	return err
 }
 
-func (f *fleet) changed(ctx context.Context, items register.Fields, isFull bool) (uint64, error) {
-	d := config.Declaration{Number: f.number + 1, BasedOn: f.number, IsFull: isFull, Digest: fmt.Sprint(f.number + 1), Items: items, Texts: register.Fields{}}
+func (f *fleet) changed(ctx context.Context, items register.Fields, full bool) (uint64, error) {
+	d := config.Declaration{Number: f.number + 1, BasedOn: f.number, Full: full, Digest: fmt.Sprint(f.number + 1), Items: items, Texts: register.Fields{}}
 	for name, raw := range items {
 		if name != "hold" && name != "limits" {
 			d.Texts[name] = raw
@@ -326,10 +326,10 @@
 	return float64(sum) / took.Seconds(), took * time.Duration(at) / time.Duration(max(1, sum)), err
 }
 
-func eventually(ctx context.Context, what string, isSo func() bool) error {
+func eventually(ctx context.Context, what string, so func() bool) error {
 	ctx, stop := context.WithTimeout(ctx, startWait)
 	defer stop()
-	for !isSo() {
+	for !so() {
 		if link.Pause(ctx, 50*time.Millisecond) != nil {
 			return fmt.Errorf("not within %v: %s", startWait, what)
 		}
--- a/cmd/hollow/main.go
+++ b/cmd/hollow/main.go
@@ -17,15 +17,15 @@
 )
 
 type options struct {
-	measure    string
-	sizes      []int
-	isPlatform bool
-	length     time.Duration // measured for
-	settle     time.Duration // left alone before that
-	limit      time.Duration
-	folder     string // of the pictures; "": none
-	start      starter
-	hosts      hosts
+	measure  string
+	sizes    []int
+	platform bool
+	length   time.Duration // measured for
+	settle   time.Duration // left alone before that
+	limit    time.Duration
+	folder   string // of the pictures; "": none
+	start    starter
+	hosts    hosts
 }
 
 func main() {
@@ -77,7 +77,7 @@
 	if o.length <= 0 || o.settle < 0 || o.limit <= 0 {
 		return o, fmt.Errorf("-length, -settle, -limit: times above 0")
 	}
-	o.isPlatform = *settings == "platform"
+	o.platform = *settings == "platform"
 	m, err := find(o.measure)
 	if err != nil {
 		return o, err
--- a/cmd/hollow/measure.go
+++ b/cmd/hollow/measure.go
@@ -16,7 +16,7 @@
 type figure struct {
 	name, unit       string
 	value, low, high float64
-	isDrawn          bool
+	drawn            bool
 }
 
 // row is all that was measured at one size.
@@ -52,8 +52,8 @@
 		return o.fleet(ctx, size{daemons: n, replicas: 920, tenants: 240, models: 8}, true)
 	}},
 	{"polls", "replicas", "2 daemons, 8 tenants, 8 models, replicas that are asked for reports", []int{18, 100, 300, 920}, func(ctx context.Context, o options, n int) ([]figure, error) {
-		o.isPlatform = false
-		return o.fleet(ctx, size{daemons: 2, replicas: n, tenants: 8, models: 8, isPolled: true}, false)
+		o.platform = false
+		return o.fleet(ctx, size{daemons: 2, replicas: n, tenants: 8, models: 8, polled: true}, false)
 	}},
 	{"blocks", "kept blocks", "2 daemons, 18 replicas, no events", []int{10000, 30000, 100000, 300000}, func(ctx context.Context, o options, n int) ([]figure, error) {
 		return o.fleet(ctx, size{daemons: 2, replicas: 18, tenants: 8, models: 8, blocks: n, index: 2 * n}, false)
@@ -81,8 +81,8 @@
 const windows = 3
 
 // fleet measures a hollow fleet of one size that is left to itself, and then, if that is wanted, changes and a core's restart.
-func (o options) fleet(ctx context.Context, s size, isStirred bool) ([]figure, error) {
-	s.isPlatform = o.isPlatform
+func (o options) fleet(ctx context.Context, s size, stirred bool) ([]figure, error) {
+	s.platform = o.platform
 	began := time.Now()
 	f, err := o.startFleet(ctx, s)
 	if err != nil {
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	figures = append(figures, memory(calm, states[len(states)-1], s)...)
-	if isStirred {
+	if stirred {
 		more, err := o.stir(ctx, f)
 		if err != nil {
 			return nil, err
@@ -157,8 +157,8 @@
 
 // agentTraffic is what one agent exchanges a second.
 func agentTraffic(states []state, s size) (figures []figure) {
-	rate := func(name, unit string, isDrawn bool, of func(t traffic) float64, paths ...string) {
-		figures = append(figures, spread(name, unit, isDrawn, states, func(b, now state) float64 {
+	rate := func(name, unit string, drawn bool, of func(t traffic) float64, paths ...string) {
+		figures = append(figures, spread(name, unit, drawn, states, func(b, now state) float64 {
 			return of(trafficBetween(b.agents, now.agents, paths...)) / float64(s.daemons) / now.agents.At.Sub(b.agents.At).Seconds()
 		}))
 	}
@@ -169,7 +169,7 @@
 	rate("of these answers' bodies", "B/s", false, func(t traffic) float64 { return float64(t.BodyIn) }, "/core/pull")
 	rate("an agent's ring, sent by it", "1/s", false, messages, "/ring/beat", "/ring/doubt")
 	rate("an agent's ring, sent by it and answered", "B/s", true, traffic.bytes, "/ring/beat", "/ring/doubt")
-	if s.isPolled {
+	if s.polled {
 		rate("an agent's asks for reports", "1/s", true, messages, "/report")
 	}
 	return figures
@@ -188,9 +188,9 @@
 // memory is what is in use when garbage is collected, and what else the processes hold at the end.
 func memory(calm, last state, s size) (figures []figure) {
 	n := float64(s.daemons)
-	add := func(name, unit string, isDrawn bool, value float64) {
+	add := func(name, unit string, drawn bool, value float64) {
 		f := one(name, unit, value)
-		f.isDrawn = isDrawn
+		f.drawn = drawn
 		figures = append(figures, f)
 	}
 	add("a core's heap and stacks", "kB", true, used(calm.cores)/coreCount)
@@ -239,12 +239,12 @@
 		one("a core's restart: answers' bodies to an agent meanwhile", "kB", float64(t.BodyIn)/float64(f.size.daemons)/1000),
 		one("a core's restart: processor seconds of all cores", "s", now.cores.Processor-before.cores.Processor),
 		one("a core's restart: times that a daemon was not current", "", float64(now.agents.Lost+now.proxies.Lost-before.agents.Lost-before.proxies.Lost)))
-	figures[len(figures)-4].isDrawn = true
+	figures[len(figures)-4].drawn = true
 	return figures, nil
 }
 
 func (o options) claims(ctx context.Context, at int) ([]figure, error) {
-	f, err := o.startFleet(ctx, size{daemons: 1, replicas: 18, tenants: 8, models: 8, isPlatform: o.isPlatform})
+	f, err := o.startFleet(ctx, size{daemons: 1, replicas: 18, tenants: 8, models: 8, platform: o.platform})
 	if err != nil {
 		return nil, err
 	}
@@ -329,21 +329,21 @@
 }
 
 // among is the mean of some samples with their least and most.
-func among(name, unit string, isDrawn bool, samples []float64) figure {
+func among(name, unit string, drawn bool, samples []float64) figure {
 	sum := 0.0
 	for _, v := range samples {
 		sum += v
 	}
-	return figure{name, unit, sum / float64(len(samples)), slices.Min(samples), slices.Max(samples), isDrawn}
+	return figure{name, unit, sum / float64(len(samples)), slices.Min(samples), slices.Max(samples), drawn}
 }
 
 // spread is a rate over the whole time, with its least and most among the windows.
-func spread(name, unit string, isDrawn bool, states []state, of func(before, now state) float64) figure {
+func spread(name, unit string, drawn bool, states []state, of func(before, now state) float64) figure {
 	var samples []float64
 	for i := range states[1:] {
 		samples = append(samples, of(states[i], states[i+1]))
 	}
-	f := among(name, unit, isDrawn, samples)
+	f := among(name, unit, drawn, samples)
 	f.value = of(states[0], states[len(states)-1])
 	return f
 }
--- a/cmd/hollow/plot.go
+++ b/cmd/hollow/plot.go
@@ -69,7 +69,7 @@
 	}
 	var plots []*plot.Plot
 	for i, f := range s.rows[0].figures {
-		if !f.isDrawn {
+		if !f.drawn {
 			continue
 		}
 		p := plot.New()
--- a/cmd/shell/main.go
+++ b/cmd/shell/main.go
@@ -57,7 +57,7 @@
 	}
 	set.Usage = func() { explain(os.Stderr) }
 	_ = set.Parse(os.Args[1:])
-	s := &shell{wire: link.NewWire(*fleet, &link.TCP{}), out: os.Stdout, isJSON: *format == "json", explain: explain}
+	s := &shell{wire: link.NewWire(*fleet, &link.TCP{}), out: os.Stdout, jSON: *format == "json", explain: explain}
 	for _, core := range strings.Split(*cores, ",") {
 		if core = strings.TrimSpace(core); core != "" {
 			s.cores = append(s.cores, core)
@@ -90,7 +90,7 @@
 	wire    *link.Wire
 	cores   []string
 	out     io.Writer
-	isJSON  bool
+	jSON    bool
 	explain func(io.Writer)
 }
 
@@ -107,10 +107,10 @@
 			fmt.Fprintf(os.Stderr, "  %s\n  %s^\n", text, strings.Repeat(" ", f.At-1))
 		}
 		return 2
-	case c.isHelp:
+	case c.help:
 		s.explain(s.out)
 		return 0
-	case c.isQuit:
+	case c.quit:
 		return 0
 	case c.query != nil:
 		a, err := ask[daemon.QueryAnswer](s, "/query", c.query)
@@ -124,7 +124,7 @@
 	if err != nil {
 		return s.failed(err)
 	}
-	if s.isJSON {
+	if s.jSON {
 		_ = json.NewEncoder(s.out).Encode(a)
 	} else {
 		fmt.Fprintf(s.out, "accepted as version %d\n", a.Version)
@@ -145,7 +145,7 @@
 }
 
 func (s *shell) failed(err error) int {
-	if s.isJSON {
+	if s.jSON {
 		_ = json.NewEncoder(s.out).Encode(fail.ToBody(err))
 	}
 	fmt.Fprintln(os.Stderr, err)
@@ -168,7 +168,7 @@
 			return a, err
 		}
 		var dial *net.OpError
-		if isOrder := strings.HasPrefix(path, "/op/"); isOrder && !(errors.As(err, &dial) && dial.Op == "dial") {
+		if order := strings.HasPrefix(path, "/op/"); order && !(errors.As(err, &dial) && dial.Op == "dial") {
 			return none, fail.New(fail.Undecided, "%v", err) // it may have been taken: not asked of another core
 		}
 	}
@@ -176,7 +176,7 @@
 }
 
 func (s *shell) print(a daemon.QueryAnswer) {
-	if s.isJSON {
+	if s.jSON {
 		_ = json.NewEncoder(s.out).Encode(a)
 		return
 	}
--- a/cmd/shell/parse.go
+++ b/cmd/shell/parse.go
@@ -13,20 +13,20 @@
 
 // command is a parsed line: a query, or an order to one of the cores' endpoints.
 type command struct {
-	query  *daemon.Query
-	order  string // endpoint below /op/
-	body   any
-	file   string // of apply and merge: read into the order's text
-	isHelp bool
-	isQuit bool
+	query *daemon.Query
+	order string // endpoint below /op/
+	body  any
+	file  string // of apply and merge: read into the order's text
+	help  bool
+	quit  bool
 }
 
 // token is a word, a quoted string or a symbol, with its place in the line.
 type token struct {
-	text     string
-	at       int // from 1
-	isQuoted bool
-	isSymbol bool
+	text   string
+	at     int // from 1
+	quoted bool
+	symbol bool
 }
 
 func syntaxError(at int, format string, args ...any) error {
@@ -47,7 +47,7 @@
 			if end < 0 {
 				return nil, syntaxError(i+1, "the quote is not closed")
 			}
-			all = append(all, token{text: line[i+1 : i+1+end], at: i + 1, isQuoted: true})
+			all = append(all, token{text: line[i+1 : i+1+end], at: i + 1, quoted: true})
 			i += end + 2
 		case strings.IndexByte("=<>,!", c) >= 0:
 			size := 1
@@ -57,7 +57,7 @@
 				}
 				size = 2
 			}
-			all = append(all, token{text: line[i : i+size], at: i + 1, isSymbol: true})
+			all = append(all, token{text: line[i : i+size], at: i + 1, symbol: true})
 			i += size
 		default:
 			start := i
@@ -95,7 +95,7 @@
 		return "", err
 	}
 	for _, w := range words {
-		if t.text == w && !t.isQuoted {
+		if t.text == w && !t.quoted {
 			return w, nil
 		}
 	}
@@ -105,7 +105,7 @@
 // name takes any word or string.
 func (r *reader) name(what string) (string, error) {
 	t, err := r.take(what)
-	if err == nil && t.isSymbol {
+	if err == nil && t.symbol {
 		err = syntaxError(t.at, "%q is no %s", t.text, what)
 	}
 	return t.text, err
@@ -135,9 +135,9 @@
 	var c command
 	switch verb {
 	case "help":
-		c.isHelp = true
+		c.help = true
 	case "quit":
-		c.isQuit = true
+		c.quit = true
 	case "show":
 		c, err = r.show()
 	case "why":
@@ -171,9 +171,9 @@
 		return command{}, err
 	}
 	q := &daemon.Query{What: what}
-	for isFirst := true; err == nil && !r.isEnd(); isFirst = false {
+	for first := true; err == nil && !r.isEnd(); first = false {
 		var c daemon.Condition
-		if isFirst {
+		if first {
 			_, err = r.word("where")
 		} else {
 			_, err = r.word("and")
@@ -218,15 +218,15 @@
 		if err != nil {
 			return err
 		}
-		if value.isSymbol {
+		if value.symbol {
 			return syntaxError(value.at, "%q is no value", value.text)
 		}
 		into[name] = value.text
-		if number, isBad := strconv.ParseFloat(value.text, 64); isBad == nil && !value.isQuoted {
+		if number, isBad := strconv.ParseFloat(value.text, 64); isBad == nil && !value.quoted {
 			into[name] = number
-		} else if value.text == "true" && !value.isQuoted {
+		} else if value.text == "true" && !value.quoted {
 			into[name] = true
-		} else if value.text == "false" && !value.isQuoted {
+		} else if value.text == "false" && !value.quoted {
 			into[name] = false
 		}
 		if r.isEnd() || r.all[r.next].text != "," {
@@ -238,7 +238,7 @@
 
 func partial(doc any, named string) command {
 	raw, _ := json.Marshal(doc) // maps of plain values always encode
-	return command{order: config.Key, body: &daemon.ConfigOrder{Text: raw, IsPartial: true, Named: named}}
+	return command{order: config.Key, body: &daemon.ConfigOrder{Text: raw, Partial: true, Named: named}}
 }
 
 func (r *reader) declare(verb string) (command, error) {
@@ -287,7 +287,7 @@
 	return partial(map[string]any{"pools": []any{map[string]any{"name": pool, "weights": version}}}, "known"), err
 }
 
-func (r *reader) key(link string, isRevoked bool) (command, error) {
+func (r *reader) key(link string, revoked bool) (command, error) {
 	if _, err := r.word("key"); err != nil {
 		return command{}, err
 	}
@@ -299,7 +299,7 @@
 		return command{}, err
 	}
 	tenant, err := r.name("tenant")
-	return command{order: "keys", body: &daemon.KeyOrder{Tenant: tenant, Hash: config.HashKey(key), IsRevoked: isRevoked}}, err
+	return command{order: "keys", body: &daemon.KeyOrder{Tenant: tenant, Hash: config.HashKey(key), Revoked: revoked}}, err
 }
 
 func (r *reader) members(verb string) (command, error) {
@@ -314,12 +314,12 @@
 	return command{order: "members", body: &daemon.MembersOrder{Do: verb, Name: name}}, err
 }
 
-func (r *reader) apply(isPartial bool) (command, error) {
+func (r *reader) apply(partial bool) (command, error) {
 	file, err := r.name("file")
 	if err != nil {
 		return command{}, err
 	}
-	o := &daemon.ConfigOrder{IsPartial: isPartial}
+	o := &daemon.ConfigOrder{Partial: partial}
 	if !r.isEnd() {
 		if _, err := r.word("expect"); err != nil {
 			return command{}, err
--- a/cmd/shell/shell_test.go
+++ b/cmd/shell/shell_test.go
@@ -29,7 +29,7 @@
 		case c.query != nil:
 			raw, _ := json.Marshal(c.query)
 			fmt.Fprintf(&out, "  query %s\n", raw)
-		case c.isHelp || c.isQuit:
+		case c.help || c.quit:
 			fmt.Fprintf(&out, "  help\n")
 		default:
 			raw, _ := json.Marshal(c.body)
--- a/config/accepted.go
+++ b/config/accepted.go
@@ -32,7 +32,7 @@
 
 // fingerprint of the declaration: the same text as a whole configuration and as an amendment, or built on another number, is another one.
 func (d Declaration) fingerprint() fingerprint {
-	return fingerprintOf("whole=", d.IsFull, " based on ", d.BasedOn, " ", d.Digest)
+	return fingerprintOf("whole=", d.Full, " based on ", d.BasedOn, " ", d.Digest)
 }
 
 // acceptedRecord is one accepted number with what was declared under it.
--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -53,7 +53,7 @@
 		_, err = r.take(declaration(n, n-1, n == 1, "pool/p", "path/other")) // the same number, something else
 		is.True(fail.Is(err, fail.Conflict))
 		otherKind := small(n)
-		otherKind.IsFull = !otherKind.IsFull // the same text as the other kind of change
+		otherKind.Full = !otherKind.Full // the same text as the other kind of change
 		_, err = r.take(otherKind)
 		is.True(fail.Is(err, fail.Conflict))
 	}
--- a/config/adapter.go
+++ b/config/adapter.go
@@ -107,13 +107,13 @@
 func (s Retirements) Route(a Adapter) (base, build string) {
 	base, build = a.Base, a.Builds[a.Base]
 	for range s { // each retirement leads on at most once
-		t, isThere := s[base]
-		if !isThere || t.Phase == Undoing {
+		t, ok := s[base]
+		if !ok || t.Phase == Undoing {
 			return base, build
 		}
-		m, isSwitched := t.Moves[a.Name]
+		m, switched := t.Moves[a.Name]
 		switch {
-		case isSwitched:
+		case switched:
 			base, build = t.New, m.Build
 		case t.IsPast(): // declared since
 			base, build = t.New, a.Builds[t.New]
@@ -131,8 +131,8 @@
 		if at == base {
 			return true
 		}
-		t, isThere := s[at]
-		if !isThere || t.Phase == Undoing {
+		t, ok := s[at]
+		if !ok || t.Phase == Undoing {
 			return false
 		}
 		at = t.New
@@ -190,7 +190,7 @@
 			return refuse(fail.Missing, "adapters."+name+".base", "an adapter needs a base model")
 		}
 		for _, tenant := range a.Tenants {
-			if _, isThere := b.Tenants[tenant]; !isThere {
+			if _, ok := b.Tenants[tenant]; !ok {
 				return refuse(fail.Dangling, "adapters."+name+".tenants", "there is no tenant %q", tenant)
 			}
 		}
@@ -200,7 +200,7 @@
 		if p.Adapter == "" {
 			continue
 		}
-		if _, isThere := b.Adapters[p.Adapter]; !isThere {
+		if _, ok := b.Adapters[p.Adapter]; !ok {
 			return refuse(fail.Dangling, "paths."+name+".adapter", "there is no adapter %q", p.Adapter)
 		}
 		for _, target := range p.Pools() {
@@ -215,8 +215,8 @@
 // KeepBases refuses a configuration that moves an adapter by itself: what answers on a base is changed by a retirement alone (§6.6).
 func (b *Config) KeepBases(before *Config) error {
 	for _, name := range slices.Sorted(maps.Keys(b.Adapters)) {
-		was, isThere := before.Adapters[name]
-		if now := b.Adapters[name]; isThere && (now.Base != was.Base || was.Builds[was.Base] != "" && now.Builds[was.Base] != was.Builds[was.Base]) {
+		was, ok := before.Adapters[name]
+		if now := b.Adapters[name]; ok && (now.Base != was.Base || was.Builds[was.Base] != "" && now.Builds[was.Base] != was.Builds[was.Base]) {
 			f := fail.New(fail.Conflict, "adapter %q is on %s with build %q: a retirement moves it", name, was.Base, was.Builds[was.Base])
 			f.Field = "adapters." + name
 			return f
@@ -240,8 +240,8 @@
 	desired := map[string][]Placement{}
 	for _, name := range slices.Sorted(maps.Keys(b.Paths)) {
 		p := b.Paths[name]
-		a, isThere := b.Adapters[p.Adapter]
-		if !isThere {
+		a, ok := b.Adapters[p.Adapter]
+		if !ok {
 			continue
 		}
 		var all []Placement
--- a/config/adapter_test.go
+++ b/config/adapter_test.go
@@ -81,8 +81,8 @@
 	is.Equal(on(b), "m2 b2")
 	is.Equal(plan.Desired(all)["p"], []Placement{{"a", "m3", "a3"}, {"a", "m2", "a2"}, {"b", "m2", "b2"}, {"b", "m3", "b3"}})
 	for _, crossing := range []string{"m2", "m3"} {
-		_, isCrossed := all.Crossing(crossing)
-		is.True(isCrossed)
+		_, crossed := all.Crossing(crossing)
+		is.True(crossed)
 	}
 	_, isCrossed := all.Crossing("m1", "m9") // m1's is done
 	is.True(!isCrossed)
--- a/config/config.go
+++ b/config/config.go
@@ -18,12 +18,12 @@
 
 // Tenant is a customer of the fleet.
 type Tenant struct {
-	Name     string `json:"name"`
-	IsWalled bool   `json:"walled"`
-	Weight   int    `json:"weight"`         // its part in the round robin
-	Backlog  int    `json:"backlog"`        // how many requests may wait in one proxy
-	Scope    string `json:"scope"`          // "tenant" or "pool": what a hold covers
-	Born     uint64 `json:"born,omitempty"` // the configuration's version that created it: a name given anew is another tenant (§6.3)
+	Name    string `json:"name"`
+	Walled  bool   `json:"walled"`
+	Weight  int    `json:"weight"`         // its part in the round robin
+	Backlog int    `json:"backlog"`        // how many requests may wait in one proxy
+	Scope   string `json:"scope"`          // "tenant" or "pool": what a hold covers
+	Born    uint64 `json:"born,omitempty"` // the configuration's version that created it: a name given anew is another tenant (§6.3)
 	// Keys are hashes of access keys that are declared with the tenant; others are granted one by one (§2.1).
 	Keys    []string `json:"keys,omitempty"`
 	Urgency *int     `json:"urgency,omitempty"` // goes before the path's
@@ -47,24 +47,24 @@
 
 // Path leads requests to a pool.
 type Path struct {
-	Name         string `json:"name"`
-	Address      string `json:"address"` // URL path; one that ends in / covers all below
-	Model        string `json:"model"`   // the model asked for; empty matches any
-	Pool         string `json:"pool"`
-	IsRepeatable bool   `json:"repeatable"`
-	DeadlineMs   int    `json:"deadline_ms"` // how long a request may wait for its first piece
-	MaxBody      int    `json:"max_body"`
-	Cost         int    `json:"cost"` // in the round robin
+	Name       string `json:"name"`
+	Address    string `json:"address"` // URL path; one that ends in / covers all below
+	Model      string `json:"model"`   // the model asked for; empty matches any
+	Pool       string `json:"pool"`
+	Repeatable bool   `json:"repeatable"`
+	DeadlineMs int    `json:"deadline_ms"` // how long a request may wait for its first piece
+	MaxBody    int    `json:"max_body"`
+	Cost       int    `json:"cost"` // in the round robin
 
-	Host        string   `json:"host,omitempty"`      // the host asked for; empty matches any
-	Targets     []Target `json:"targets,omitempty"`   // a split over pools, in place of Pool
-	Tries       int      `json:"tries,omitempty"`     // replicas that one request may be sent to; 0: no bound but the budget
-	AimMs       int      `json:"aim_ms,omitempty"`    // the first piece is wanted within it
-	GapMs       int      `json:"gap_ms,omitempty"`    // no longer pause is wanted between pieces
-	Urgency     int      `json:"urgency,omitempty"`   // 0 goes first
-	IsResumable bool     `json:"resumable,omitempty"` // a stream that broke off may go on at another replica (§5.7)
-	IsPublic    bool     `json:"public,omitempty"`    // needs no access key
-	Adapter     string   `json:"adapter,omitempty"`   // that the requests run on (§6.6)
+	Host      string   `json:"host,omitempty"`      // the host asked for; empty matches any
+	Targets   []Target `json:"targets,omitempty"`   // a split over pools, in place of Pool
+	Tries     int      `json:"tries,omitempty"`     // replicas that one request may be sent to; 0: no bound but the budget
+	AimMs     int      `json:"aim_ms,omitempty"`    // the first piece is wanted within it
+	GapMs     int      `json:"gap_ms,omitempty"`    // no longer pause is wanted between pieces
+	Urgency   int      `json:"urgency,omitempty"`   // 0 goes first
+	Resumable bool     `json:"resumable,omitempty"` // a stream that broke off may go on at another replica (§5.7)
+	Public    bool     `json:"public,omitempty"`    // needs no access key
+	Adapter   string   `json:"adapter,omitempty"`   // that the requests run on (§6.6)
 }
 
 // Target is a pool with its share of a path's requests.
@@ -94,7 +94,7 @@
 	BaseMs    int     `json:"base_ms"`
 	CapMs     int     `json:"cap_ms"`
 	Jitter    float64 `json:"jitter"` // 1: uniform from zero; 0: always the full step
-	IsObserve bool    `json:"observe"`
+	Observe   bool    `json:"observe"`
 	SlowRatio float64 `json:"slow_ratio"`
 }
 
@@ -107,7 +107,7 @@
 	Paths   map[string]Path
 	Hold    Hold
 	Limits  Limits
-	IsOpen  bool // declared without tenants: nobody needs an access key
+	Open    bool // declared without tenants: nobody needs an access key
 }
 
 // Empty is a configuration with the default hold.
@@ -138,7 +138,7 @@
 		case "limits":
 			err = json.Unmarshal(raw, &b.Limits)
 		case "open":
-			b.IsOpen = true
+			b.Open = true
 		}
 		if err != nil {
 			return nil, fail.Wrap(err, fail.Malformed, "register field "+name)
@@ -160,7 +160,7 @@
 func (b *Config) Inherit(base *Config, version uint64) {
 	for name, t := range b.Tenants {
 		t.Born = version
-		if before, isThere := base.Tenants[name]; isThere {
+		if before, ok := base.Tenants[name]; ok {
 			t.Born = before.Born
 		}
 		b.Tenants[name] = t
@@ -190,7 +190,7 @@
 	if b.Limits != (Limits{}) {
 		put("limits", b.Limits)
 	}
-	if b.IsOpen {
+	if b.Open {
 		put("open", true)
 	}
 	return fields
@@ -205,7 +205,7 @@
 		}
 	}
 	for name := range old {
-		if _, isKept := now[name]; !isKept {
+		if _, kept := now[name]; !kept {
 			change[name] = nil
 		}
 	}
@@ -224,7 +224,7 @@
 		}
 		sum := 0
 		for _, target := range p.Pools() {
-			if _, isThere := b.Pools[target.Pool]; !isThere {
+			if _, ok := b.Pools[target.Pool]; !ok {
 				return refuse(fail.Dangling, "pool", "there is no pool %q", target.Pool)
 			}
 			if b.Pools[target.Pool].Kind == "store" {
@@ -245,7 +245,7 @@
 			return refuse(fail.Missing, "address", "a path needs an address")
 		}
 		at := p.Host + " " + p.Address + " " + p.Model
-		if other, isTaken := met[at]; isTaken {
+		if other, taken := met[at]; taken {
 			return refuse(fail.RepeatField, "address", "path %q has the same host, address and model", other)
 		}
 		met[at] = name
@@ -253,7 +253,7 @@
 	owners := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(b.Tenants)) {
 		for _, key := range b.Tenants[name].Keys {
-			if other, isTaken := owners[key]; isTaken && other != name {
+			if other, taken := owners[key]; taken && other != name {
 				f := fail.New(fail.RepeatField, "tenant %q has the same key", other)
 				f.Field = "tenants." + name + ".keys"
 				return f
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -39,9 +39,9 @@
 	is.NoErr(err)
 	merged, err := Parse([]byte(`{"tenants":[{"name":"a","walled":true},{"name":"b"}],"hold":{"observe":true}}`), present, true)
 	is.NoErr(err)
-	is.Equal(merged.Tenants["a"], Tenant{Name: "a", IsWalled: true, Weight: 3, Backlog: 256, Scope: "tenant"})
+	is.Equal(merged.Tenants["a"], Tenant{Name: "a", Walled: true, Weight: 3, Backlog: 256, Scope: "tenant"})
 	is.Equal(merged.Hold.CapMs, 64000)
-	is.True(merged.Hold.IsObserve)
+	is.True(merged.Hold.Observe)
 	is.Equal(len(present.Tenants), 1) // the present one is not touched
 	again, err := FromFields(merged.Fields())
 	is.NoErr(err)
@@ -56,9 +56,9 @@
 	f.Add([]byte(base), true)
 	f.Add([]byte(`{"remove":{"tenants":["a"]},"hold":{"base_ms":1}}`), true)
 	f.Add([]byte(`{"tenants":[{"name":"a","name":"b"}]}`), false)
-	f.Fuzz(func(t *testing.T, text []byte, isPartial bool) {
+	f.Fuzz(func(t *testing.T, text []byte, partial bool) {
 		present, _ := Parse([]byte(base), nil, false)
-		b, err := Parse(text, present, isPartial)
+		b, err := Parse(text, present, partial)
 		if err != nil {
 			return
 		}
--- a/config/declaration.go
+++ b/config/declaration.go
@@ -13,7 +13,7 @@
 type Declaration struct {
 	Number  uint64          `json:"number"`
 	BasedOn uint64          `json:"based_on"`
-	IsFull  bool            `json:"whole"`
+	Full    bool            `json:"whole"`
 	Digest  string          `json:"digest"` // of the text that it was read from
 	Items   register.Fields `json:"items"`  // as Config.Fields names them
 	Texts   register.Fields `json:"texts"`  // the same names: as the operators wrote them
@@ -93,11 +93,11 @@
 		if strings.HasPrefix(field, acceptedPrefix) {
 			continue
 		}
-		if !d.IsFull || field == "hold" {
+		if !d.Full || field == "hold" {
 			made[field] = raw
 		}
 		var t text
-		if !d.IsFull && strings.HasPrefix(field, textPrefix) && json.Unmarshal(raw, &t) == nil {
+		if !d.Full && strings.HasPrefix(field, textPrefix) && json.Unmarshal(raw, &t) == nil {
 			next = max(next, t.Place+1)
 		}
 	}
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	b.Inherit(base, version+1)
-	b.IsOpen = len(b.Tenants) == 0
+	b.Open = len(b.Tenants) == 0
 	delete(made, "open")
 	made.Apply(b.Fields())
 	return Delta(now, made), nil
--- a/config/declaration_test.go
+++ b/config/declaration_test.go
@@ -45,9 +45,9 @@
 }
 
 // declaration makes one of tenants, pools and paths by name, each written as its name and the number.
-func declaration(number, basedOn uint64, isFull bool, names ...string) Declaration {
+func declaration(number, basedOn uint64, full bool, names ...string) Declaration {
 	b := Empty()
-	d := Declaration{Number: number, BasedOn: basedOn, IsFull: isFull, Digest: fmt.Sprint(number, names), Texts: register.Fields{}}
+	d := Declaration{Number: number, BasedOn: basedOn, Full: full, Digest: fmt.Sprint(number, names), Texts: register.Fields{}}
 	for _, name := range names {
 		kind, rest, _ := strings.Cut(name, "/")
 		switch kind {
@@ -144,32 +144,32 @@
 	is.NoErr(err)
 	is.Equal(r.config(is).Hold.BaseMs, 7)
 	is.True(register.IsGone(change["path/a"]) && register.IsGone(change["text/path/b"]))
-	_, isAgain := change["pool/p"]
-	is.True(!isAgain) // it has not changed; only its text was written anew
+	_, again := change["pool/p"]
+	is.True(!again) // it has not changed; only its text was written anew
 }
 
 // Of two that are built on the same number one is taken, whichever comes first; numbers only rise, and a gap is no matter.
 func TestOneOfTwoDeclarationsOnTheSameNumberWins(t *testing.T) {
 	is := is.New(t)
-	for _, isFull := range []bool{true, false} {
+	for _, full := range []bool{true, false} {
 		r := &declared{fields: register.Fields{}}
 		_, err := r.take(declaration(5, 0, true, "pool/p", "path/a"))
 		is.NoErr(err)
-		one, other := declaration(9, 5, isFull, "pool/p", "path/one"), declaration(8, 5, isFull, "pool/p", "path/other")
+		one, other := declaration(9, 5, full, "pool/p", "path/one"), declaration(8, 5, full, "pool/p", "path/other")
 		_, err = r.take(one)
 		is.NoErr(err)
 		before := r.texts()
 		_, err = r.take(other)
 		is.True(fail.Is(err, fail.Conflict))
-		same := declaration(9, 5, isFull, "pool/p", "path/other") // the same number, something else
+		same := declaration(9, 5, full, "pool/p", "path/other") // the same number, something else
 		_, err = r.take(same)
 		is.True(fail.Is(err, fail.Conflict))
 		for _, number := range []uint64{0, 1, 8, 9} {
-			_, err = r.take(declaration(number, 9, isFull, "pool/p"))
+			_, err = r.take(declaration(number, 9, full, "pool/p"))
 			is.True(fail.Is(err, fail.OutOfRange))
 		}
 		for _, base := range []uint64{0, 5, 8, 10} {
-			_, err = r.take(declaration(11, base, isFull, "pool/p"))
+			_, err = r.take(declaration(11, base, full, "pool/p"))
 			is.True(fail.Is(err, fail.Conflict))
 		}
 		is.Equal(r.texts(), before)
--- a/config/parse.go
+++ b/config/parse.go
@@ -8,7 +8,7 @@
 )
 
 // Parse takes an operator's text: whole, or partial upon the present configuration. Nothing of a bad text is used.
-func Parse(text []byte, base *Config, isPartial bool) (*Config, error) {
+func Parse(text []byte, base *Config, partial bool) (*Config, error) {
 	if len(text) > MaxText {
 		return nil, fail.New(fail.Oversize, "%d bytes, at most %d", len(text), MaxText)
 	}
@@ -17,7 +17,7 @@
 		return nil, err
 	}
 	b := Empty()
-	if isPartial {
+	if partial {
 		for name, t := range base.Tenants {
 			b.Tenants[name] = t
 		}
@@ -45,7 +45,7 @@
 		case "limits":
 			return readLimits(v, &b.Limits)
 		case "remove":
-			if isPartial {
+			if partial {
 				return remove(v, b)
 			}
 		}
@@ -81,8 +81,8 @@
 			return entry.Refuse(fail.Missing, "needs a name")
 		}
 		met[name] = true
-		item, isThere := into[name]
-		if !isThere {
+		item, ok := into[name]
+		if !ok {
 			item = fresh
 		}
 		if err := entry.Object(func(field string, v Value) error { return read(&item, field, v) }); err != nil {
@@ -100,24 +100,24 @@
 			if err != nil {
 				return err
 			}
-			isThere := false
+			ok := false
 			switch kind {
 			case "tenants":
-				_, isThere = b.Tenants[name]
+				_, ok = b.Tenants[name]
 				delete(b.Tenants, name)
 			case "pools":
-				_, isThere = b.Pools[name]
+				_, ok = b.Pools[name]
 				delete(b.Pools, name)
 			case "paths":
-				_, isThere = b.Paths[name]
+				_, ok = b.Paths[name]
 				delete(b.Paths, name)
 			case "adapters":
-				_, isThere = b.Adapters[name]
+				_, ok = b.Adapters[name]
 				delete(b.Adapters, name)
 			default:
 				return list.Refuse(fail.UnknownField, "nothing of this kind can be removed")
 			}
-			if !isThere {
+			if !ok {
 				return item.Refuse(fail.Dangling, "there is no %q to remove", name)
 			}
 			return nil
@@ -146,7 +146,7 @@
 	case "name":
 		return set(&t.Name, v.Name)
 	case "walled":
-		return set(&t.IsWalled, v.Flag)
+		return set(&t.Walled, v.Flag)
 	case "weight":
 		return set(&t.Weight, between(v, 1, 100))
 	case "backlog":
@@ -198,7 +198,7 @@
 	case "pool":
 		return set(&p.Pool, v.Name)
 	case "repeatable":
-		return set(&p.IsRepeatable, v.Flag)
+		return set(&p.Repeatable, v.Flag)
 	case "deadline_ms":
 		return set(&p.DeadlineMs, between(v, 100, 600000))
 	case "max_body":
@@ -232,9 +232,9 @@
 	case "urgency":
 		return set(&p.Urgency, between(v, 0, 9))
 	case "resumable":
-		return set(&p.IsResumable, v.Flag)
+		return set(&p.Resumable, v.Flag)
 	case "public":
-		return set(&p.IsPublic, v.Flag)
+		return set(&p.Public, v.Flag)
 	case "adapter":
 		return set(&p.Adapter, v.Name)
 	}
@@ -251,7 +251,7 @@
 		case "jitter":
 			return set(&h.Jitter, func() (float64, error) { return v.Figure(0, 1) })
 		case "observe":
-			return set(&h.IsObserve, v.Flag)
+			return set(&h.Observe, v.Flag)
 		case "slow_ratio":
 			return set(&h.SlowRatio, func() (float64, error) { return v.Figure(1.5, 100) })
 		}
--- a/config/state.go
+++ b/config/state.go
@@ -39,13 +39,13 @@
 type LoadOrder struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
-	IsDone  bool   `json:"done,omitempty"`
+	Done    bool   `json:"done,omitempty"`
 }
 
 // Access is what is kept of an access key, under its hash.
 type Access struct {
-	IsRevoked bool   `json:"revoked"`
-	Born      uint64 `json:"born,omitempty"` // the tenant's life that it was granted to
+	Revoked bool   `json:"revoked"`
+	Born    uint64 `json:"born,omitempty"` // the tenant's life that it was granted to
 }
 
 // Member is a core.
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -38,22 +38,22 @@
 	ring    *ring.Ring
 	disk    disk.Disk // may be nil: then what was learned of the cores is lost with the process
 
-	mu            sync.Mutex
-	members       []config.Member
-	prior         []config.Member           // the list before, while keys are carried over from it
-	links         map[string]*link.Follower // by core's address
-	applied       map[string]register.Revision
-	undecided     map[string]doubt
-	until         time.Time // current until then, as last worked out
-	why           string
-	isSaidCurrent bool // as the log has it
-	proxies       register.Fields
-	silent        map[string]bool // members, by address
-	hearingSince  time.Time       // since when a majority of the members answers; zero: it does not
-	named         router.Named
-	readers       map[string]string // by key of news of kept prompts: the core they are taken from
-	replicas      map[string]context.CancelFunc
-	watched       map[string]config.Replica
+	mu           sync.Mutex
+	members      []config.Member
+	prior        []config.Member           // the list before, while keys are carried over from it
+	links        map[string]*link.Follower // by core's address
+	applied      map[string]register.Revision
+	undecided    map[string]doubt
+	until        time.Time // current until then, as last worked out
+	why          string
+	saidCurrent  bool // as the log has it
+	proxies      register.Fields
+	silent       map[string]bool // members, by address
+	hearingSince time.Time       // since when a majority of the members answers; zero: it does not
+	named        router.Named
+	readers      map[string]string // by key of news of kept prompts: the core they are taken from
+	replicas     map[string]context.CancelFunc
+	watched      map[string]config.Replica
 }
 
 // AgentOptions of an agent; what is zero has its usual value.
@@ -126,11 +126,11 @@
 // seeOff goes on beside a proxy that is stopping, so that it stays current until its last request is answered.
 func (a *Agent) seeOff() {
 	for end := time.Now().Add(a.options.Grace); time.Now().Before(end); {
-		isThere := false
+		ok := false
 		for _, s := range a.source.FollowerStates(liveTime) {
-			isThere = isThere || s.Role == "proxy"
+			ok = ok || s.Role == "proxy"
 		}
-		if !isThere || link.Pause(context.Background(), helloTime) != nil {
+		if !ok || link.Pause(context.Background(), helloTime) != nil {
 			return
 		}
 	}
@@ -232,7 +232,7 @@
 }
 
 func (a *Agent) ask() link.Ask {
-	status := AgentStatus{Address: a.host.Address, Zone: a.host.Zone, IsCurrent: a.remaining() > 0}
+	status := AgentStatus{Address: a.host.Address, Zone: a.host.Zone, Current: a.remaining() > 0}
 	ask := link.Ask{Name: a.host.Name, Role: "agent"}
 	for _, s := range a.source.FollowerStates(liveTime) {
 		var p router.Status
@@ -284,7 +284,7 @@
 // takeOccupancy passes on the load of replicas; an older word than was had does no harm for long.
 func (a *Agent) takeOccupancy(answer link.Answer) {
 	for _, e := range answer.Entries {
-		if e.Key == router.OccupancyKey && len(e.Fields) > 0 && !answer.IsSnapshot {
+		if e.Key == router.OccupancyKey && len(e.Fields) > 0 && !answer.Snapshot {
 			a.source.PutSoon(e.Key, e.Fields, false)
 		}
 	}
--- a/daemon/agent_currency.go
+++ b/daemon/agent_currency.go
@@ -21,16 +21,16 @@
 // now was itself frozen, cut off or not there: that members return to its hearing one by one says nothing of them. a.mu is held.
 func (a *Agent) noteSilence() {
 	now, settling := time.Now(), liveTime+a.options.LinkWait
-	fresh, isChanged := 0, false
+	fresh, changed := 0, false
 	for _, m := range a.members {
 		f := a.links[m.Address]
-		isSilent := f == nil || now.Sub(f.FreshAt()) > settling
-		if !isSilent {
+		silent := f == nil || now.Sub(f.FreshAt()) > settling
+		if !silent {
 			fresh++
 		}
-		was, isKnown := a.silent[m.Address]
-		isChanged = isChanged || isKnown && was != isSilent
-		a.silent[m.Address] = isSilent
+		was, ok := a.silent[m.Address]
+		changed = changed || ok && was != silent
+		a.silent[m.Address] = silent
 	}
 	if fresh <= len(a.members)/2 {
 		a.hearingSince = time.Time{}
@@ -39,7 +39,7 @@
 	if a.hearingSince.IsZero() {
 		a.hearingSince = now
 	}
-	if isChanged && now.Sub(a.hearingSince) > settling {
+	if changed && now.Sub(a.hearingSince) > settling {
 		a.source.Put(router.DisturbedKey, register.Revision{}, register.Revision{}, register.Fields{router.DisturbedKey: json.RawMessage("1")}, false)
 	}
 }
@@ -75,20 +75,20 @@
 	if !now.Before(until) {
 		why = "fewer than a majority of cores answer"
 	}
-	for key, isWanted := range keys {
-		if !isWanted {
+	for key, wanted := range keys {
+		if !wanted {
 			continue
 		}
-		if at, isOpen := a.decide(key, now, wasCurrent); isOpen && at.Before(until) {
+		if at, open := a.decide(key, now, wasCurrent); open && at.Before(until) {
 			until = at
 			if !now.Before(until) {
 				why = "a change of " + key + " is undecided"
 			}
 		}
 	}
-	if isCurrent := now.Before(until); isCurrent != a.isSaidCurrent { // a limit that has run out is told too
-		a.isSaidCurrent = isCurrent
-		a.host.Log.Info().Str("event", "currency").Bool("is_current", isCurrent).Str("why", why).Msg("")
+	if current := now.Before(until); current != a.saidCurrent { // a limit that has run out is told too
+		a.saidCurrent = current
+		a.host.Log.Info().Str("event", "currency").Bool("is_current", current).Str("why", why).Msg("")
 	}
 	a.until, a.why = until, why
 }
@@ -179,8 +179,8 @@
 	if !applied.Less(top) || !a.mayStand(key, top, now) {
 		return time.Time{}, false
 	}
-	open, isKnown := a.undecided[key]
-	if !isKnown {
+	open, ok := a.undecided[key]
+	if !ok {
 		open = doubt{revision: top, since: now}
 		if !wasCurrent {
 			open.since = now.Add(-a.options.Undecided)
--- a/daemon/agent_reports.go
+++ b/daemon/agent_reports.go
@@ -22,7 +22,7 @@
 		return
 	}
 	for name, r := range present {
-		if before, isWatched := a.watched[name]; isWatched && before.Address == r.Address {
+		if before, watched := a.watched[name]; watched && before.Address == r.Address {
 			continue
 		}
 		if stop := a.replicas[name]; stop != nil {
@@ -33,7 +33,7 @@
 		go a.poll(polling, r)
 	}
 	for name := range a.watched {
-		if _, isThere := present[name]; !isThere {
+		if _, ok := present[name]; !ok {
 			a.replicas[name]()
 			delete(a.replicas, name)
 			delete(a.watched, name)
@@ -46,9 +46,9 @@
 // reportBody is a replica's report with what it keeps since the number asked from.
 type reportBody struct {
 	router.Report
-	IsSnapshot bool     `json:"image"`
-	Kept       []string `json:"kept,omitempty"`
-	Dropped    []string `json:"dropped,omitempty"`
+	Snapshot bool     `json:"image"`
+	Kept     []string `json:"kept,omitempty"`
+	Dropped  []string `json:"dropped,omitempty"`
 }
 
 // poll asks a replica for its report and passes on what it keeps.
@@ -69,8 +69,8 @@
 		for _, block := range body.Dropped {
 			change[block] = nil
 		}
-		if len(change) > 0 || body.IsSnapshot {
-			a.source.Put(router.KeptPrefix+r.Name, register.Revision{}, register.Revision{}, change, body.IsSnapshot)
+		if len(change) > 0 || body.Snapshot {
+			a.source.Put(router.KeptPrefix+r.Name, register.Revision{}, register.Revision{}, change, body.Snapshot)
 		}
 		a.source.Put(router.ReportsKey, register.Revision{}, register.Revision{}, register.Fields{r.Name: raw}, false)
 		last = body.Report
--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -33,9 +33,9 @@
 
 // KeptNews is what was got or lost: by key, how much is kept now. IsImage: there is nothing else.
 type KeptNews struct {
-	Place      KeptPlace
-	IsSnapshot bool
-	Kept       map[string]int
+	Place    KeptPlace
+	Snapshot bool
+	Kept     map[string]int
 }
 
 // Order is an order to a replica. Of two orders under different fences the one with the lower fence is void.
@@ -127,16 +127,16 @@
 	order   config.LoadOrder // as it is reserved, or will be
 	newest  uint64           // version named of the order's model
 	has     uint64           // version that the replica is known to have
-	isOpen  bool             // its reservation stands already
-	isFresh bool             // nobody has ever told it to load: no lease is kept for it
+	open    bool             // its reservation stands already
+	fresh   bool             // nobody has ever told it to load: no lease is kept for it
 	most    int              // that may be reserved in its pool
 }
 
 // compareLoading puts open reservations first, so that all are counted before another is made, and then the oldest versions, which may be used for
 // the shortest time.
 func compareLoading(a, b loading) int {
-	if a.isOpen != b.isOpen {
-		if a.isOpen {
+	if a.open != b.open {
+		if a.open {
 			return -1
 		}
 		return 1
@@ -148,19 +148,19 @@
 	c := l.core
 	l.candidate.Watch()
 	due, gone := l.survey()
-	fence, isOurs := l.candidate.Holds()
+	fence, own := l.candidate.Holds()
 	if len(due) == 0 && len(gone) == 0 || c.membership().self == nil {
 		return
 	}
-	if time.Since(l.renewed) > loadLeaseLength/5 && (isOurs || register.Pick(leasePrefix+"loading", c.live()) == c.host.Name) {
-		wasOurs := isOurs
+	if time.Since(l.renewed) > loadLeaseLength/5 && (own || register.Pick(leasePrefix+"loading", c.live()) == c.host.Name) {
+		wasOurs := own
 		l.renewed = time.Now()
 		l.candidate.Step(ctx)
-		if fence, isOurs = l.candidate.Holds(); !wasOurs {
+		if fence, own = l.candidate.Holds(); !wasOurs {
 			clear(l.made) // reservations of an earlier lease of ours may have been another holder's since
 		}
 	}
-	if !isOurs {
+	if !own {
 		return
 	}
 	change, now, free := register.Fields{}, time.Now(), l.candidate.QuietUntil().Add(c.options.Lease)
@@ -171,9 +171,9 @@
 	for _, d := range due {
 		name, pool := d.replica.Name, d.replica.Pool
 		switch {
-		case d.isOpen:
+		case d.open:
 			open[pool]++
-		case open[pool] < d.most && now.After(l.resting[name]) && (d.isFresh || now.After(free)):
+		case open[pool] < d.most && now.After(l.resting[name]) && (d.fresh || now.After(free)):
 			open[pool]++
 			change.Apply(config.Field(name, d.order))
 			l.made[name] = true
@@ -182,7 +182,7 @@
 	var mu sync.Mutex
 	var asked sync.WaitGroup
 	for _, d := range due {
-		if !d.isOpen {
+		if !d.open {
 			continue
 		}
 		asked.Go(func() {
@@ -190,7 +190,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if loaded > 0 {
-				d.order.Version, d.order.IsDone = loaded, true
+				d.order.Version, d.order.Done = loaded, true
 				change.Apply(config.Field(d.replica.Name, d.order))
 			} else if rest > 0 {
 				change[d.replica.Name] = nil
@@ -199,7 +199,7 @@
 		})
 	}
 	asked.Wait()
-	if now, isOurs := l.candidate.Holds(); len(change) == 0 || !isOurs || now < fence {
+	if now, owned := l.candidate.Holds(); len(change) == 0 || !owned || now < fence {
 		return // another holder may have written marks since the survey: frozen meanwhile, this one writes nothing
 	}
 	short, stop := context.WithTimeout(ctx, majorityWait)
@@ -219,7 +219,7 @@
 		return nil, nil
 	}
 	for name := range loads {
-		if r, isThere := replicas[name]; !isThere || r.State == "leaving" && !loads[name].IsDone {
+		if r, ok := replicas[name]; !ok || r.State == "leaving" && !loads[name].Done {
 			gone = append(gone, name)
 			delete(loads, name)
 		}
@@ -231,19 +231,19 @@
 			continue
 		}
 		sizes[r.Pool]++
-		load, isReserved := loads[name]
-		isOpen := isReserved && !load.IsDone
-		if isOpen {
-			due = append(due, loading{replica: r, order: load, newest: max(load.Version, models[load.Model].Version), isOpen: true})
+		load, reserved := loads[name]
+		open := reserved && !load.Done
+		if open {
+			due = append(due, loading{replica: r, order: load, newest: max(load.Version, models[load.Model].Version), open: true})
 			continue // its other models in turn
 		}
 		for _, model := range plan.Pools[r.Pool].Models {
 			wanted, has := models[model].Version, max(1, r.Models[model])
-			if isReserved && load.Model == model {
+			if reserved && load.Model == model {
 				has = max(has, load.Version)
 			}
 			if has < wanted {
-				due = append(due, loading{replica: r, order: config.LoadOrder{Model: model, Version: wanted}, newest: wanted, has: has, isFresh: !isReserved})
+				due = append(due, loading{replica: r, order: config.LoadOrder{Model: model, Version: wanted}, newest: wanted, has: has, fresh: !reserved})
 				break
 			}
 		}
@@ -265,8 +265,8 @@
 	short, stop := context.WithTimeout(ctx, reportLimit)
 	defer stop()
 	c.mu.Lock()
-	since, isReserved := l.reservedSince[name]
-	if !isReserved {
+	since, reserved := l.reservedSince[name]
+	if !reserved {
 		since = time.Now()
 		l.reservedSince[name] = since
 	}
@@ -281,12 +281,12 @@
 	if time.Since(since) < announceTime || !told.IsZero() && time.Since(told) < orderAgain/4 {
 		return 0, 0 // the proxies may not know of it yet, or its reports would not show the order
 	}
-	models, isBusy, err := c.options.Backend.Versions(short, d.replica)
+	models, busy, err := c.options.Backend.Versions(short, d.replica)
 	if err != nil && time.Since(since) > orderAgain {
 		forget()
 		return 0, orderRest
 	}
-	if err != nil || isBusy {
+	if err != nil || busy {
 		return 0, 0
 	}
 	if has := models[d.order.Model]; has >= d.order.Version {
@@ -300,8 +300,8 @@
 	if time.Since(told) < orderAgain {
 		return 0, 0
 	}
-	now, isOurs := l.candidate.Holds()
-	if !isOurs || now < fence {
+	now, own := l.candidate.Holds()
+	if !own || now < fence {
 		return 0, 0
 	}
 	order := Order{config.LoadOrder{Model: d.order.Model, Version: d.newest}, l.candidate.Holder(), now}
--- a/daemon/bounds.go
+++ b/daemon/bounds.go
@@ -4,7 +4,7 @@
 
 // Bounds are what a deployment promises to its users; the daemons' own limits follow from them (§3.2, §6.2).
 type Bounds struct {
-	IsClosed   bool          // a revoked key is refused everywhere, also by a proxy that is cut off
+	Closed     bool          // a revoked key is refused everywhere, also by a proxy that is cut off
 	Revoke     time.Duration // within which it is
 	Apply      time.Duration // a configuration is used
 	Version    time.Duration // no request begins on old weights after it
@@ -29,7 +29,7 @@
 
 // stale is how long a proxy serves by what it knows without a word from a majority of cores (T and U).
 func (b Bounds) stale() time.Duration {
-	if !b.IsClosed {
+	if !b.Closed {
 		return staleMost
 	}
 	return max(freshLimit, min(b.Revoke-staleMargin, staleMost))
@@ -54,7 +54,7 @@
 // Core gives the core's options.
 func (b Bounds) Core() CoreOptions {
 	return CoreOptions{
-		ClaimAge: time.Hour, IsSelfAdmitting: true, Lease: b.Lease, LinkWait: 200 * time.Millisecond,
+		ClaimAge: time.Hour, SelfAdmitting: true, Lease: b.Lease, LinkWait: 200 * time.Millisecond,
 		Tolerance: b.Tolerance, LeaveLimit: min(leaveLimit, b.Grace/2),
 	}
 }
--- a/daemon/bounds_test.go
+++ b/daemon/bounds_test.go
@@ -11,21 +11,21 @@
 // takes; else for long; old versions end before their bound, and daemons before theirs.
 func TestOptionsFollowFromBounds(t *testing.T) {
 	is := is.New(t)
-	b := Bounds{IsClosed: true, Revoke: 5 * time.Second, Version: 15 * time.Second, Lease: 3 * time.Second, Grace: 8 * time.Second, MemoryMB: 284, Tolerance: Tolerance{Machines: 2}}
+	b := Bounds{Closed: true, Revoke: 5 * time.Second, Version: 15 * time.Second, Lease: 3 * time.Second, Grace: 8 * time.Second, MemoryMB: 284, Tolerance: Tolerance{Machines: 2}}
 	a, p, c := b.Agent(), b.Proxy(), b.Core()
 	is.Equal(a.Fresh, 4*time.Second)
 	is.Equal(a.Undecided, 4*time.Second)
 	is.Equal(p.OldWeights, 14*time.Second)
 	is.Equal(c.Lease, 3*time.Second)
-	is.True(c.IsSelfAdmitting)
+	is.True(c.SelfAdmitting)
 	is.Equal(c.Tolerance.Machines, 2)
 	is.True(c.LeaveLimit > 0 && c.LeaveLimit < b.Grace)
 	is.Equal(p.Index, 28400)
 	is.Equal(p.Room, int64(71<<20))
 	is.True(p.Linger < p.Grace && p.Grace < b.Grace && p.Grace < a.Grace && a.Grace < b.Grace) // the agent ends after its proxy
-	b.IsClosed = false
+	b.Closed = false
 	is.Equal(b.Agent().Fresh, 10*time.Second)
-	b.IsClosed, b.Revoke = true, time.Minute
+	b.Closed, b.Revoke = true, time.Minute
 	is.Equal(b.Agent().Fresh, 10*time.Second)
 	b.Revoke = time.Second
 	is.Equal(b.Agent().Fresh, freshLimit) // no less than links need
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -36,8 +36,8 @@
 // change them; http.Server's own are fixed for its life, so each connection has a timer of its own in their place.
 func newCallerServer(handler http.Handler, times func() callerTimes) *http.Server {
 	return &http.Server{Handler: handler, MaxHeaderBytes: maxHeaderBytes, ConnState: func(conn net.Conn, state http.ConnState) {
-		caller, isOurs := conn.(*callerConn)
-		if !isOurs {
+		caller, own := conn.(*callerConn)
+		if !own {
 			return
 		}
 		switch state {
--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -24,8 +24,8 @@
 func newPipeListener() *pipeListener { return &pipeListener{accepted: make(chan net.Conn)} }
 
 func (l *pipeListener) Accept() (net.Conn, error) {
-	conn, isOpen := <-l.accepted
-	if !isOpen {
+	conn, open := <-l.accepted
+	if !open {
 		return nil, net.ErrClosed
 	}
 	return conn, nil
--- a/daemon/carry.go
+++ b/daemon/carry.go
@@ -57,7 +57,7 @@
 	failed := forEachKey(left, func(key string) error {
 		short, stop := context.WithTimeout(ctx, 2*majorityWait)
 		defer stop()
-		_, err := link.Call[SettleAnswer](short, c.wire, c.host.Address, "/op/settle", SettleOrder{Key: key, IsCarry: true})
+		_, err := link.Call[SettleAnswer](short, c.wire, c.host.Address, "/op/settle", SettleOrder{Key: key, Carry: true})
 		if err != nil {
 			c.host.Log.Warn().Str("event", "carry_failed").Str("key", key).Err(err).Msg("")
 			return err
--- a/daemon/catchup.go
+++ b/daemon/catchup.go
@@ -52,7 +52,7 @@
 		return nil
 	}
 	if err := c.acceptor.Adopt(key, held.Revision, held.Fields); err != nil {
-		if _, isSaid := c.saidFailed.LoadOrStore(key, true); !isSaid { // a full disk fails each beat
+		if _, said := c.saidFailed.LoadOrStore(key, true); !said { // a full disk fails each beat
 			c.host.Log.Error().Str("event", "catch_up_failed").Str("key", key).Err(err).Msg("")
 		}
 		return err
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -58,38 +58,38 @@
 
 // apply gives the change that a claim makes. A request's claim only goes from running to one of the other states, and each message may come
 // twice, late, and behind the next one.
-func (o ClaimOrder) apply(now register.Fields, isRunning func(proxy string) bool) (register.Fields, error) {
+func (o ClaimOrder) apply(now register.Fields, running func(proxy string) bool) (register.Fields, error) {
 	field := claimField(o)
 	var before claimRecord
-	isThere := now[field] != nil && json.Unmarshal(now[field], &before) == nil
-	isOurs := isThere && before.Nonce == o.Nonce
-	isFree := !isThere || before.State == claimFree
-	isFreed := isOurs && isFree || slices.Contains(before.Freed, o.Nonce)
+	ok := now[field] != nil && json.Unmarshal(now[field], &before) == nil
+	own := ok && before.Nonce == o.Nonce
+	free := !ok || before.State == claimFree
+	freed := own && free || slices.Contains(before.Freed, o.Nonce)
 	record := claimRecord{Nonce: o.Nonce, State: o.State, Proxy: o.Proxy, Freed: before.Freed}
 	switch {
-	case isFreed && o.State == claimRunning:
+	case freed && o.State == claimRunning:
 		return nil, fail.New(fail.NoClaim, "this request has given the key back")
-	case isOurs && before.State != claimRunning, isOurs && o.State == claimRunning:
-		return nil, before.stands(o, isRunning)
-	case isFree && isThere: // another request gave it back
+	case own && before.State != claimRunning, own && o.State == claimRunning:
+		return nil, before.stands(o, running)
+	case free && ok: // another request gave it back
 		record.Freed = append(slices.Clone(before.Freed), before.Nonce)
 		record.Freed = record.Freed[max(0, len(record.Freed)-freedMost):]
 		return config.Field(field, record), nil
-	case isFree, isOurs:
+	case free, own:
 		return config.Field(field, record), nil
 	}
-	return nil, before.stands(o, isRunning)
+	return nil, before.stands(o, running)
 }
 
 // stands answers a message that changes nothing.
-func (r claimRecord) stands(o ClaimOrder, isRunning func(proxy string) bool) error {
-	isOurs := r.Nonce == o.Nonce
+func (r claimRecord) stands(o ClaimOrder, running func(proxy string) bool) error {
+	own := r.Nonce == o.Nonce
 	switch {
-	case o.State != claimRunning, isOurs && r.State == claimRunning:
+	case o.State != claimRunning, own && r.State == claimRunning:
 		return nil
 	case r.State == claimRan:
 		return fail.New(fail.KeyRan, "an earlier request with this key ran")
-	case r.State == claimRunning && isRunning(r.Proxy):
+	case r.State == claimRunning && running(r.Proxy):
 		return fail.New(fail.InProgress, "another request with this key is in progress")
 	}
 	return fail.New(fail.KeyUnknown, "an earlier request with this key has an unknown outcome")
@@ -119,8 +119,8 @@
 			var claim claimRecord
 			_ = json.Unmarshal(raw, &claim) // a broken one is dropped by its age like the others
 			request := field + "/" + claim.Nonce
-			since, isKnown := c.claims[request]
-			if !isKnown {
+			since, ok := c.claims[request]
+			if !ok {
 				since = time.Now()
 			}
 			known[request] = since
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -89,15 +89,15 @@
 // CoreOptions of a core.
 type CoreOptions struct {
 	ClaimAge time.Duration // how long callers' keys are remembered, at the least
-	// IsSelfAdmitting lets the core's members admit joiners and retire the lost by themselves (§2.8).
-	IsSelfAdmitting bool
-	Backend         Backend                     // the platform and its replicas, where they do not speak our own interface
-	Lease           time.Duration               // between the last order of one holder of a duty and the first of the next
-	Endpoints       func(*Core, *http.ServeMux) // more of them, in a manner of speaking that is not ours
-	LinkWait        time.Duration               // how long the ask of another core is held; 0: 100 ms
-	Tolerance       Tolerance                   // what may be lost at once
-	LeaveLimit      time.Duration               // how long a core that is told to stop may take to leave the members
-	Hold            *config.Hold                // the waiting rule of a fleet that is declared by numbers and does not set it
+	// SelfAdmitting lets the core's members admit joiners and retire the lost by themselves (§2.8).
+	SelfAdmitting bool
+	Backend       Backend                     // the platform and its replicas, where they do not speak our own interface
+	Lease         time.Duration               // between the last order of one holder of a duty and the first of the next
+	Endpoints     func(*Core, *http.ServeMux) // more of them, in a manner of speaking that is not ours
+	LinkWait      time.Duration               // how long the ask of another core is held; 0: 100 ms
+	Tolerance     Tolerance                   // what may be lost at once
+	LeaveLimit    time.Duration               // how long a core that is told to stop may take to leave the members
+	Hold          *config.Hold                // the waiting rule of a fleet that is declared by numbers and does not set it
 }
 
 // NewCore opens the disk and loads what it has.
@@ -155,7 +155,7 @@
 	}
 	c.incarnation = string(raw)
 	_, err = c.disk.Get(selfFolder, founderFile)
-	c.mayFound = err == nil || !c.host.IsFounded
+	c.mayFound = err == nil || !c.host.Founded
 	if err != nil && !fail.Is(err, fail.NotFound) && !fail.Is(err, fail.Torn) {
 		return fail.Wrap(err, fail.DiskFailed, "founder")
 	}
@@ -164,7 +164,7 @@
 
 // newIncarnation names a disk that is empty. The mark of the fleet's first start comes first: a disk with an incarnation and no mark is later.
 func (c *Core) newIncarnation() ([]byte, error) {
-	if !c.host.IsFounded {
+	if !c.host.Founded {
 		if err := c.disk.Put(selfFolder, founderFile, nil); err != nil {
 			return nil, err
 		}
@@ -174,10 +174,10 @@
 }
 
 // acceptorNews passes what the disk has accepted on to the links. It is called under the key's lock.
-func (c *Core) acceptorNews(key string, at register.Record, change register.Fields, isFull bool) {
-	c.cores.Put(key, at.Revision, at.Settled, change, isFull)
+func (c *Core) acceptorNews(key string, at register.Record, change register.Fields, full bool) {
+	c.cores.Put(key, at.Revision, at.Settled, change, full)
 	if isForAgents(key) {
-		c.data.Put(key, at.Revision, at.Settled, withoutTexts(change), isFull)
+		c.data.Put(key, at.Revision, at.Settled, withoutTexts(change), full)
 	}
 	if key == config.MembersKey && c.acceptor != nil {
 		go func() {
@@ -200,7 +200,7 @@
 	}
 	fields := register.Fields{}
 	for name, m := range models {
-		if _, isTold := c.toldNamed.LoadOrStore(router.NamedField(name, m.Version), true); !isTold {
+		if _, told := c.toldNamed.LoadOrStore(router.NamedField(name, m.Version), true); !told {
 			fields[router.NamedField(name, m.Version)] = json.RawMessage("0")
 		}
 	}
@@ -295,7 +295,7 @@
 }
 
 // op serves a change at /op/NAME, where any core takes it to the key's owner, and at /own/NAME, where this core does it itself.
-func op[Q, A any](mux *http.ServeMux, c *Core, name string, keyOf func(Q) string, do func(context.Context, Q) (A, error), isIdempotent bool) func(context.Context, Q) (A, error) {
+func op[Q, A any](mux *http.ServeMux, c *Core, name string, keyOf func(Q) string, do func(context.Context, Q) (A, error), idempotent bool) func(context.Context, Q) (A, error) {
 	anywhere := func(ctx context.Context, q Q) (A, error) {
 		var none A
 		if now := c.membership(); now.self == nil && len(now.members) == 0 {
@@ -311,13 +311,13 @@
 		defer stop()
 		answer, err := link.Call[A](short, c.wire, c.addressOf(owner), "/own/"+name, q)
 		var dial *net.OpError
-		isUnasked := errors.As(err, &dial) && dial.Op == "dial"
+		unasked := errors.As(err, &dial) && dial.Op == "dial"
 		switch {
 		case err == nil || !fail.Is(err, fail.Unreachable):
 			return answer, err
-		case isUnasked:
+		case unasked:
 			return do(ctx, q)
-		case isIdempotent:
+		case idempotent:
 			again, failure := do(ctx, q)
 			if failure != nil && fail.Of(failure).Code.Ran == fail.NotRun {
 				failure = fail.New(fail.Undecided, "the owner %s did not answer: %v; then here: %v", owner, err, failure) // it may have taken it
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -42,7 +42,7 @@
 				News: func(f *link.Follower, answer link.Answer) {
 					takeHolds(c.table)(f, answer)
 					c.takeShared(answer)
-					if answer.IsSnapshot {
+					if answer.Snapshot {
 						c.nudge() // there is much to catch up on
 					}
 				},
@@ -68,17 +68,17 @@
 		c.isDamaged.Store(c.acceptor.IsDamaged())
 	}
 	hasSnapshot := failed == 0 && fresh > len(now.members)/2
-	isNews := c.hasSnapshot.Swap(hasSnapshot) != hasSnapshot
+	news := c.hasSnapshot.Swap(hasSnapshot) != hasSnapshot
 	c.watchSilence(now.members)
 	if now.self == nil {
-		if hasSnapshot && isNews && !c.isLeaving.Load() {
+		if hasSnapshot && news && !c.isLeaving.Load() {
 			go c.callOnMembers(ctx, now)
 		}
 		return // a joiner follows, and has no other part
 	}
 	c.settleLate(ctx)
 	c.carry(ctx)
-	if c.options.IsSelfAdmitting {
+	if c.options.SelfAdmitting {
 		c.tendMembers(ctx)
 	}
 	c.listProxies()
@@ -88,17 +88,17 @@
 // settleLate asks the owner to settle keys that stay undecided here (§2.3).
 func (c *Core) settleLate(ctx context.Context) {
 	for _, key := range c.acceptor.Keys() {
-		isLate := false
+		late := false
 		c.mu.Lock()
 		if !c.acceptor.Unsettled(key) {
 			delete(c.unsettled, key)
-		} else if since, isKnown := c.unsettled[key]; !isKnown {
+		} else if since, ok := c.unsettled[key]; !ok {
 			c.unsettled[key] = time.Now()
 		} else {
-			isLate = time.Since(since) >= beatTime
+			late = time.Since(since) >= beatTime
 		}
 		c.mu.Unlock()
-		if isLate {
+		if late {
 			owner := register.Pick(key, c.live())
 			go func() {
 				short, stop := context.WithTimeout(ctx, majorityWait)
@@ -114,7 +114,7 @@
 	fields := register.Fields{}
 	for _, s := range c.data.FollowerStates(proxyTime) {
 		var status AgentStatus
-		if s.Role == "agent" && json.Unmarshal(s.Status, &status) == nil && status.Proxy != nil && !status.Proxy.IsStop {
+		if s.Role == "agent" && json.Unmarshal(s.Status, &status) == nil && status.Proxy != nil && !status.Proxy.Stop {
 			fields[status.Proxy.Proxy] = json.RawMessage(`true`)
 		}
 	}
@@ -129,9 +129,9 @@
 
 // AgentStatus is what an agent tells the cores of itself and its proxy.
 type AgentStatus struct {
-	Address   string         `json:"address"`
-	Zone      string         `json:"zone"`
-	IsCurrent bool           `json:"current"`
-	Why       string         `json:"why,omitempty"`
-	Proxy     *router.Status `json:"proxy,omitempty"`
+	Address string         `json:"address"`
+	Zone    string         `json:"zone"`
+	Current bool           `json:"current"`
+	Why     string         `json:"why,omitempty"`
+	Proxy   *router.Status `json:"proxy,omitempty"`
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -21,12 +21,12 @@
 	Address string
 	Seeds   []string
 	// Founders are the addresses of the cores that found the fleet; nil: this core's own and its seeds.
-	Founders  []string
-	IsFounded bool          // the fleet was founded before: an empty disk here never founds it again (§2.6)
-	RingStep  time.Duration // between two beats of the ring; 0: 500 ms
-	Net       link.Net
-	Log       zerolog.Logger
-	Clock     func() time.Time // the wall clock, which decides nothing (§1.3); nil: the machine's
+	Founders []string
+	Founded  bool          // the fleet was founded before: an empty disk here never founds it again (§2.6)
+	RingStep time.Duration // between two beats of the ring; 0: 500 ms
+	Net      link.Net
+	Log      zerolog.Logger
+	Clock    func() time.Time // the wall clock, which decides nothing (§1.3); nil: the machine's
 }
 
 // serve answers on a listener until the context ends; then it lets running answers finish for the grace.
--- a/daemon/declare.go
+++ b/daemon/declare.go
@@ -50,8 +50,8 @@
 	defer stop()
 	for {
 		record := c.acceptor.Read(key)
-		isLater := revision.Less(record.Revision) && record.IsSettled() // one that is not may be lost yet
-		if record.Revision == revision || isLater {
+		later := revision.Less(record.Revision) && record.IsSettled() // one that is not may be lost yet
+		if record.Revision == revision || later {
 			return record, nil
 		}
 		if err := link.Pause(short, beatTime/10); err != nil {
@@ -95,8 +95,8 @@
 		return
 	}
 	members, _, _ := readMembers(record.Fields)
-	order, isWanted := c.nextMember(members)
-	if !isWanted || !c.tending.TryLock() {
+	order, wanted := c.nextMember(members)
+	if !wanted || !c.tending.TryLock() {
 		return
 	}
 	go func() {
@@ -117,15 +117,15 @@
 		if time.Since(s.at) > joinerTime/3 {
 			continue
 		}
-		isMember, isClash := false, ""
+		member, isClash := false, ""
 		for _, m := range members {
-			isMember = isMember || m.Incarnation == s.Incarnation
+			member = member || m.Incarnation == s.Incarnation
 			if m.Name == s.Name || m.Address == s.Address {
 				isClash = m.Name
 			}
 		}
 		switch {
-		case isMember:
+		case member:
 		case isClash != "":
 			return MembersOrder{Do: doRetire, Name: isClash, Lost: s.Incarnation}, true
 		case s.HasSnapshot:
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -86,7 +86,7 @@
 
 // step looks at each pool, and tells some replicas to load.
 func (r *rollout) step(ctx context.Context) {
-	if _, isOurs := r.candidate.Holds(); !isOurs {
+	if _, own := r.candidate.Holds(); !own {
 		return
 	}
 	record := r.core.acceptor.Read(config.Key)
@@ -143,8 +143,8 @@
 		room = len(behind)
 	}
 	for _, replica := range behind[:max(0, min(room, len(behind)))] {
-		number, isOurs := r.candidate.Holds()
-		if !isOurs {
+		number, own := r.candidate.Holds()
+		if !own {
 			return
 		}
 		asked.Go(func() {
@@ -157,10 +157,10 @@
 }
 
 // meets notes whether replicas of a pool are behind these weights, and gives since when they are.
-func (r *rollout) meets(pool, weights string, isBehind bool) time.Duration {
+func (r *rollout) meets(pool, weights string, behind bool) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := r.late[pool]; !isBehind || now.weights != weights {
+	if now := r.late[pool]; !behind || now.weights != weights {
 		r.late[pool] = lateness{weights, time.Now()}
 	}
 	return time.Since(r.late[pool].since)
--- a/daemon/found.go
+++ b/daemon/found.go
@@ -57,15 +57,15 @@
 
 // found makes the first list of members, once all four founders tell the same (§2.6).
 func (c *Core) found(ctx context.Context) {
-	isTold := false
+	told := false
 	every(ctx, helloTime, func() {
 		if now := c.membership(); len(now.members) > 0 {
 			if now.self == nil && !c.isLeaving.Load() {
-				if !isTold {
+				if !told {
 					c.host.Log.Warn().Str("event", "not_a_member").Str("incarnation", c.incarnation).
 						Str("hint", "shell: admit core "+c.host.Name).Msg("")
 				}
-				isTold = true
+				told = true
 				c.callOnMembers(ctx, now)
 			}
 			return
@@ -74,7 +74,7 @@
 		if founders == nil {
 			founders = append([]string{c.host.Address}, c.host.Seeds...)
 		}
-		isFounder := c.mayFound && slices.Contains(founders, c.host.Address)
+		founder := c.mayFound && slices.Contains(founders, c.host.Address)
 		met := map[string]string{c.host.Address: c.incarnation}
 		hellos := []Hello{{Name: c.host.Name, Address: c.host.Address, Zone: c.host.Zone, Incarnation: c.incarnation}}
 		for h := range c.askAround(ctx, founders) {
@@ -90,7 +90,7 @@
 		c.mu.Lock()
 		c.met = met
 		c.mu.Unlock()
-		if !isFounder || len(met) != len(founders) {
+		if !founder || len(met) != len(founders) {
 			return
 		}
 		for _, h := range hellos[1:] {
@@ -114,13 +114,13 @@
 // adoptMembers keeps the founders' list if this core is on it; else it only notes where the members are.
 func (c *Core) adoptMembers(members []config.Member) {
 	fields := register.Fields{}
-	isListed := false
+	listed := false
 	for _, m := range members {
 		raw, _ := json.Marshal(m) // a plain struct always encodes
 		fields[m.Name] = raw
-		isListed = isListed || m.Incarnation == c.incarnation
+		listed = listed || m.Incarnation == c.incarnation
 	}
-	if !isListed {
+	if !listed {
 		c.followMembers(members)
 		return
 	}
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -81,7 +81,7 @@
 // readSource follows one source until the context ends.
 func (c *Core) readSource(ctx context.Context, key, address string) {
 	var place KeptPlace
-	isUp, failures := false, 0
+	up, failures := false, 0
 	defer c.kept.drop(key)
 	for ctx.Err() == nil {
 		short, stop := context.WithTimeout(ctx, 2*keptWait)
@@ -91,44 +91,44 @@
 			return
 		}
 		if err != nil {
-			if failures++; failures == keptGone && isUp {
+			if failures++; failures == keptGone && up {
 				c.host.Log.Warn().Str("event", "source_gone").Str("source", key).Err(err).Msg("")
 				c.tellKept(key, c.kept.drop(key), true)
-				isUp, place = false, KeptPlace{}
+				up, place = false, KeptPlace{}
 			}
 			_ = link.Pause(ctx, keptPause) // the loop looks at the context
 			continue
 		}
-		if !isUp {
+		if !up {
 			c.host.Log.Info().Str("event", "source_read").Str("source", key).Msg("")
 		}
-		isFull := news.IsSnapshot || !isUp
-		place, failures, isUp = news.Place, 0, true
-		fields := c.kept.take(key, news.Kept, isFull)
-		if isFull {
+		full := news.Snapshot || !up
+		place, failures, up = news.Place, 0, true
+		fields := c.kept.take(key, news.Kept, full)
+		if full {
 			fields[router.KeptUp] = json.RawMessage("1")
 		}
 		if len(fields) > 0 {
-			c.tellKept(key, fields, isFull)
+			c.tellKept(key, fields, full)
 		}
 		_ = link.Pause(ctx, keptPause)
 	}
 }
 
 // tellKept tells the agents, and of stores the other cores, what a source keeps now.
-func (c *Core) tellKept(key string, fields register.Fields, isFull bool) {
-	c.data.PutSoon(key, fields, isFull)
+func (c *Core) tellKept(key string, fields register.Fields, full bool) {
+	c.data.PutSoon(key, fields, full)
 	if isStore(key) {
-		c.cores.PutSoon(key, fields, isFull)
-		c.learnShared(key, fields, isFull)
+		c.cores.PutSoon(key, fields, full)
+		c.learnShared(key, fields, full)
 	}
 }
 
 func isStore(key string) bool { return strings.HasPrefix(key, router.KeptPrefix+router.StoreName("")) }
 
 // learnShared takes what a store keeps: it was left there since others may share it. What this core has held back of it is told now.
-func (c *Core) learnShared(key string, fields register.Fields, isFull bool) {
-	for source, more := range c.kept.share(key, fields, isFull) {
+func (c *Core) learnShared(key string, fields register.Fields, full bool) {
+	for source, more := range c.kept.share(key, fields, full) {
 		c.data.PutSoon(source, more, false)
 	}
 }
@@ -137,7 +137,7 @@
 func (c *Core) takeShared(answer link.Answer) {
 	for _, e := range answer.Entries {
 		if isStore(e.Key) && len(e.Fields) > 0 {
-			c.learnShared(e.Key, e.Fields, answer.IsSnapshot)
+			c.learnShared(e.Key, e.Fields, answer.Snapshot)
 		}
 	}
 }
@@ -159,11 +159,11 @@
 const sharedMost = 200000 // keys of shared parts that are remembered; beyond it they are learned anew
 
 // take notes a source's news and gives those that are to be told.
-func (k *keptNews) take(source string, news map[string]int, isFull bool) register.Fields {
+func (k *keptNews) take(source string, news map[string]int, full bool) register.Fields {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.sources[source]
-	if s == nil || isFull {
+	if s == nil || full {
 		s = &keptSource{map[string]int{}, map[string]bool{}}
 		if k.sources == nil {
 			k.sources = map[string]*keptSource{}
@@ -177,16 +177,16 @@
 		} else {
 			delete(s.kept, block)
 		}
-		k.tell(s, block, isFull || isStore(source), fields)
+		k.tell(s, block, full || isStore(source), fields)
 	}
 	return fields
 }
 
 // tell adds a block to the fields if it is to be told; k.mu is held.
-func (k *keptNews) tell(s *keptSource, block string, isAll bool, fields register.Fields) {
+func (k *keptNews) tell(s *keptSource, block string, all bool, fields register.Fields) {
 	kept, isKept := s.kept[block]
 	switch {
-	case isKept && (isAll || len(k.stores) == 0 || k.shared[block]):
+	case isKept && (all || len(k.stores) == 0 || k.shared[block]):
 		s.told[block] = true
 		fields[block] = json.RawMessage(strconv.Itoa(kept))
 	case !isKept && s.told[block]:
@@ -196,13 +196,13 @@
 }
 
 // share notes what a store keeps, and gives by source what had been held back of it.
-func (k *keptNews) share(store string, fields register.Fields, isFull bool) map[string]register.Fields {
+func (k *keptNews) share(store string, fields register.Fields, full bool) map[string]register.Fields {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.stores == nil {
 		k.stores, k.shared = map[string]bool{}, map[string]bool{}
 	}
-	if isFull {
+	if full {
 		delete(k.stores, store)
 	}
 	if len(k.shared) > sharedMost {
@@ -210,13 +210,13 @@
 	}
 	all := map[string]register.Fields{}
 	for block, raw := range fields {
-		isGone := register.IsGone(raw)
+		gone := register.IsGone(raw)
 		switch {
-		case block == router.KeptUp && isGone:
+		case block == router.KeptUp && gone:
 			delete(k.stores, store)
 		case block == router.KeptUp:
 			k.stores[store] = true
-		case !isGone && !k.shared[block]:
+		case !gone && !k.shared[block]:
 			k.shared[block] = true
 			for name, s := range k.sources {
 				if !isStore(name) && s.kept[block] > 0 && !s.told[block] {
@@ -246,17 +246,17 @@
 			continue
 		}
 		cores := a.liveCores(e.Key, f)
-		isPicked := len(cores) > 0 && cores[0].Address == f.Options.Address
+		picked := len(cores) > 0 && cores[0].Address == f.Options.Address
 		a.mu.Lock()
-		if _, isKnown := a.readers[e.Key]; isPicked || !isKnown {
+		if _, ok := a.readers[e.Key]; picked || !ok {
 			a.readers[e.Key] = ""
-			if isPicked {
+			if picked {
 				a.readers[e.Key] = f.Options.Address
 			}
 		}
 		a.mu.Unlock()
-		if isPicked && len(e.Fields) > 0 {
-			a.source.PutSoon(e.Key, e.Fields, answer.IsSnapshot)
+		if picked && len(e.Fields) > 0 {
+			a.source.PutSoon(e.Key, e.Fields, answer.Snapshot)
 		}
 	}
 }
--- a/daemon/kept_test.go
+++ b/daemon/kept_test.go
@@ -21,7 +21,7 @@
 		a.links[name] = link.NewFollower(link.FollowerOptions{Address: name}) // its asks were never answered, or long ago
 	}
 	key := router.KeptPrefix + "replica-1"
-	answer := link.Answer{IsSnapshot: true, Entries: []link.Entry{{Key: key, Fields: register.Fields{"block": []byte("7")}}}}
+	answer := link.Answer{Snapshot: true, Entries: []link.Entry{{Key: key, Fields: register.Fields{"block": []byte("7")}}}}
 	a.takeKept(a.links["core-3"], answer)
 	got, err := a.source.Pull(t.Context(), link.Ask{Name: "proxy"})
 	is.NoErr(err)
--- a/daemon/leave.go
+++ b/daemon/leave.go
@@ -36,7 +36,7 @@
 // Leave takes this core off the list of members and waits until every key is on a majority of those that are left. It fails if the rest
 // bears losses less well without this core than with a member that is silent for a while; the core is then a member still.
 func (c *Core) Leave(ctx context.Context) error {
-	if !c.options.IsSelfAdmitting {
+	if !c.options.SelfAdmitting {
 		return fail.New(fail.OutOfRange, "operators change the members here")
 	}
 	c.isLeaving.Store(true) // it does not ask to be admitted again
@@ -55,11 +55,11 @@
 func (c *Core) leaveStep(ctx context.Context) (hasLeft bool, err error) {
 	record := c.acceptor.Read(config.MembersKey)
 	members, prior, _ := readMembers(record.Fields)
-	isListed := slices.ContainsFunc(members, func(m config.Member) bool { return m.Incarnation == c.incarnation })
+	listed := slices.ContainsFunc(members, func(m config.Member) bool { return m.Incarnation == c.incarnation })
 	switch {
 	case !record.IsSettled() || prior != nil:
 		return false, nil // a change, our own perhaps, is under way
-	case !isListed:
+	case !listed:
 		return true, nil
 	case !c.doesWellWithout(members, c.host.Name):
 		return false, fail.New(fail.OutOfRange, "%d members would be left", len(members)-1)
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -278,10 +278,10 @@
 // admissible makes a member of a joiner that calls on us and has caught up.
 func (c *Core) admissible(name string, members []config.Member, highest uint32) (config.Member, error) {
 	c.mu.Lock()
-	s, isThere := c.joiners[name]
+	s, ok := c.joiners[name]
 	c.mu.Unlock()
 	switch {
-	case !isThere || time.Since(s.at) > joinerTime:
+	case !ok || time.Since(s.at) > joinerTime:
 		return config.Member{}, fail.New(fail.NotFound, "no core %q calls on us to be admitted", name)
 	case !s.HasSnapshot:
 		return config.Member{}, fail.New(fail.Behind, "%s has no full snapshot of the keys yet", name)
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -42,8 +42,8 @@
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 }
 
-func truth(isSo bool) float64 {
-	if isSo {
+func truth(so bool) float64 {
+	if so {
 		return 1
 	}
 	return 0
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -12,10 +12,10 @@
 
 // ConfigOrder is a whole or partial configuration from an operator.
 type ConfigOrder struct {
-	Text      json.RawMessage `json:"text"`
-	IsPartial bool            `json:"partial"`
-	Expect    *uint64         `json:"expect,omitempty"` // the version that the operator saw
-	Named     string          `json:"named,omitempty"`  // "new": what is named must not exist yet; "known": it must
+	Text    json.RawMessage `json:"text"`
+	Partial bool            `json:"partial"`
+	Expect  *uint64         `json:"expect,omitempty"` // the version that the operator saw
+	Named   string          `json:"named,omitempty"`  // "new": what is named must not exist yet; "known": it must
 }
 
 // Accepted is the answer to a change that a majority has.
@@ -32,7 +32,7 @@
 		if err != nil {
 			return nil, err
 		}
-		made, err := config.Parse(o.Text, base, o.IsPartial)
+		made, err := config.Parse(o.Text, base, o.Partial)
 		if err != nil {
 			return nil, err
 		}
@@ -42,14 +42,14 @@
 		made.Inherit(base, version+1)
 		fields := made.Fields()
 		change := config.Delta(now, fields)
-		switch isNew := len(fields) > len(now); {
-		case o.Named == "new" && !isNew && len(now) > 0:
+		switch created := len(fields) > len(now); {
+		case o.Named == "new" && !created && len(now) > 0:
 			return nil, fail.New(fail.Exists, "a thing of this name is there already")
 		case len(change) == 0:
 			return nil, nil // it stands: the order came again, or another one asked for the same
 		case o.Expect != nil && *o.Expect != version:
 			return nil, fail.New(fail.Conflict, "expected version %d, present is %d", *o.Expect, version)
-		case o.Named == "known" && isNew:
+		case o.Named == "known" && created:
 			return nil, fail.New(fail.NotFound, "nothing has this name")
 		}
 		return change, nil
@@ -68,9 +68,9 @@
 
 // KeyOrder adds or revokes an access key; only its hash travels.
 type KeyOrder struct {
-	Tenant    string `json:"tenant"`
-	Hash      string `json:"hash"`
-	IsRevoked bool   `json:"revoked"`
+	Tenant  string `json:"tenant"`
+	Hash    string `json:"hash"`
+	Revoked bool   `json:"revoked"`
 }
 
 func (c *Core) orderKey(ctx context.Context, o KeyOrder) (Accepted, error) {
@@ -78,20 +78,20 @@
 		return Accepted{}, fail.New(fail.Missing, "a key order needs a tenant and a key's hash of 32 hex digits")
 	}
 	born, err := c.bornOf(ctx, o.Tenant)
-	if err != nil && !o.IsRevoked {
+	if err != nil && !o.Revoked {
 		return Accepted{}, err
 	}
 	key := config.KeysPrefix + o.Tenant
 	revision, err := c.owner.Change(ctx, key, func(now register.Fields, _ uint64) (register.Fields, error) {
 		var before config.Access
-		isThere := now[o.Hash] != nil && json.Unmarshal(now[o.Hash], &before) == nil
+		ok := now[o.Hash] != nil && json.Unmarshal(now[o.Hash], &before) == nil
 		switch {
-		case o.IsRevoked && !isThere:
+		case o.Revoked && !ok:
 			return nil, fail.New(fail.NotFound, "tenant %s has no such key", o.Tenant)
-		case o.IsRevoked:
-			before.IsRevoked = true
+		case o.Revoked:
+			before.Revoked = true
 			return config.Field(o.Hash, before), nil
-		case before.IsRevoked:
+		case before.Revoked:
 			return nil, fail.New(fail.Conflict, "the key was revoked: it does not come back")
 		}
 		return config.Field(o.Hash, config.Access{Born: born}), nil
@@ -106,8 +106,8 @@
 	if err != nil {
 		return 0, err
 	}
-	t, isThere := plan.Tenants[tenant]
-	if !isThere {
+	t, ok := plan.Tenants[tenant]
+	if !ok {
 		return 0, fail.New(fail.NotFound, "no tenant %q", tenant)
 	}
 	return t.Born, nil
@@ -152,7 +152,7 @@
 	return struct{}{}, err
 }
 
-func (c *Core) mergeHold(n hold.Notice) (isNew bool, err error) {
+func (c *Core) mergeHold(n hold.Notice) (created bool, err error) {
 	if n.Scope == "" || n.ID == "" {
 		return false, fail.New(fail.Missing, "a hold needs a scope and a mark")
 	}
@@ -161,7 +161,7 @@
 
 // orderHold merges a proxy's throttle, tells all agents by doing so, and keeps it on a majority (§4.2).
 func (c *Core) orderHold(ctx context.Context, n hold.Notice) (struct{}, error) {
-	if isNew, err := c.mergeHold(n); err != nil || !isNew || n.IsObserved {
+	if created, err := c.mergeHold(n); err != nil || !created || n.Observed {
 		return struct{}{}, err
 	}
 	c.host.Log.Info().Str("event", "hold").Str("scope", n.Scope).Str("mark", n.ID).Int64("remaining_ms", n.RemainingMs).Str("reason", n.Reason).Msg("")
@@ -180,8 +180,8 @@
 
 // SettleOrder asks the owner to settle a key.
 type SettleOrder struct {
-	Key     string `json:"key"`
-	IsCarry bool   `json:"carry,omitempty"` // have the membership accept the key anew even if it is settled
+	Key   string `json:"key"`
+	Carry bool   `json:"carry,omitempty"` // have the membership accept the key anew even if it is settled
 	// Has is what the asker has accepted. Above what is settled, it came to no majority; the asker takes what did only under a later epoch.
 	Has register.Revision `json:"has"`
 }
@@ -192,7 +192,7 @@
 }
 
 func (c *Core) orderSettle(ctx context.Context, o SettleOrder) (SettleAnswer, error) {
-	revision, err := c.owner.Settle(ctx, o.Key, o.IsCarry)
+	revision, err := c.owner.Settle(ctx, o.Key, o.Carry)
 	if err == nil && revision.Less(o.Has) {
 		revision, err = c.owner.Settle(ctx, o.Key, true)
 	}
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -43,14 +43,14 @@
 	case "holds":
 		for _, n := range c.table.All() {
 			a.Rows = append(a.Rows, router.Row{"scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason, router.AttemptColumn: n.Attempt,
-				"raw": n.Raw, "mark": n.ID, "observed": n.IsObserved, "owner": register.Pick(holdPrefix+n.Scope, c.live())})
+				"raw": n.Raw, "mark": n.ID, "observed": n.Observed, "owner": register.Pick(holdPrefix+n.Scope, c.live())})
 		}
 	case "acks":
 		version := c.acceptor.Revision(config.Key)
 		for _, s := range followers {
 			var status AgentStatus
 			_ = json.Unmarshal(s.Status, &status)
-			row := router.Row{"agent": s.Name, "behind": s.Lag, "age_ms": s.AgeMs, "current": status.IsCurrent, "why": status.Why,
+			row := router.Row{"agent": s.Name, "behind": s.Lag, "age_ms": s.AgeMs, "current": status.Current, "why": status.Why,
 				config.Key: s.Applied[config.Key].Version, "has_newest": s.Applied[config.Key] == version, "proxy": ""}
 			if status.Proxy != nil {
 				row["proxy"] = status.Proxy.Proxy
@@ -70,8 +70,8 @@
 		}
 		c.mu.Lock()
 		for _, s := range c.joiners {
-			isAdmitted := slices.ContainsFunc(c.membership().members, func(m config.Member) bool { return m.Incarnation == s.Incarnation })
-			if time.Since(s.at) < joinerTime && !isAdmitted {
+			admitted := slices.ContainsFunc(c.membership().members, func(m config.Member) bool { return m.Incarnation == s.Incarnation })
+			if time.Since(s.at) < joinerTime && !admitted {
 				a.Rows = append(a.Rows, router.Row{"name": s.Name, "address": s.Address, "zone": s.Zone, "live": true, "state": router.JoinerState, "image": s.HasSnapshot})
 			}
 		}
@@ -130,11 +130,11 @@
 func filter(rows []router.Row, where []Condition) []router.Row {
 	kept := []router.Row{}
 	for _, row := range rows {
-		isFit := true
+		fit := true
 		for _, w := range where {
-			isFit = isFit && w.fits(row)
+			fit = fit && w.fits(row)
 		}
-		if isFit {
+		if fit {
 			kept = append(kept, row)
 		}
 	}
--- a/daemon/retire.go
+++ b/daemon/retire.go
@@ -42,7 +42,7 @@
 		var t config.Retirement
 		switch o.Do {
 		case "retire":
-			if before, isThere := all[o.Old]; isThere && before.New == o.New && !before.IsPast() && before.Phase != config.Undoing {
+			if before, ok := all[o.Old]; ok && before.New == o.New && !before.IsPast() && before.Phase != config.Undoing {
 				return nil, nil // it was asked for before, perhaps without an answer
 			}
 			if err := mayRetire(plan, all, o); err != nil {
@@ -68,11 +68,11 @@
 	if o.Old == "" || o.New == "" || o.Old == o.New {
 		return fail.New(fail.Missing, "a retirement needs an old model and another one in its place")
 	}
-	if t, isCrossed := all.Crossing(o.Old, o.New); isCrossed {
+	if t, crossed := all.Crossing(o.Old, o.New); crossed {
 		return fail.New(fail.Crossed, "retirement %d of %s for %s is %s", t.Number, t.Old, t.New, t.Phase)
 	}
 	for _, model := range []string{o.Old, o.New} {
-		if t, isGone := all[model]; isGone {
+		if t, gone := all[model]; gone {
 			return fail.New(fail.Crossed, "%s was retired for %s", model, t.New)
 		}
 	}
@@ -144,7 +144,7 @@
 			return nil, fail.New(fail.Conflict, "expected version %d, present is %d", o.Expect, version)
 		}
 		change := config.Field(config.DutyField, o.Duty)
-		if _, isThere := all[o.Old]; isThere {
+		if _, ok := all[o.Old]; ok {
 			change[o.Old] = nil
 			if o.To != nil {
 				change[o.Old] = config.Field(o.Old, o.To)[o.Old]
--- a/daemon/retirer.go
+++ b/daemon/retirer.go
@@ -37,7 +37,7 @@
 		}
 	})
 	every(ctx, retireStep, func() {
-		if _, isOurs := r.candidate.Holds(); isOurs {
+		if _, own := r.candidate.Holds(); own {
 			r.step(ctx)
 		}
 	})
@@ -68,7 +68,7 @@
 				r.drop(ctx, s, t.New)
 			}
 		}
-		if next, isChanged, waits := s.step(t, isClear, r.core.wall()); isChanged {
+		if next, changed, waits := s.step(t, isClear, r.core.wall()); changed {
 			r.advance(ctx, s, AdvanceOrder{Old: old, To: next})
 			return // the next step looks at what stands then
 		} else if waits != r.told {
@@ -80,8 +80,8 @@
 
 // isClear says whether the present version has stood for so long, settled, that no proxy acts on an older one.
 func (r *retirer) isClear(version uint64) bool {
-	since, isKnown := r.since[version]
-	if !isKnown {
+	since, ok := r.since[version]
+	if !ok {
 		since = time.Now()
 		r.since = map[uint64]time.Time{version: since}
 	}
@@ -90,8 +90,8 @@
 
 // advance writes a step, under our lease and upon the version that it was worked out from.
 func (r *retirer) advance(ctx context.Context, s *survey, o AdvanceOrder) {
-	number, isOurs := r.candidate.Holds()
-	if !isOurs {
+	number, own := r.candidate.Holds()
+	if !own {
 		return
 	}
 	o.Expect, o.Duty = s.version, config.Duty{Holder: r.candidate.Holder(), Lease: number}
@@ -146,8 +146,8 @@
 
 // order sends an order under our lease, if it is still ours.
 func (r *retirer) order(ctx context.Context, replica config.Replica, o router.AdapterOrder) {
-	number, isOurs := r.candidate.Holds()
-	if !isOurs {
+	number, own := r.candidate.Holds()
+	if !own {
 		return
 	}
 	o.Lease = number
--- a/daemon/ring.go
+++ b/daemon/ring.go
@@ -46,7 +46,7 @@
 
 func ringRows(r *ring.Ring) (rows []router.Row) {
 	for _, d := range r.All() {
-		rows = append(rows, router.Row{"name": d.Name, "role": d.Role, "zone": d.Zone, "address": d.Address, "live": !d.IsDown, "life": d.Life})
+		rows = append(rows, router.Row{"name": d.Name, "role": d.Role, "zone": d.Zone, "address": d.Address, "live": !d.Down, "life": d.Life})
 	}
 	return rows
 }
--- a/daemon/silence.go
+++ b/daemon/silence.go
@@ -44,9 +44,9 @@
 	before := s.members
 	s.members = map[string]silentMember{}
 	for _, m := range members {
-		state, isKnown := before[m.Name]
+		state, ok := before[m.Name]
 		switch {
-		case isKnown && state.incarnation == m.Incarnation:
+		case ok && state.incarnation == m.Incarnation:
 			state.quiet += step
 			state.listed += step
 		case s.noted[m.Name] == m.Incarnation:
--- a/daemon/survey.go
+++ b/daemon/survey.go
@@ -64,8 +64,8 @@
 
 // lacks gives the next order that a replica needs; without one, what it waits for, or nothing if it has all.
 func (s *survey) lacks(name string) (order router.AdapterOrder, waits string) {
-	said, isHeard := s.said[name]
-	if !isHeard {
+	said, heard := s.said[name]
+	if !heard {
 		return order, "it does not answer"
 	}
 	for _, u := range s.desired[s.replicas[name].Pool] {
@@ -74,7 +74,7 @@
 		switch {
 		case !hasBase:
 			return router.AdapterOrder{Placement: config.Placement{Base: u.Base}, Do: router.LoadBase}, "its turn to load " + u.Base
-		case base.IsLoading:
+		case base.Loading:
 			return order, u.Base + " loads"
 		case has.Build != u.Build:
 			return router.AdapterOrder{Placement: u, Do: router.LoadAdapter}, "its turn to load " + u.Key()
@@ -92,7 +92,7 @@
 // isLoading says whether a replica loads something now.
 func isLoading(said router.Report) bool {
 	for _, base := range said.Bases {
-		if base.IsLoading {
+		if base.Loading {
 			return true
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 // step says how a retirement goes on; without a change, what it waits for. isClear: no proxy can send by an older route.
-func (s *survey) step(t config.Retirement, isClear bool, now time.Time) (next *config.Retirement, isChanged bool, waits string) {
+func (s *survey) step(t config.Retirement, isClear bool, now time.Time) (next *config.Retirement, changed bool, waits string) {
 	to := func(phase config.Phase, adapter string, m config.Move) (*config.Retirement, bool, string) {
 		m.Since = now
 		made := t.With(phase, adapter, m)
@@ -208,8 +208,8 @@
 func (s *survey) has(base string) string {
 	for _, pool := range slices.Sorted(maps.Keys(s.pools)) {
 		for _, name := range s.pools[pool] {
-			said, isHeard := s.said[name]
-			if _, isThere := said.Bases[base]; isThere || !isHeard {
+			said, heard := s.said[name]
+			if _, ok := said.Bases[base]; ok || !heard {
 				return fmt.Sprintf("%s to drop %s", name, base)
 			}
 		}
@@ -230,7 +230,7 @@
 // Those on which work runs would refuse, and come last.
 func (s *survey) drops(pool, base string) (names []string) {
 	for _, name := range s.pools[pool] {
-		if _, isThere := s.said[name].Bases[base]; !isThere {
+		if _, ok := s.said[name].Bases[base]; !ok {
 			continue
 		}
 		if _, waits := s.lacks(name); waits == "" {
--- a/daemon/tolerance.go
+++ b/daemon/tolerance.go
@@ -19,7 +19,7 @@
 	byZone, byRegion := map[string]int{}, map[string]int{}
 	for _, m := range members {
 		byZone[m.Zone]++
-		if region, isKnown := t.RegionOf[m.Zone]; isKnown {
+		if region, ok := t.RegionOf[m.Zone]; ok {
 			byRegion[region]++
 		}
 	}
--- a/disk/files.go
+++ b/disk/files.go
@@ -28,8 +28,8 @@
 
 // Entry is a name in a folder.
 type Entry struct {
-	Name  string
-	IsDir bool
+	Name string
+	Dir  bool
 }
 
 // systemFiles is the file system of the machine.
@@ -55,7 +55,7 @@
 	}
 	entries := make([]Entry, 0, len(found))
 	for _, entry := range found {
-		entries = append(entries, Entry{Name: entry.Name(), IsDir: entry.IsDir()})
+		entries = append(entries, Entry{Name: entry.Name(), Dir: entry.IsDir()})
 	}
 	return entries, nil
 }
--- a/disk/folder.go
+++ b/disk/folder.go
@@ -40,7 +40,7 @@
 		}
 	}
 	for _, entry := range entries {
-		d.durable[entry.Name] = entry.IsDir
+		d.durable[entry.Name] = entry.Dir
 	}
 	return d, nil
 }
@@ -75,9 +75,9 @@
 // ensure makes a folder whose name survives a loss of power. A folder that is there is not enough: the sync after it was made may have failed.
 func (d *Folder) ensure(folder string) error {
 	d.mu.Lock()
-	isDurable := d.durable[folder]
+	durable := d.durable[folder]
 	d.mu.Unlock()
-	if isDurable {
+	if durable {
 		return nil
 	}
 	if err := d.files.MkdirAll(filepath.Join(d.Root, folder)); err != nil {
@@ -122,7 +122,7 @@
 	}
 	var names []string
 	for _, entry := range entries {
-		if entry.IsDir != (folder == "") {
+		if entry.Dir != (folder == "") {
 			continue
 		}
 		if entry.Name[0] == '.' {
--- a/fail/fail.go
+++ b/fail/fail.go
@@ -195,8 +195,8 @@
 
 // FromBody makes an error of its wire form.
 func FromBody(b Body, status int) error {
-	c, isKnown := table[b.Error.Number]
-	if !isKnown {
+	c, ok := table[b.Error.Number]
+	if !ok {
 		return New(Internal, "the other side answered %d %s", status, http.StatusText(status))
 	}
 	f := New(c, "%s", b.Error.Message)
--- a/fake/adapter.go
+++ b/fake/adapter.go
@@ -18,12 +18,12 @@
 
 // lacks says why a request cannot run here; empty: it can. r.mu is held.
 func (r *Replica) lacks(on config.Placement) string {
-	base, isThere := r.bases[on.Base]
+	base, ok := r.bases[on.Base]
 	has := r.adapters[on.Key()]
 	switch {
 	case on.Adapter == "":
 		return ""
-	case !isThere || base.IsLoading:
+	case !ok || base.Loading:
 		return "base_gone"
 	case has.Build != on.Build || has.State != router.AdapterTried:
 		return "adapter_gone"
@@ -33,7 +33,7 @@
 
 // runs counts a request that begins (1) or ends (-1) on its base; r.mu is held.
 func (r *Replica) runs(on config.Placement, step int) {
-	if base, isThere := r.bases[on.Base]; isThere {
+	if base, ok := r.bases[on.Base]; ok {
 		base.Running += step
 		r.bases[on.Base] = base
 	}
@@ -43,7 +43,7 @@
 func (r *Replica) answered(on config.Placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if has, isThere := r.adapters[on.Key()]; isThere && has.Build == on.Build {
+	if has, ok := r.adapters[on.Key()]; ok && has.Build == on.Build {
 		has.Live++
 		r.adapters[on.Key()] = has
 	}
@@ -68,20 +68,20 @@
 		return
 	}
 	r.lease = o.Lease
-	base, isThere := r.bases[o.Base]
+	base, ok := r.bases[o.Base]
 	has := r.adapters[o.Key()]
 	switch o.Do {
 	case router.LoadBase:
-		if !isThere {
-			r.bases[o.Base] = router.Base{IsLoading: true}
+		if !ok {
+			r.bases[o.Base] = router.Base{Loading: true}
 			r.later(r.options.LoadMs, func() {
-				if r.bases[o.Base].IsLoading { // it may have been dropped meanwhile
+				if r.bases[o.Base].Loading { // it may have been dropped meanwhile
 					r.bases[o.Base] = router.Base{}
 				}
 			})
 		}
 	case router.LoadAdapter:
-		if !isThere || base.IsLoading {
+		if !ok || base.Loading {
 			http.Error(w, "no such base", http.StatusConflict)
 			return
 		}
@@ -108,7 +108,7 @@
 			http.Error(w, "work runs on it", http.StatusConflict)
 			return
 		}
-		if isThere {
+		if ok {
 			r.dropBase(o.Base)
 		}
 	default:
--- a/fake/caller.go
+++ b/fake/caller.go
@@ -19,37 +19,37 @@
 
 // Asked is a line of the callers' ledger.
 type Asked struct {
-	Tag          string    `json:"tag"`
-	Tenant       string    `json:"tenant"`
-	Access       string    `json:"access"`
-	Kind         string    `json:"kind"`
-	Proxy        string    `json:"proxy"`
-	IsRepeatable bool      `json:"repeatable"`
-	Key          string    `json:"key,omitempty"`
-	At           time.Time `json:"at"`
-	FirstMs      int64     `json:"first_ms"`
-	AllMs        int64     `json:"all_ms"`
-	Status       int       `json:"status"`
-	Code         int       `json:"code"` // of a rejection
-	Ran          string    `json:"ran"`  // what a rejection says
-	AgainMs      int64     `json:"again_ms,omitempty"`
-	ID           string    `json:"id"`               // the answer's
-	WaitedMs     int64     `json:"waited,omitempty"` // in the proxy before the request was sent, as the answer says
-	Sum          string    `json:"sum"`              // of all that came
-	Length       int       `json:"length"`
-	IsEnded      bool      `json:"ended"` // looks finished to the caller
-	Config       uint64    `json:"blueprint"`
-	Failure      string    `json:"failure,omitempty"`
+	Tag        string    `json:"tag"`
+	Tenant     string    `json:"tenant"`
+	Access     string    `json:"access"`
+	Kind       string    `json:"kind"`
+	Proxy      string    `json:"proxy"`
+	Repeatable bool      `json:"repeatable"`
+	Key        string    `json:"key,omitempty"`
+	At         time.Time `json:"at"`
+	FirstMs    int64     `json:"first_ms"`
+	AllMs      int64     `json:"all_ms"`
+	Status     int       `json:"status"`
+	Code       int       `json:"code"` // of a rejection
+	Ran        string    `json:"ran"`  // what a rejection says
+	AgainMs    int64     `json:"again_ms,omitempty"`
+	ID         string    `json:"id"`               // the answer's
+	WaitedMs   int64     `json:"waited,omitempty"` // in the proxy before the request was sent, as the answer says
+	Sum        string    `json:"sum"`              // of all that came
+	Length     int       `json:"length"`
+	Ended      bool      `json:"ended"` // looks finished to the caller
+	Config     uint64    `json:"blueprint"`
+	Failure    string    `json:"failure,omitempty"`
 }
 
 // Kind is one of the three sorts of streaming request, or "web".
 type Kind struct {
-	Name    string
-	Prefix  int // bytes shared by all requests of the kind and tenant group
-	Own     int // bytes of one's own
-	Pieces  int
-	Weight  int
-	IsKeyed bool
+	Name   string
+	Prefix int // bytes shared by all requests of the kind and tenant group
+	Own    int // bytes of one's own
+	Pieces int
+	Weight int
+	Keyed  bool
 }
 
 // Kinds are the brief's three, and calls of the web back end.
@@ -130,7 +130,7 @@
 				one := Asked{Tag: fmt.Sprintf("%s-%s-%d", o.Prefix, proxy, n), Tenant: o.Callers[0].Tenant, Access: o.Callers[0].Access, Kind: "light", Proxy: proxy}
 				a := ask(ctx, o, chatOf(one, Kinds[0], 0))
 				o.Ledger(a)
-				if a.Status == 200 && a.IsEnded {
+				if a.Status == 200 && a.Ended {
 					return
 				}
 				<-pause.C
@@ -173,7 +173,7 @@
 	d.Tag = fmt.Sprintf("%s-%d", o.Prefix, i)
 	d.Tenant, d.Access, d.Kind = caller.Tenant, caller.Access, kind.Name
 	d.Proxy = o.Proxies[random.IntN(len(o.Proxies))]
-	d.IsRepeatable = random.Float64() < o.Repeat
+	d.Repeatable = random.Float64() < o.Repeat
 	if random.Float64() < o.Keyed {
 		d.Key = "k-" + d.Tag
 	}
@@ -188,8 +188,8 @@
 
 // chatOf makes a chat of a kind with one of three shared openings: one opening serves many tenants.
 func chatOf(a Asked, kind Kind, opening int) drawn {
-	isStream := true
-	return drawn{a, api.Chat{Model: kind.Name, Stream: &isStream, MaxTokens: &kind.Pieces, Messages: []api.Message{
+	stream := true
+	return drawn{a, api.Chat{Model: kind.Name, Stream: &stream, MaxTokens: &kind.Pieces, Messages: []api.Message{
 		{Role: "system", Content: text(kind.Prefix, kind.Name+strconv.Itoa(opening))}, {Role: "user", Content: text(kind.Own, a.Tag)}}}}
 }
 
@@ -214,7 +214,7 @@
 		return nil, err
 	}
 	p := &api.ChatCompletionsParams{}
-	if d.IsRepeatable {
+	if d.Repeatable {
 		yes := api.ChatCompletionsParamsXRepeatable("yes")
 		p.XRepeatable = &yes
 	}
@@ -256,7 +256,7 @@
 			a.Length += n
 		}
 		if err == io.EOF {
-			a.IsEnded = true
+			a.Ended = true
 			break
 		}
 		if err != nil {
--- a/fake/check.go
+++ b/fake/check.go
@@ -117,7 +117,7 @@
 	at := map[string]int{}
 	for _, r := range lines {
 		place := r.Replica + " " + r.Salt
-		if i, isThere := at[place]; isThere && r.Salt != "" {
+		if i, ok := at[place]; ok && r.Salt != "" {
 			runs[i] = r
 			continue
 		}
@@ -138,13 +138,13 @@
 func (c *check) seen(rule int) { c.findings[rule].Seen++ }
 
 // latest gives the last fact of a kind and name that was accepted at or before a moment.
-func (c *check) latest(kind, name string, at time.Time) (last Fact, isThere bool) {
+func (c *check) latest(kind, name string, at time.Time) (last Fact, ok bool) {
 	for _, f := range c.Facts {
 		if f.Kind == kind && f.Name == name && !f.At.After(at) {
-			last, isThere = f, true
+			last, ok = f, true
 		}
 	}
-	return last, isThere
+	return last, ok
 }
 
 // Summary counts what callers met.
@@ -153,7 +153,7 @@
 	var firsts []int64
 	for _, a := range asked {
 		switch {
-		case a.Status == 200 && a.IsEnded:
+		case a.Status == 200 && a.Ended:
 			counts["whole"]++
 			firsts = append(firsts, a.FirstMs)
 		case a.Code > 0:
--- a/fake/check_config.go
+++ b/fake/check_config.go
@@ -28,8 +28,8 @@
 	byPlace := map[string]State{}
 	for _, row := range rows {
 		where, key, field := row["where"].(string), row["key"].(string), row["field"].(string)
-		s, isKnown := byPlace[where]
-		if !isKnown {
+		s, ok := byPlace[where]
+		if !ok {
 			s = State{where, map[string]Kept{}}
 			byPlace[where] = s
 		}
@@ -52,8 +52,8 @@
 func (c *check) configuration() {
 	for key, want := range c.accepted() {
 		for _, s := range c.Rest {
-			kept, isThere := s.Keys[key]
-			if !isThere && strings.HasPrefix(s.Where, "proxy") && key == config.MembersKey {
+			kept, ok := s.Keys[key]
+			if !ok && strings.HasPrefix(s.Where, "proxy") && key == config.MembersKey {
 				continue // proxies are not told of the members
 			}
 			if c.seen(ruleLostConfiguration); kept.Version < want.version {
@@ -72,11 +72,11 @@
 	for i, s := range c.Rest {
 		for key, kept := range s.Keys {
 			for _, other := range c.Rest[:i] {
-				there, isThere := other.Keys[key]
-				if isThere {
+				there, ok := other.Keys[key]
+				if ok {
 					c.seen(ruleLostConfiguration)
 				}
-				if isThere && len(config.Delta(there.Fields, kept.Fields)) > 0 {
+				if ok && len(config.Delta(there.Fields, kept.Fields)) > 0 {
 					c.found(ruleLostConfiguration, "%s and %s differ in %s", s.Where, other.Where, key)
 				}
 			}
@@ -128,14 +128,14 @@
 	sort.SliceStable(facts, func(i, j int) bool { return facts[i].Version < facts[j].Version })
 	under := map[string]uint64{}
 	for _, f := range facts {
-		if f.IsTried {
+		if f.Tried {
 			continue
 		}
-		w, isThere := all[f.Name]
-		if !isThere {
+		w, ok := all[f.Name]
+		if !ok {
 			w = wanted{fields: map[string]map[string]values{}}
 		}
-		if f.IsFull && f.Version > w.version {
+		if f.Full && f.Version > w.version {
 			for field := range w.fields {
 				w.fields[field] = map[string]values{"": {nil}}
 			}
@@ -144,11 +144,11 @@
 		for field, value := range f.Fields {
 			has := w.fields[field]
 			_, wasGone := has[""]
-			isSameVersion := under[f.Name+field] == f.Version
-			if has == nil || !isSameVersion && (wasGone || value == nil) || isSameVersion && wasGone != (value == nil) {
+			sameVersion := under[f.Name+field] == f.Version
+			if has == nil || !sameVersion && (wasGone || value == nil) || sameVersion && wasGone != (value == nil) {
 				has = map[string]values{} // of a change and a removal under one version nothing can be said
 			}
-			if isSameVersion && wasGone != (value == nil) {
+			if sameVersion && wasGone != (value == nil) {
 				w.fields[field] = has
 				continue
 			}
@@ -164,15 +164,15 @@
 		all[f.Name] = w
 	}
 	for _, f := range facts {
-		if !f.IsTried {
+		if !f.Tried {
 			continue
 		}
-		if f.IsFull {
+		if f.Full {
 			delete(all, f.Name) // nothing can be said of it
 		}
 		for field, value := range f.Fields {
 			for name, may := range all[f.Name].fields[field] {
-				if content, isNamed := attributes(value)[name]; isNamed || value == nil {
+				if content, named := attributes(value)[name]; named || value == nil {
 					all[f.Name].fields[field][name] = append(may, content)
 				} else if len(may) == 1 && may[0] == nil {
 					delete(all[f.Name].fields[field], name) // gone, or perhaps there again
--- a/fake/check_requests.go
+++ b/fake/check_requests.go
@@ -26,7 +26,7 @@
 			}
 		}
 	}
-	if !a.IsRepeatable {
+	if !a.Repeatable {
 		if c.seen(ruleRanTwice); ran > 1 {
 			c.found(ruleRanTwice, "%s ran %d times", a.Tag, ran)
 		}
@@ -41,7 +41,7 @@
 	}
 	c.seen(ruleForeignAnswer)
 	if len(own) == 0 {
-		if a.Length > 0 || a.IsEnded {
+		if a.Length > 0 || a.Ended {
 			c.found(ruleForeignAnswer, "%s got an answer of id %q, which did not run for it", a.Tag, a.ID)
 		}
 		return
@@ -50,7 +50,7 @@
 		c.stream(a, own)
 		return
 	}
-	if a.IsEnded && !slices.ContainsFunc(own, func(r Run) bool { return r.Sum == a.Sum }) {
+	if a.Ended && !slices.ContainsFunc(own, func(r Run) bool { return r.Sum == a.Sum }) {
 		c.found(ruleForeignAnswer, "%s status %d sum %s is none of its replica's", a.Tag, a.Status, a.Sum)
 	}
 }
@@ -58,7 +58,7 @@
 // stream judges rule 4: what came is the beginning of what one run wrote; all of it, if it looks finished.
 func (c *check) stream(a Asked, own []Run) {
 	c.seen(ruleBrokenStream)
-	isBeginning := false
+	beginning := false
 	for _, r := range own {
 		var all []byte
 		for _, piece := range Stream(r.ID, r.Salt, r.Pieces) {
@@ -67,12 +67,12 @@
 		if a.Length > len(all) || a.Length > 0 && Sum(all[:a.Length]) != a.Sum {
 			continue
 		}
-		isBeginning = true
-		if a.Length == len(all) || !a.IsEnded {
+		beginning = true
+		if a.Length == len(all) || !a.Ended {
 			return
 		}
 	}
-	if isBeginning {
+	if beginning {
 		c.found(ruleBrokenStream, "%s looks finished after %d bytes", a.Tag, a.Length)
 	} else {
 		c.found(ruleBrokenStream, "%s: its %d bytes are not the beginning of any one run", a.Tag, a.Length)
@@ -94,7 +94,7 @@
 		byProxy[a.Proxy] = append(byProxy[a.Proxy], s)
 		c.seen(ruleOldConfiguration)
 		for _, f := range c.Facts {
-			if f.Kind == Took && f.Name == config.Key && !f.IsTried && a.Config < f.Version && s.at.Sub(f.At) > configurationLimit {
+			if f.Kind == Took && f.Name == config.Key && !f.Tried && a.Config < f.Version && s.at.Sub(f.At) > configurationLimit {
 				c.found(ruleOldConfiguration, "%s used %d, %d was accepted %v before it was sent", a.Tag, a.Config, f.Version, s.at.Sub(f.At))
 			}
 		}
@@ -127,8 +127,8 @@
 		sort.Slice(runs, func(i, j int) bool { return runs[i].At.Before(runs[j].At) })
 		first++
 		second += len(runs) - 1
-		a, isAsked := c.asked[tag]
-		if !isAsked {
+		a, asked := c.asked[tag]
+		if !asked {
 			continue // by hand: no caller's ledger says by which proxy
 		}
 		for i, r := range runs {
--- a/fake/check_returns.go
+++ b/fake/check_returns.go
@@ -27,7 +27,7 @@
 // back is how long after a moment a proxy's first whole answer came, of those asked after it.
 func (c *check) back(proxy string, at time.Time) (least time.Duration, isBack bool) {
 	for _, a := range c.Asked {
-		if a.Proxy == proxy && a.Status == 200 && a.IsEnded && !a.At.Before(at) {
+		if a.Proxy == proxy && a.Status == 200 && a.Ended && !a.At.Before(at) {
 			if late := a.At.Add(time.Duration(a.AllMs) * time.Millisecond).Sub(at); !isBack || late < least {
 				least, isBack = late, true
 			}
@@ -47,7 +47,7 @@
 		}
 	}
 	for _, a := range l.Asked {
-		if late, isBack := c.back(a.Proxy, last); isBack && !proxies[a.Proxy] {
+		if late, back := c.back(a.Proxy, last); back && !proxies[a.Proxy] {
 			proxies[a.Proxy] = true
 			all = append(all, late)
 		}
--- a/fake/check_runs.go
+++ b/fake/check_runs.go
@@ -16,14 +16,14 @@
 		if f.Kind == Leaving && late > leavingLimit {
 			c.seen(ruleLeavingReplica) // it might have run there
 		}
-		if f.Kind == Revoked && !f.IsTried && late > 0 && f.Name == config.HashKey(a.Access) {
+		if f.Kind == Revoked && !f.Tried && late > 0 && f.Name == config.HashKey(a.Access) {
 			if late > revokeLimit {
 				c.found(ruleRevokedKey, "%s ran %v after", r.Tag, late)
 			}
 		}
 	}
-	state, isTold := c.latest(Leaving, r.Replica, r.At)
-	if again, isBack := c.latest(Present, r.Replica, r.At.Add(doubtful)); isTold && !state.IsTried && (!isBack || again.At.Before(state.At)) {
+	state, told := c.latest(Leaving, r.Replica, r.At)
+	if again, back := c.latest(Present, r.Replica, r.At.Add(doubtful)); told && !state.Tried && (!back || again.At.Before(state.At)) {
 		if r.At.Sub(state.At) > leavingLimit {
 			c.found(ruleLeavingReplica, "%s ran on %s %v after", r.Tag, r.Replica, r.At.Sub(state.At))
 		}
@@ -31,7 +31,7 @@
 	c.walls(r)
 	c.route(r)
 	pool, _, _ := strings.Cut(r.Replica, "-")
-	if allowed, isKnown := c.weightsAt(pool, r.At); isKnown {
+	if allowed, ok := c.weightsAt(pool, r.At); ok {
 		if c.seen(ruleOldWeights); !slices.Contains(allowed, r.Weights) {
 			c.found(ruleOldWeights, "%s on %s %s at %s, when only %v might start", r.Tag, r.Replica, r.Weights, r.At.Format("15:04:05.000"), allowed)
 		}
@@ -42,39 +42,39 @@
 }
 
 // weightsAt lists the weights that work may start on: those in force at any moment of the last 20 s.
-func (c *check) weightsAt(pool string, at time.Time) (allowed []string, isKnown bool) {
+func (c *check) weightsAt(pool string, at time.Time) (allowed []string, ok bool) {
 	for _, f := range c.Facts {
 		switch {
 		case f.Kind != Weights || f.Name != pool || f.At.After(at.Add(doubtful)):
-		case !f.IsTried && at.Sub(f.At) > weightsLimit:
-			allowed, isKnown = []string{f.Value}, true
+		case !f.Tried && at.Sub(f.At) > weightsLimit:
+			allowed, ok = []string{f.Value}, true
 		default:
 			allowed = append(allowed, f.Value)
 		}
 	}
-	return allowed, isKnown
+	return allowed, ok
 }
 
 // isWalled says whether a tenant's wall stood from a moment on for some time; in the time that news takes it is taken not to.
 func (c *check) isWalled(tenant string, at time.Time) bool {
-	before, isThere := c.latest(Wall, tenant, at.Add(-noticed))
+	before, ok := c.latest(Wall, tenant, at.Add(-noticed))
 	after, _ := c.latest(Wall, tenant, at.Add(doubtful))
-	return isThere && !before.IsTried && before.Value == "up" && after.At.Equal(before.At)
+	return ok && !before.Tried && before.Value == "up" && after.At.Equal(before.At)
 }
 
 // walls judges rule 8, both ways: what a walled tenant reads was made for it, in this life of its name, and what was made for it nobody else reads.
 func (c *check) walls(r Run) {
 	for tenant, made := range r.Met {
-		isWalled := c.isWalled(r.Tenant, r.At)
-		if isWalled || c.isWalled(tenant, made) {
+		walled := c.isWalled(r.Tenant, r.At)
+		if walled || c.isWalled(tenant, made) {
 			c.seen(ruleForeignCache)
 		}
 		switch {
-		case tenant != r.Tenant && isWalled:
+		case tenant != r.Tenant && walled:
 			c.found(ruleForeignCache, "%s of walled %s read what was made for %s", r.Tag, r.Tenant, tenant)
 		case tenant != r.Tenant && c.isWalled(tenant, made):
 			c.found(ruleForeignCache, "%s of %s read what was made for walled %s", r.Tag, r.Tenant, tenant)
-		case tenant == r.Tenant && isWalled:
+		case tenant == r.Tenant && walled:
 			for _, f := range c.Facts {
 				if f.Kind == Wall && f.Name == tenant && f.Value == "removed" && made.Before(f.At) && f.At.Before(r.At) {
 					c.found(ruleForeignCache, "%s of %s read what was made before the name was given anew", r.Tag, r.Tenant)
--- a/fake/check_test.go
+++ b/fake/check_test.go
@@ -26,8 +26,8 @@
 
 // served gives a request that was answered whole by a run at a moment, and the run.
 func served(tag string, seconds float64) (Asked, Run) {
-	r := Run{Tag: tag, Tenant: "a", ID: "id-" + tag, Salt: "salt-" + tag, Replica: "r-1", HasRun: true, IsComplete: true, Pieces: 3, At: at(seconds)}
-	a := Asked{Tag: tag, Tenant: "a", Kind: "light", ID: r.ID, At: at(seconds), AllMs: 10, Status: 200, IsEnded: true, Proxy: "p"}
+	r := Run{Tag: tag, Tenant: "a", ID: "id-" + tag, Salt: "salt-" + tag, Replica: "r-1", HasRun: true, Complete: true, Pieces: 3, At: at(seconds)}
+	a := Asked{Tag: tag, Tenant: "a", Kind: "light", ID: r.ID, At: at(seconds), AllMs: 10, Status: 200, Ended: true, Proxy: "p"}
 	return receives(a, content(r)), r
 }
 
@@ -60,8 +60,8 @@
 	return Fact{Kind: Wall, Name: tenant, Value: value, At: at(seconds)}
 }
 
-func took(version uint64, key, field, value string, isTried bool) Fact {
-	f := Fact{Kind: Took, Name: key, Version: version, At: at(float64(version)), IsTried: isTried, Fields: register.Fields{field: json.RawMessage(value)}}
+func took(version uint64, key, field, value string, tried bool) Fact {
+	f := Fact{Kind: Took, Name: key, Version: version, At: at(float64(version)), Tried: tried, Fields: register.Fields{field: json.RawMessage(value)}}
 	if value == "" {
 		f.Fields[field] = nil
 	}
@@ -143,7 +143,7 @@
 	}
 	return []plant{
 		{0, "an ordinary answer", one(nothing)},
-		{0, "a stream that broke off, with its true beginning", one(func(a *Asked, r *Run) { *a = receives(*a, content(*r)[:100]); a.IsEnded = false })},
+		{0, "a stream that broke off, with its true beginning", one(func(a *Asked, r *Run) { *a = receives(*a, content(*r)[:100]); a.Ended = false })},
 		{0, "a replica's own error, whole", one(func(a *Asked, r *Run) { a.Status, r.Sum = 500, "e"; a.Sum = "e" })},
 		{1, "two runs", two(func(_ *Asked, _, again *Run) {})},
 		{1, "two runs, the first without an answer", two(func(_ *Asked, _, again *Run) { again.ID = "earlier" })},
@@ -156,15 +156,15 @@
 		{4, "a piece skipped, then broken off", one(func(a *Asked, r *Run) {
 			pieces := Stream(r.ID, r.Salt, r.Pieces)
 			*a = receives(*a, slices.Concat(pieces[0], pieces[2]))
-			a.IsEnded = false
+			a.Ended = false
 		})},
 		{4, "a piece twice, then broken off", one(func(a *Asked, r *Run) {
 			pieces := Stream(r.ID, r.Salt, r.Pieces)
 			*a = receives(*a, slices.Concat(pieces[0], pieces[0]))
-			a.IsEnded = false
+			a.Ended = false
 		})},
 		{4, "two runs spliced", two(func(a *Asked, r, again *Run) {
-			a.IsRepeatable = true
+			a.Repeatable = true
 			*a = receives(*a, slices.Concat(Stream(r.ID, r.Salt, 3)[0], content(*again)[len(Stream(r.ID, r.Salt, 3)[0]):]))
 		})},
 		{5, "a revoked key", one(func(a *Asked, _ *Run) { a.Access = "k" }, Fact{Kind: Revoked, Name: config.HashKey("k"), At: at(24)})},
@@ -185,7 +185,7 @@
 		{9, "old weights", one(onWeights("w1"), weightsAt(0, "w1"), weightsAt(9, "w2"))},
 		{9, "w1 → w2 → w1, where a later acceptance does not hide it", one(onWeights("w1"), weightsAt(0, "w1"), weightsAt(5, "w2"), weightsAt(60, "w1"))},
 		{0, "w1 → w2 → w1 in time", one(onWeights("w1"), weightsAt(0, "w1"), weightsAt(9, "w2"), weightsAt(20, "w1"))},
-		{0, "weights that were asked for without an answer", one(onWeights("w2"), weightsAt(0, "w1"), Fact{Kind: Weights, Name: "r", Value: "w2", At: at(8), IsTried: true})},
+		{0, "weights that were asked for without an answer", one(onWeights("w2"), weightsAt(0, "w1"), Fact{Kind: Weights, Name: "r", Value: "w2", At: at(8), Tried: true})},
 		{10, "over the whole", many(8, 40, 12)},
 		{10, "at one proxy", many(1, 20, 15)},
 		{0, "within the allowance", many(2, 20, 10)},
--- a/fake/factlog.go
+++ b/fake/factlog.go
@@ -17,10 +17,10 @@
 	Value string    `json:"value,omitempty"`
 	At    time.Time `json:"at"`
 	// IsTried: there was no yes and no clear no, so the change may or may not stand.
-	IsTried bool `json:"tried,omitempty"`
+	Tried bool `json:"tried,omitempty"`
 	// Of what was accepted: the register's version, and what the change set.
 	Version uint64          `json:"version,omitempty"`
-	IsFull  bool            `json:"whole,omitempty"` // takes the place of all that was there
+	Full    bool            `json:"whole,omitempty"` // takes the place of all that was there
 	Fields  register.Fields `json:"fields,omitempty"`
 }
 
@@ -71,35 +71,35 @@
 
 // orderText is what the rules read of any order.
 type orderText struct {
-	Text      json.RawMessage `json:"text"`
-	IsPartial bool            `json:"partial"`
-	Tenant    string          `json:"tenant"`
-	Hash      string          `json:"hash"`
-	IsRevoked bool            `json:"revoked"`
-	Do        string          `json:"do"`
-	Name      string          `json:"name"`
-	Old       string          `json:"old"`
-	New       string          `json:"new"`
+	Text    json.RawMessage `json:"text"`
+	Partial bool            `json:"partial"`
+	Tenant  string          `json:"tenant"`
+	Hash    string          `json:"hash"`
+	Revoked bool            `json:"revoked"`
+	Do      string          `json:"do"`
+	Name    string          `json:"name"`
+	Old     string          `json:"old"`
+	New     string          `json:"new"`
 }
 
 // Order notes a change that the fleet was asked for at /op/NAME: accepted under a version, or, if tried, perhaps.
-func (d *FactLog) Order(name string, order any, version uint64, isTried bool) {
+func (d *FactLog) Order(name string, order any, version uint64, tried bool) {
 	raw, _ := json.Marshal(order) // plain structs always encode
 	var o orderText
 	_ = json.Unmarshal(raw, &o)
-	took := Fact{Kind: Took, Version: version, IsTried: isTried, Fields: register.Fields{}}
-	more := func(kind, name, value string) { d.Add(Fact{Kind: kind, Name: name, Value: value, IsTried: isTried}) }
+	took := Fact{Kind: Took, Version: version, Tried: tried, Fields: register.Fields{}}
+	more := func(kind, name, value string) { d.Add(Fact{Kind: kind, Name: name, Value: value, Tried: tried}) }
 	switch name {
 	case config.Key:
-		took.Name, took.IsFull = config.Key, !o.IsPartial
+		took.Name, took.Full = config.Key, !o.Partial
 		readConfig(o.Text, took.Fields, more)
 	case "replicas":
 		took.Name = config.ReplicasKey
 		readReplicas(o.Text, took.Fields, more)
 	case "keys":
 		took.Name = config.KeysPrefix + o.Tenant
-		took.Fields[o.Hash] = json.RawMessage(`{"revoked":` + strconv.FormatBool(o.IsRevoked) + `}`)
-		if o.IsRevoked {
+		took.Fields[o.Hash] = json.RawMessage(`{"revoked":` + strconv.FormatBool(o.Revoked) + `}`)
+		if o.Revoked {
 			more(Revoked, o.Hash, "")
 		}
 	case "retirement": // its register is the duty's from there on: rule 11 asks only that all hold the same
--- a/fake/kv.go
+++ b/fake/kv.go
@@ -120,7 +120,7 @@
 		}
 	}
 	rate := bytes / max(0.1, float64(time.Since(began).Microseconds())/1000)
-	if before, isTried := r.fetch[answer.Name]; isTried {
+	if before, tried := r.fetch[answer.Name]; tried {
 		rate = before + (rate-before)/2
 	}
 	r.fetch[answer.Name] = rate
--- a/fake/replica.go
+++ b/fake/replica.go
@@ -34,22 +34,22 @@
 
 // Run is a line of a replica's ledger: a request that came, and whether it ran.
 type Run struct {
-	Replica    string    `json:"replica"`
-	Tag        string    `json:"tag"`
-	Key        string    `json:"key"`
-	Tenant     string    `json:"tenant"`
-	Weights    string    `json:"weights"`
-	Domain     string    `json:"domain"`
-	At         time.Time `json:"at"`
-	HasRun     bool      `json:"ran"`
-	Why        string    `json:"why,omitempty"`      // of a refusal
-	Sum        string    `json:"sum,omitempty"`      // of the whole answer
-	IsComplete bool      `json:"whole"`              // the whole answer was written
-	Hit        int       `json:"hit"`                // bytes of the prompt read from the cache
-	Size       int       `json:"size"`               // of the prompt
-	Fetched    int       `json:"fetched,omitempty"`  // bytes got from a peer or store
-	Outdated   int       `json:"outdated,omitempty"` // blocks of the cache made under other weights
-	ID         string    `json:"id,omitempty"`       // the router's id of the request
+	Replica  string    `json:"replica"`
+	Tag      string    `json:"tag"`
+	Key      string    `json:"key"`
+	Tenant   string    `json:"tenant"`
+	Weights  string    `json:"weights"`
+	Domain   string    `json:"domain"`
+	At       time.Time `json:"at"`
+	HasRun   bool      `json:"ran"`
+	Why      string    `json:"why,omitempty"`      // of a refusal
+	Sum      string    `json:"sum,omitempty"`      // of the whole answer
+	Complete bool      `json:"whole"`              // the whole answer was written
+	Hit      int       `json:"hit"`                // bytes of the prompt read from the cache
+	Size     int       `json:"size"`               // of the prompt
+	Fetched  int       `json:"fetched,omitempty"`  // bytes got from a peer or store
+	Outdated int       `json:"outdated,omitempty"` // blocks of the cache made under other weights
+	ID       string    `json:"id,omitempty"`       // the router's id of the request
 	config.Placement
 	Dropped string `json:"dropped,omitempty"` // a base that was dropped: no request
 	Salt    string `json:"salt,omitempty"`    // of this run alone: two runs of one request write different pieces
@@ -61,40 +61,40 @@
 // Behaviour is how a replica treats one tenant ("" for all).
 type Behaviour struct {
 	Tenant     string  `json:"tenant"`
-	IsRefusing bool    `json:"refuse"`
+	Refusing   bool    `json:"refuse"`
 	SlowMs     int     `json:"slow_ms"`
 	Link       float64 `json:"link,omitempty"`        // new bytes per ms of fetching, for all
-	IsEmptied  bool    `json:"emptied,omitempty"`     // lose all blocks kept, now
+	Emptied    bool    `json:"emptied,omitempty"`     // lose all blocks kept, now
 	RetryAfter string  `json:"retry_after,omitempty"` // sent with refusals, if set
 	CutAfter   int     `json:"cut_after,omitempty"`   // break streams off after so many pieces
-	IsUnnamed  bool    `json:"unnamed,omitempty"`     // refusals do not name the tenant as their ground
+	Unnamed    bool    `json:"unnamed,omitempty"`     // refusals do not name the tenant as their ground
 	RetryIn    int     `json:"retry_in,omitempty"`    // seconds: sent with refusals as an HTTP date by this replica's clock
 	News       string  `json:"news,omitempty"`        // of what the cache keeps, for all from now on: "true", "lost" or "wrong"
 	BadBuild   string  `json:"bad_build,omitempty"`   // of an adapter: its trial answer is wrong, for all
-	IsFailing  bool    `json:"failing,omitempty"`     // answers with an error of its own, after it ran
+	Failing    bool    `json:"failing,omitempty"`     // answers with an error of its own, after it ran
 }
 
 // Replica is a fake model replica or web back end.
 type Replica struct {
-	options   ReplicaOptions
-	run       string
-	mu        sync.Mutex
-	weights   string
-	warmAt    time.Time
-	isLoading bool
-	running   int
-	number    uint64
-	order     uint64 // the highest load order met
-	cache     map[string]*kvBlock
-	line      []*kvBlock // of the cache, oldest first
-	changes   []change
-	dropped   uint64 // changes up to this number are forgotten
-	conducts  map[string]Behaviour
-	fetch     map[string]float64 // by source's name
-	news      string
-	bases     map[string]router.Base
-	adapters  map[string]router.Adapter // by NAME@BASE
-	lease     uint64                    // the highest met in an order for a base or adapter
+	options  ReplicaOptions
+	run      string
+	mu       sync.Mutex
+	weights  string
+	warmAt   time.Time
+	loading  bool
+	running  int
+	number   uint64
+	order    uint64 // the highest load order met
+	cache    map[string]*kvBlock
+	line     []*kvBlock // of the cache, oldest first
+	changes  []change
+	dropped  uint64 // changes up to this number are forgotten
+	conducts map[string]Behaviour
+	fetch    map[string]float64 // by source's name
+	news     string
+	bases    map[string]router.Base
+	adapters map[string]router.Adapter // by NAME@BASE
+	lease    uint64                    // the highest met in an order for a base or adapter
 }
 
 // NewReplica makes a replica that has just started.
@@ -128,7 +128,7 @@
 	if b.News != "" {
 		r.news = b.News
 	}
-	if b.IsEmptied {
+	if b.Emptied {
 		r.run, r.cache, r.line, r.changes = rand.Text()[:8], map[string]*kvBlock{}, nil, nil
 	}
 }
@@ -159,14 +159,14 @@
 		return
 	}
 	r.order = order.Order
-	if r.isLoading || r.weights == order.Weights {
+	if r.loading || r.weights == order.Weights {
 		return
 	}
-	r.isLoading = true
+	r.loading = true
 	time.AfterFunc(time.Duration(r.options.LoadMs)*time.Millisecond, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.isLoading, r.weights = false, order.Weights
+		r.loading, r.weights = false, order.Weights
 		r.warmAt = time.Now().Add(time.Duration(r.options.WarmMs) * time.Millisecond)
 		r.run, r.cache, r.line, r.changes = rand.Text()[:8], map[string]*kvBlock{}, nil, nil
 	})
@@ -182,8 +182,8 @@
 		IsSnapshot bool     `json:"image"`
 		Kept       []string `json:"kept,omitempty"`
 		Dropped    []string `json:"dropped,omitempty"`
-	}{Report: router.Report{Run: r.run, Number: r.number, Weights: r.weights, Running: r.running, IsWarm: r.isWarm(), Rate: r.options.Rate, Fetch: maps.Clone(r.fetch), AdapterReport: r.adapterReport()}}
-	if r.isLoading {
+	}{Report: router.Report{Run: r.run, Number: r.number, Weights: r.weights, Running: r.running, Warm: r.isWarm(), Rate: r.options.Rate, Fetch: maps.Clone(r.fetch), AdapterReport: r.adapterReport()}}
+	if r.loading {
 		body.Weights = router.Loading
 	}
 	body.IsSnapshot = q.FormValue("run") != r.run || from < r.dropped
@@ -196,7 +196,7 @@
 			if c.number <= from {
 				continue
 			}
-			if c.isGone {
+			if c.gone {
 				body.Dropped = append(body.Dropped, c.hash)
 			} else {
 				body.Kept = append(body.Kept, c.hash)
--- a/fake/replica_cache.go
+++ b/fake/replica_cache.go
@@ -10,7 +10,7 @@
 type change struct {
 	number uint64
 	hash   string
-	isGone bool
+	gone   bool
 }
 
 const maxChanges = 20000
@@ -20,14 +20,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.Met = map[string]time.Time{}
-	isHit := true
+	hit := true
 	var made []kvBlock
 	for i, hash := range chain {
 		b := r.cache[hash]
-		isHit = isHit && b != nil
-		if isHit {
+		hit = hit && b != nil
+		if hit {
 			run.Hit = prompt.Covered(i + 1)
-			if oldest, isMet := run.Met[b.Tenant]; !isMet || b.At.Before(oldest) {
+			if oldest, met := run.Met[b.Tenant]; !met || b.At.Before(oldest) {
 				run.Met[b.Tenant] = b.At
 			}
 			if b.Weights != r.weights || b.Placement != run.Placement {
--- a/fake/replica_serve.go
+++ b/fake/replica_serve.go
@@ -45,7 +45,7 @@
 // conduct is how one request is treated, as of when it was taken in.
 type conduct struct {
 	own, all Behaviour
-	isWarm   bool
+	warm     bool
 }
 
 // slowness is how long the first piece takes beyond the reading of the prompt.
@@ -76,9 +76,9 @@
 	run := Run{Replica: r.options.Name, Tag: q.Header.Get("X-Caller-Tag"), Key: q.Header.Get("Idempotency-Key"),
 		Tenant: q.Header.Get("X-Tenant"), Domain: q.Header.Get("X-Cache-Domain"), At: time.Now(),
 		ID: q.Header.Get("X-Request-Id"), Placement: placementOf(q)}
-	isModel := r.options.Kind == "model"
+	model := r.options.Kind == "model"
 	var body chat
-	if isModel && json.Unmarshal(raw, &body) != nil {
+	if model && json.Unmarshal(raw, &body) != nil {
 		r.refuse(w, run, refusal{status: http.StatusBadRequest, kind: "malformed"})
 		return
 	}
@@ -88,12 +88,12 @@
 		return
 	}
 	defer r.leave(run.Placement)
-	if isModel {
+	if model {
 		r.readPrompt(q, &run, body.text())
 	}
 	run.HasRun, run.Salt = true, rand.Text()[:8]
 	w.Header().Set("X-Request-Id", run.ID)
-	if r.options.Kind == "web" || treated.own.IsFailing || treated.all.IsFailing {
+	if r.options.Kind == "web" || treated.own.Failing || treated.all.Failing {
 		r.answerWhole(w, q, run)
 		return
 	}
@@ -101,7 +101,7 @@
 	r.options.Ledger(run) // a replica that dies in the midst has run it
 	defer func() { r.options.Ledger(run) }()
 	if r.stream(w, q, run, treated) {
-		run.IsComplete = true
+		run.Complete = true
 		r.answered(run.Placement)
 	}
 }
@@ -111,14 +111,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.Weights = r.weights
-	treated := conduct{own: r.conducts[run.Tenant], all: r.conducts[""], isWarm: r.isWarm()}
+	treated := conduct{own: r.conducts[run.Tenant], all: r.conducts[""], warm: r.isWarm()}
 	lacking := r.lacks(run.Placement)
 	switch {
-	case r.options.Kind == "model" && (r.isLoading || expected != r.weights):
+	case r.options.Kind == "model" && (r.loading || expected != r.weights):
 		return treated, &refusal{status: http.StatusPreconditionFailed, kind: "weights_mismatch"}
 	case lacking != "":
 		return treated, &refusal{status: http.StatusPreconditionFailed, kind: lacking}
-	case treated.own.IsRefusing || treated.all.IsRefusing:
+	case treated.own.Refusing || treated.all.Refusing:
 		return treated, treated.throttle()
 	case r.running >= r.options.Limit:
 		return treated, &refusal{status: http.StatusServiceUnavailable, kind: "overloaded"}
@@ -131,7 +131,7 @@
 // throttle is the refusal of a tenant, or of all.
 func (c conduct) throttle() *refusal {
 	why := &refusal{status: http.StatusTooManyRequests, kind: "tenant_throttled", retryAfter: c.own.RetryAfter}
-	if c.all.IsRefusing || c.own.IsUnnamed {
+	if c.all.Refusing || c.own.Unnamed {
 		why.kind = "throttled"
 	}
 	if why.retryAfter == "" && c.own.RetryIn > 0 {
@@ -162,7 +162,7 @@
 func (r *Replica) stream(w http.ResponseWriter, q *http.Request, run Run, treated conduct) bool {
 	unread := float64(max(0, run.Size-run.Hit))
 	wait := unread/r.options.Rate + treated.slowness()
-	if !treated.isWarm {
+	if !treated.warm {
 		wait *= 3
 	}
 	if !rest(q, time.Duration(wait*float64(time.Millisecond))) {
@@ -191,7 +191,7 @@
 	if r.options.Kind != "web" {
 		status, answer = http.StatusInternalServerError, fmt.Sprintf(`{"error":{"type":"model_failed","message":"%s-%s"}}`, run.ID, run.Salt)
 	}
-	run.Sum, run.IsComplete = Sum([]byte(answer)), true
+	run.Sum, run.Complete = Sum([]byte(answer)), true
 	r.options.Ledger(run)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/fake/retired.go
+++ b/fake/retired.go
@@ -33,12 +33,12 @@
 		}
 	}
 	for _, drop := range c.drops {
-		retire, isRetired := c.latest(Retire, drop.Dropped, drop.At.Add(doubtful))
+		retire, retired := c.latest(Retire, drop.Dropped, drop.At.Add(doubtful))
 		for at := range serving {
 			if !c.isConcerned(at.adapter, drop) {
 				continue
 			}
-			if c.seen(ruleEarlyDrop); !isRetired || !c.hasAnswered(at.adapter, retire.Value, at.pool, drop.At) {
+			if c.seen(ruleEarlyDrop); !retired || !c.hasAnswered(at.adapter, retire.Value, at.pool, drop.At) {
 				c.found(ruleEarlyDrop, "%s dropped %s at %s, and %s had not answered in %s from %q", drop.Replica, drop.Dropped, drop.At.Format("15:04:05.000"), at.adapter, at.pool, retire.Value)
 			}
 		}
@@ -46,25 +46,25 @@
 }
 
 // isConcerned says whether an adapter had ever been on the dropped base, and did not leave it by an undone retirement.
-func (c *check) isConcerned(adapter string, drop Run) (isSo bool) {
+func (c *check) isConcerned(adapter string, drop Run) (so bool) {
 	last, wasOn := c.latest(Base, adapter, drop.At)
 	for _, f := range c.Facts {
-		isSo = isSo || f.Kind == Base && f.Name == adapter && f.Value == drop.Dropped && f.At.Before(drop.At)
+		so = so || f.Kind == Base && f.Name == adapter && f.Value == drop.Dropped && f.At.Before(drop.At)
 		if f.Kind == Retire && f.Value == drop.Dropped && wasOn && last.Value != drop.Dropped {
 			if undone, isUndone := c.latest(Undone, f.Name, drop.At.Add(doubtful)); isUndone && !undone.At.Before(f.At) {
 				return false
 			}
 		}
 	}
-	return isSo
+	return so
 }
 
 func (c *check) hasAnswered(adapter, base, pool string, before time.Time) bool {
 	for _, r := range c.Runs {
-		if a, isAsked := c.asked[r.Tag]; isAsked && a.Status != 200 {
+		if a, asked := c.asked[r.Tag]; asked && a.Status != 200 {
 			continue // the caller did not get it
 		}
-		if r.Adapter == adapter && r.Base == base && r.IsComplete && r.At.Before(before) && poolOf(r.Replica) == pool {
+		if r.Adapter == adapter && r.Base == base && r.Complete && r.At.Before(before) && poolOf(r.Replica) == pool {
 			return true
 		}
 	}
@@ -80,7 +80,7 @@
 	for _, f := range c.Facts {
 		switch {
 		case f.Kind != Base || f.Name != r.Adapter || f.At.After(r.At.Add(doubtful)):
-		case !f.IsTried && r.At.Sub(f.At) > routeLimit:
+		case !f.Tried && r.At.Sub(f.At) > routeLimit:
 			allowed = []string{f.Value}
 		default:
 			allowed = append(allowed, f.Value)
--- a/history/config.go
+++ b/history/config.go
@@ -13,7 +13,7 @@
 	for _, name := range d.Order {
 		items[name] = string(d.Texts[name])
 	}
-	return Declaration{Number: d.Number, Base: d.BasedOn, Digest: d.Digest, IsFull: d.IsFull, Items: items, Removed: d.Removed}
+	return Declaration{Number: d.Number, Base: d.BasedOn, Digest: d.Digest, Full: d.Full, Items: items, Removed: d.Removed}
 }
 
 // Items gives what a read showed as the checker sees it.
--- a/history/history.go
+++ b/history/history.go
@@ -30,7 +30,7 @@
 	Number  uint64
 	Base    uint64
 	Digest  string
-	IsFull  bool // replaces all items; else changes those named
+	Full    bool // replaces all items; else changes those named
 	Items   map[string]string
 	Removed []string
 }
@@ -121,8 +121,8 @@
 // version is a declaration that may have been taken, with all identical calls.
 type version struct {
 	Declaration
-	calls          []*call
-	isAcknowledged bool
+	calls        []*call
+	acknowledged bool
 }
 
 const mostTries = 2000
@@ -158,11 +158,11 @@
 			c.byBase[made.Base] = append(c.byBase[made.Base], v)
 		}
 		v.calls = append(v.calls, made)
-		v.isAcknowledged = v.isAcknowledged || made.outcome == Acknowledged
+		v.acknowledged = v.acknowledged || made.outcome == Acknowledged
 	}
 	needed := map[uint64]bool{}
 	for _, v := range all {
-		if v.isAcknowledged {
+		if v.acknowledged {
 			needed[v.Number] = true
 		}
 	}
@@ -179,7 +179,7 @@
 	for _, number := range c.needed {
 		var acknowledged []string
 		for _, v := range c.byNumber[number] {
-			if v.isAcknowledged {
+			if v.acknowledged {
 				acknowledged = append(acknowledged, v.String())
 			}
 		}
@@ -214,7 +214,7 @@
 	}
 	candidates := c.byNumber[number]
 	for _, v := range candidates {
-		if v.isAcknowledged {
+		if v.acknowledged {
 			candidates = []*version{v}
 		}
 	}
@@ -226,7 +226,7 @@
 			c.fail("%s was taken", v)
 			continue
 		}
-		if between, isLost := c.neededBetween(v.Base, v.Number); isLost {
+		if between, lost := c.neededBetween(v.Base, v.Number); lost {
 			c.fail("%s was taken, and number %d between the two was acknowledged or read", v, between)
 			continue
 		}
@@ -237,7 +237,7 @@
 	return false
 }
 
-func (c *checker) neededBetween(above, below uint64) (number uint64, isThere bool) {
+func (c *checker) neededBetween(above, below uint64) (number uint64, ok bool) {
 	for _, number := range c.needed {
 		if above < number && number < below {
 			return number, true
@@ -258,7 +258,7 @@
 	}
 	tip := chain[len(chain)-1]
 	for _, v := range c.byBase[tip.Number] {
-		if !v.isAcknowledged && v.Number > tip.Number && c.isExplainedOn(append(slices.Clone(chain), v)) {
+		if !v.acknowledged && v.Number > tip.Number && c.isExplainedOn(append(slices.Clone(chain), v)) {
 			return true
 		}
 	}
@@ -285,19 +285,19 @@
 		return false
 	}
 	choices := c.boundByRefusals(chain, place, &t)
-	for isMoving := true; isMoving; {
-		isMoving = false
+	for moving := true; moving; {
+		moving = false
 		raise := func(i, to int) {
 			if t.least[i] < to {
-				t.least[i], isMoving = to, true
+				t.least[i], moving = to, true
 			}
 		}
 		for i := 1; i < len(chain); i++ {
 			raise(i, t.least[i-1])
 		}
 		for _, e := range choices {
-			isReplaced := e.base+1 < len(chain) && t.least[e.base+1] < e.end
-			if !isReplaced {
+			replaced := e.base+1 < len(chain) && t.least[e.base+1] < e.end
+			if !replaced {
 				raise(e.base, e.begin)
 			}
 		}
@@ -343,7 +343,7 @@
 	contents := make([]map[string]string, len(chain))
 	for i, v := range chain {
 		contents[i] = map[string]string{}
-		if i > 0 && !v.IsFull {
+		if i > 0 && !v.Full {
 			contents[i] = maps.Clone(contents[i-1])
 		}
 		for _, name := range v.Removed {
@@ -368,12 +368,12 @@
 
 func (c *checker) boundByRefusals(chain []*version, place map[uint64]int, t *timing) (choices []either) {
 	for _, made := range c.refused {
-		i, isThere := place[made.Base]
-		isTaken := isThere && i+1 < len(chain) && chain[i+1].identity() == made.identity()
+		i, ok := place[made.Base]
+		taken := ok && i+1 < len(chain) && chain[i+1].identity() == made.identity()
 		switch {
-		case !isThere || made.Number <= made.Base:
+		case !ok || made.Number <= made.Base:
 			// never fitted
-		case isTaken:
+		case taken:
 			t.least[i] = max(t.least[i], made.begin) // refused before its base came; afterwards it either fits or is known
 		default:
 			choices = append(choices, either{i, made.begin, made.end})
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -44,7 +44,7 @@
 	}},
 	{"a whole one replaces all", "", func(r *Recorder) {
 		r.declared(amendment(1, 0, "a"), Acknowledged)
-		r.declared(Declaration{Number: 2, Base: 1, Digest: "b", IsFull: true, Items: contents("b", 2)}, Acknowledged)
+		r.declared(Declaration{Number: 2, Base: 1, Digest: "b", Full: true, Items: contents("b", 2)}, Acknowledged)
 		r.declared(Declaration{Number: 3, Base: 2, Digest: "c", Removed: []string{"item-2"}}, Acknowledged)
 		r.shown(3, nil)
 	}},
@@ -206,21 +206,21 @@
 }
 
 // randomHistory plays overlapping calls on a correct store; falsified: one verdict is turned round.
-func randomHistory(random *rand.Rand, isFalsified bool) *Recorder {
+func randomHistory(random *rand.Rand, falsified bool) *Recorder {
 	r, store := &Recorder{}, &truth{items: map[string]string{}, taken: map[identity]bool{}}
 	var steps []func() // what is under way; each takes effect or ends
 	falsifiedAt := random.IntN(20)
 	for n := range 30 {
 		base := store.number - min(store.number, uint64(random.IntN(2)))
 		d := amendment(base+1+uint64(random.IntN(2)), base, fmt.Sprint(random.IntN(2)))
-		done, isLost := r.Declare(d), random.IntN(5) == 0
+		done, lost := r.Declare(d), random.IntN(5) == 0
 		steps = append(steps, func() {
 			outcome := store.take(d)
-			if isFalsified && n >= falsifiedAt {
-				outcome, isFalsified = Acknowledged+Refused-outcome, false
+			if falsified && n >= falsifiedAt {
+				outcome, falsified = Acknowledged+Refused-outcome, false
 			}
 			steps = append(steps, func() {
-				if !isLost {
+				if !lost {
 					done(outcome)
 				}
 			})
--- a/hold/hold_test.go
+++ b/hold/hold_test.go
@@ -37,8 +37,8 @@
 		{[]string{"-1"}, 0, false}, {[]string{"+1"}, 0, false}, {[]string{"1.5"}, 0, false}, {[]string{"1e3"}, 0, false}, {[]string{"0x10"}, 0, false},
 		{[]string{"soon"}, 0, false}, {[]string{""}, 0, false}, {[]string{"7", "8"}, 0, false}, {nil, 0, false}, {[]string{"７"}, 0, false},
 	} {
-		got, isGood := RetryAfter(c.values, now, limit)
-		is.Equal(fmt.Sprint(c.values, isGood, got), fmt.Sprint(c.values, c.isGood, c.want))
+		got, good := RetryAfter(c.values, now, limit)
+		is.Equal(fmt.Sprint(c.values, good, got), fmt.Sprint(c.values, c.isGood, c.want))
 	}
 }
 
@@ -47,7 +47,7 @@
 	f.Add("Sun, 01 Mar 2026 12:00:30 GMT")
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	f.Fuzz(func(t *testing.T, text string) {
-		if d, isGood := RetryAfter([]string{text}, now, time.Minute); d < 0 || d > time.Minute || !isGood && d != 0 {
+		if d, good := RetryAfter([]string{text}, now, time.Minute); d < 0 || d > time.Minute || !good && d != 0 {
 			t.Errorf("%q gives %v", text, d)
 		}
 	})
@@ -119,7 +119,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(nil)
-		is.True(table.Merge(Notice{Scope: "s", ID: "1", RemainingMs: 9000, IsObserved: true}, time.Minute))
+		is.True(table.Merge(Notice{Scope: "s", ID: "1", RemainingMs: 9000, Observed: true}, time.Minute))
 		is.True(table.Until("s").IsZero())
 		is.True(table.Merge(Notice{Scope: "s", ID: "2", RemainingMs: 3000}, time.Minute))
 		is.Equal(time.Until(table.Until("s")), 3*time.Second)
--- a/hold/signals.go
+++ b/hold/signals.go
@@ -33,10 +33,10 @@
 }
 
 type slowness struct {
-	ratio  moving
-	run    int       // slow samples in a row
-	began  time.Time // of the run
-	isSlow bool
+	ratio moving
+	run   int       // slow samples in a row
+	began time.Time // of the run
+	slow  bool
 }
 
 const (
@@ -76,15 +76,15 @@
 	if r.count < 2 {
 		return false
 	}
-	isAnotherServed := false
+	anotherServed := false
 	for at, sent := range s.served {
-		first, isRefuser := r.first[at[0]]
-		if at[1] != tenant && isRefuser && sent.After(first) && now.Sub(s.refused[at]) > window {
+		first, refuser := r.first[at[0]]
+		if at[1] != tenant && refuser && sent.After(first) && now.Sub(s.refused[at]) > window {
 			return true
 		}
-		isAnotherServed = isAnotherServed || at[1] != tenant && now.Sub(sent) < lately
+		anotherServed = anotherServed || at[1] != tenant && now.Sub(sent) < lately
 	}
-	return len(r.first) > 1 && !isAnotherServed
+	return len(r.first) > 1 && !anotherServed
 }
 
 // HasRefused says whether a replica refused the tenant, which was not served since.
@@ -140,7 +140,7 @@
 	}
 	t.ratio.add(min(ratio, 20), now)
 	if t.ratio.value < calm {
-		t.isSlow = false
+		t.slow = false
 	}
 	if ratio < calm {
 		t.run = 0
@@ -152,7 +152,7 @@
 	if t.run < needed || t.ratio.value <= slowRatio || !s.isAnotherCalm(tenant, t.began) {
 		return false
 	}
-	t.isSlow, t.run = true, 0 // each full run that is still slow is a signal of its own
+	t.slow, t.run = true, 0 // each full run that is still slow is a signal of its own
 	return true
 }
 
@@ -171,7 +171,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.tenants[tenant]
-	return t != nil && t.isSlow
+	return t != nil && t.slow
 }
 
 func (m *moving) add(value float64, now time.Time) {
--- a/hold/table.go
+++ b/hold/table.go
@@ -10,8 +10,8 @@
 )
 
 // Scope names what a hold covers: a tenant, or a tenant's use of one pool.
-func Scope(tenant, pool string, isByPool bool) string {
-	if isByPool {
+func Scope(tenant, pool string, byPool bool) string {
+	if byPool {
 		return tenant + "/" + pool
 	}
 	return tenant
@@ -25,7 +25,7 @@
 	Reason      string `json:"reason"`
 	Raw         string `json:"raw,omitempty"` // Retry-After as it came, for audit
 	Attempt     int    `json:"shot"`
-	IsObserved  bool   `json:"observed,omitempty"` // observe-only: reported, never waited for
+	Observed    bool   `json:"observed,omitempty"` // observe-only: reported, never waited for
 }
 
 // Entry is the hold of one scope.
@@ -55,7 +55,7 @@
 	until := time.Now().Add(remaining)
 	t.mu.Lock()
 	place := n.Scope
-	if n.IsObserved {
+	if n.Observed {
 		place += " observed" // no scope has a blank, so the two never meet
 	}
 	e := t.scopes[place]
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -44,7 +44,7 @@
 func New(options Options) *Candidate { return &Candidate{options: options} }
 
 // Holds says whether the lease is ours now, and its number.
-func (s *Candidate) Holds() (number uint64, isOurs bool) {
+func (s *Candidate) Holds() (number uint64, own bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.own.Version, time.Now().Before(s.until)
@@ -77,9 +77,9 @@
 	made := Grant{Holder: o.Holder, Nonce: rand.Text()}
 	s.mu.Lock()
 	now := time.Now()
-	isOurs := now.Before(s.until)
+	own := now.Before(s.until)
 	met := present
-	if isOurs {
+	if own {
 		if met.Version < s.own.Version {
 			met = s.own // this daemon's own disk has not got it yet
 		}
@@ -93,7 +93,7 @@
 			return
 		}
 	}
-	if isOurs && present.Holder != o.Holder && present.Version > s.own.Version {
+	if own && present.Holder != o.Holder && present.Version > s.own.Version {
 		s.until = time.Time{} // cannot be while we hold it; give way all the same
 		s.mu.Unlock()
 		return
@@ -107,12 +107,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !isOurs && present.Version != 0 && present.Holder != o.Holder {
+	if !own && present.Version != 0 && present.Holder != o.Holder {
 		s.quiet = s.seenAt.Add(o.Length)
 	}
 	made.Version = version
 	s.own, s.until = made, now.Add(o.Length-o.Margin)
-	if !isOurs {
+	if !own {
 		o.Log.Info().Str("event", "lease").Str("duty", o.Duty).Uint64("number", version).Msg("")
 	}
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -59,7 +59,7 @@
 		}
 		holds := func() (who []int) {
 			for i, s := range candidates {
-				if _, isOurs := s.Holds(); isOurs {
+				if _, own := s.Holds(); own {
 					who = append(who, i)
 				}
 			}
@@ -100,17 +100,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var mu sync.Mutex
-		isCut := false
+		cut := false
 		lost := Grant{Holder: "a", Nonce: "lost", Version: 7}
 		stands := Grant{Holder: "b", Nonce: "stands", Version: 7}
 		present := lost
 		const length = 2 * time.Second
-		s := New(Options{Duty: "d", Holder: "c", Length: length, Store: &store{mu: &mu, present: &present, isCut: &isCut}, Log: zerolog.Nop()})
+		s := New(Options{Duty: "d", Holder: "c", Length: length, Store: &store{mu: &mu, present: &present, isCut: &cut}, Log: zerolog.Nop()})
 		step := func(after time.Duration) bool {
 			time.Sleep(after)
 			s.Step(t.Context())
-			_, isOurs := s.Holds()
-			return isOurs
+			_, own := s.Holds()
+			return own
 		}
 		is.True(!step(0))
 		time.Sleep(length - time.Millisecond)
--- a/link/follower.go
+++ b/link/follower.go
@@ -97,7 +97,7 @@
 		f.mu.Unlock()
 		return err
 	}
-	if answer.IsSnapshot {
+	if answer.Snapshot {
 		f.keys = map[string]*Held{}
 	}
 	for _, e := range answer.Entries {
@@ -111,7 +111,7 @@
 	}
 	f.run, f.who, f.number = answer.Run, answer.Who, answer.Number
 	f.mu.Unlock()
-	if (len(answer.Entries) > 0 || answer.IsSnapshot) && f.Options.News != nil {
+	if (len(answer.Entries) > 0 || answer.Snapshot) && f.Options.News != nil {
 		f.Options.News(f, answer)
 	}
 	f.mu.Lock()
--- a/link/fuzz_test.go
+++ b/link/fuzz_test.go
@@ -21,7 +21,7 @@
 
 // Whatever a source answers, its follower takes it or fails; what it took can be read.
 func FuzzFollowerAnswer(f *testing.F) {
-	good, _ := json.Marshal(Answer{Run: "r", Number: 3, IsSnapshot: true, Entries: []Entry{{Key: "k", Revision: register.Revision{Epoch: 1, Version: 1}, Fields: register.Fields{"a": json.RawMessage(`1`)}}}})
+	good, _ := json.Marshal(Answer{Run: "r", Number: 3, Snapshot: true, Entries: []Entry{{Key: "k", Revision: register.Revision{Epoch: 1, Version: 1}, Fields: register.Fields{"a": json.RawMessage(`1`)}}}})
 	f.Add(good, []byte(`{"entries":[{"key":"k","fields":{"a":null}}]}`))
 	f.Add([]byte(`{"code":302}`), []byte(`{`))
 	f.Fuzz(func(_ *testing.T, first, second []byte) {
--- a/link/source.go
+++ b/link/source.go
@@ -31,7 +31,7 @@
 	Run         string  `json:"run"`
 	Who         string  `json:"who,omitempty"` // whose state this is: a core's incarnation while it is a member
 	Number      uint64  `json:"number"`
-	IsSnapshot  bool    `json:"image,omitempty"`
+	Snapshot    bool    `json:"image,omitempty"`
 	Entries     []Entry `json:"entries,omitempty"`
 	RemainingMs int64   `json:"remaining_ms,omitempty"` // how much longer the source vouches for this
 }
@@ -57,7 +57,7 @@
 	mu        sync.Mutex
 	number    uint64
 	ripe      uint64               // asks behind it are answered at once
-	isSoon    bool                 // there is more, whose time will come
+	soon      bool                 // there is more, whose time will come
 	floor     uint64               // tombstones up to here are dropped
 	tombs     *btree.BTreeG[place] // fields that are gone, by number
 	keys      map[string]*sourced
@@ -117,24 +117,24 @@
 func (s *Source) Run() string { return s.run }
 
 // Put takes a change of a key; a whole one also takes away fields that it does not have.
-func (s *Source) Put(key string, revision, settled register.Revision, change register.Fields, isFull bool) {
+func (s *Source) Put(key string, revision, settled register.Revision, change register.Fields, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.put(key, revision, settled, change, isFull)
+	s.put(key, revision, settled, change, full)
 	s.wake()
 }
 
 // PutSoon is Put for hints without a revision, that may wait a little for others and for what cannot wait.
-func (s *Source) PutSoon(key string, change register.Fields, isFull bool) {
+func (s *Source) PutSoon(key string, change register.Fields, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.put(key, register.Revision{}, register.Revision{}, change, isFull)
-	if !s.isSoon {
-		s.isSoon = true
+	s.put(key, register.Revision{}, register.Revision{}, change, full)
+	if !s.soon {
+		s.soon = true
 		time.AfterFunc(soonTime, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.isSoon {
+			if s.soon {
 				s.wake()
 			}
 		})
@@ -143,19 +143,19 @@
 
 // wake answers the asks that are held; s.mu is held.
 func (s *Source) wake() {
-	s.ripe, s.isSoon = s.number, false
+	s.ripe, s.soon = s.number, false
 	close(s.news)
 	s.news = make(chan struct{})
 }
 
 // put is Put without waking anybody; s.mu is held.
-func (s *Source) put(key string, revision, settled register.Revision, change register.Fields, isFull bool) {
+func (s *Source) put(key string, revision, settled register.Revision, change register.Fields, complete bool) {
 	k := s.keys[key]
 	if k == nil {
 		k = &sourced{cells: map[string]cell{}}
 		s.keys[key] = k
 	}
-	if isFull {
+	if complete {
 		full := register.Fields{}
 		for field, c := range k.cells {
 			if c.value != nil {
@@ -179,18 +179,18 @@
 }
 
 func (s *Source) set(key string, k *sourced, field string, value json.RawMessage) {
-	old, isThere := k.cells[field]
+	old, ok := k.cells[field]
 	if register.IsGone(value) {
 		value = nil
-		if !isThere || old.value == nil {
+		if !ok || old.value == nil {
 			return
 		}
-	} else if isThere && old.value == nil {
+	} else if ok && old.value == nil {
 		s.tombs.Delete(place{number: old.number})
-	} else if isThere && string(old.value) == string(value) && k.revision != (register.Revision{}) {
+	} else if ok && string(old.value) == string(value) && k.revision != (register.Revision{}) {
 		return
 	}
-	if isThere {
+	if ok {
 		s.order.Delete(place{number: old.number})
 	}
 	s.number++
@@ -211,13 +211,13 @@
 // Pull answers an ask, at once if there is news, or after the wait.
 func (s *Source) Pull(ctx context.Context, ask Ask) (Answer, error) {
 	s.mu.Lock()
-	isSame := ask.Run == s.run && ask.From >= s.floor && ask.From <= s.number
+	same := ask.Run == s.run && ask.From >= s.floor && ask.From <= s.number
 	state := FollowerState{Name: ask.Name, Role: ask.Role, Applied: ask.Applied, Status: ask.Status, at: time.Now()}
-	if isSame {
+	if same {
 		state.Acked = ask.From
 	}
 	s.followers[ask.Name] = state
-	if isSame && ask.From >= s.ripe && ask.WaitMs > 0 {
+	if same && ask.From >= s.ripe && ask.WaitMs > 0 {
 		news := s.news
 		s.mu.Unlock()
 		timer := time.NewTimer(time.Duration(min(ask.WaitMs, 1000)) * time.Millisecond)
@@ -236,20 +236,20 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	isSame = isSame && ask.From >= s.floor
-	answer := Answer{Run: s.run, Number: s.number, IsSnapshot: !isSame, RemainingMs: remaining.Milliseconds()}
+	same = same && ask.From >= s.floor
+	answer := Answer{Run: s.run, Number: s.number, Snapshot: !same, RemainingMs: remaining.Milliseconds()}
 	if s.options.Who != nil {
 		answer.Who = s.options.Who()
 	}
 	from := ask.From
-	if !isSame {
+	if !same {
 		from = 0
 	}
 	now, at := time.Now(), map[string]int{}
 	s.order.AscendGreaterOrEqual(place{number: from + 1}, func(p place) bool {
 		k := s.keys[p.key]
-		i, isThere := at[p.key]
-		if !isThere {
+		i, ok := at[p.key]
+		if !ok {
 			i = len(answer.Entries)
 			at[p.key] = i
 			answer.Entries = append(answer.Entries, Entry{Key: p.key, Revision: k.revision, Settled: k.settled, Fields: register.Fields{}})
--- a/link/source_test.go
+++ b/link/source_test.go
@@ -17,13 +17,13 @@
 	s.Put("k", revision, revision, register.Fields{"a": []byte(`1`), "b": []byte(`2`)}, true)
 	first, err := s.Pull(t.Context(), Ask{Name: "f"})
 	is.NoErr(err)
-	is.True(first.IsSnapshot)
+	is.True(first.Snapshot)
 	is.Equal(len(first.Entries[0].Fields), 2)
 	next := register.Revision{Epoch: 1, Version: 2}
 	s.Put("k", next, next, register.Fields{"a": nil}, false)
 	second, err := s.Pull(t.Context(), Ask{Name: "f", Run: first.Run, From: first.Number})
 	is.NoErr(err)
-	is.True(!second.IsSnapshot)
+	is.True(!second.Snapshot)
 	is.Equal(len(second.Entries), 1)
 	is.Equal(second.Entries[0].Revision, next)
 	is.Equal(len(second.Entries[0].Fields), 1) // b did not change
@@ -46,7 +46,7 @@
 	}
 	merged, err := s.Pull(t.Context(), Ask{Name: "f", Run: first.Run, From: first.Number})
 	is.NoErr(err)
-	is.True(!merged.IsSnapshot)
+	is.True(!merged.Snapshot)
 	is.Equal(len(merged.Entries), 1)
 	is.Equal(string(merged.Entries[0].Fields["hot"]), "4999")
 	is.Equal(len(merged.Entries[0].Fields), 1)
@@ -57,10 +57,10 @@
 	}
 	late, err := s.Pull(t.Context(), Ask{Name: "f", Run: first.Run, From: merged.Number})
 	is.NoErr(err)
-	is.True(late.IsSnapshot) // removals that it never heard of are dropped by now
+	is.True(late.Snapshot) // removals that it never heard of are dropped by now
 	is.True(s.order.Len() <= maxTombs+3)
 	other, err := s.Pull(t.Context(), Ask{Name: "f", Run: "another life", From: late.Number})
 	is.NoErr(err)
-	is.True(other.IsSnapshot)
+	is.True(other.Snapshot)
 	is.Equal(s.FollowerStates(time.Minute)[0].Lag, other.Number)
 }
--- a/link/wire.go
+++ b/link/wire.go
@@ -149,9 +149,9 @@
 }
 
 // ServeReady answers the platform's check at GET /ready.
-func ServeReady(mux *http.ServeMux, isReady func() bool) {
+func ServeReady(mux *http.ServeMux, ready func() bool) {
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
-		if !isReady() {
+		if !ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
--- a/prompt/prompt.go
+++ b/prompt/prompt.go
@@ -28,8 +28,8 @@
 }
 
 // Domain is the cache domain of a request: its wall, which is one life of a tenant's name, and the weights.
-func Domain(tenant string, born uint64, isWalled bool, weights string) string {
-	if isWalled {
+func Domain(tenant string, born uint64, walled bool, weights string) string {
+	if walled {
 		return "tenant:" + tenant + "." + strconv.FormatUint(born, 10) + "@" + weights
 	}
 	return "common@" + weights
@@ -109,7 +109,7 @@
 	for len(x.line) > 0 && (x.tree.Len() > x.most || len(x.line) > 4*x.most) {
 		old := x.line[0]
 		x.line = x.line[1:]
-		if present, isThere := x.tree.Get(old); isThere && present == old {
+		if present, ok := x.tree.Get(old); ok && present == old {
 			x.tree.Delete(old)
 		}
 	}
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -56,7 +56,7 @@
 type ring struct {
 	flows  []*flow
 	cursor int
-	isNew  bool // the cursor has just come to its flow
+	new    bool // the cursor has just come to its flow
 }
 
 type flow struct {
@@ -108,8 +108,8 @@
 	var none G
 	b.mu.Lock()
 	f := b.flow(item)
-	isAgain := item.place != 0
-	if !isAgain {
+	again := item.place != 0
+	if !again {
 		if waiting := len(f.items); waiting >= item.Limit {
 			full := fail.New(fail.QueueFull, "%d requests wait", waiting)
 			full.Again = f.drain(waiting, b.options.HeldUntil(item.Scope))
@@ -132,7 +132,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if credit, isGranted := b.grants[item]; isGranted {
+	if credit, granted := b.grants[item]; granted {
 		delete(b.grants, item)
 		if ctx.Err() == nil {
 			return credit, nil
@@ -158,7 +158,7 @@
 		b.flows[at] = f
 		r := b.rings[item.Pool]
 		if r == nil {
-			r = &ring{isNew: true}
+			r = &ring{new: true}
 			b.rings[item.Pool] = r
 		}
 		r.flows = append(r.flows, f)
@@ -205,17 +205,17 @@
 }
 
 // grant goes round the flows until nothing is left to grant, or no credit; then it says no.
-func (b *Queue[G]) grant(r *ring, isLate bool) bool {
+func (b *Queue[G]) grant(r *ring, late bool) bool {
 	now := time.Now()
 	for idle := 0; idle < len(r.flows); {
 		f := r.flows[r.cursor]
-		if r.isNew {
+		if r.new {
 			f.deficit += quantum * f.weight
-			r.isNew = false
+			r.new = false
 		}
 		at := -1
 		if len(f.items) > 0 && b.isReleased(f) {
-			at = f.next(now, isLate)
+			at = f.next(now, late)
 		}
 		if at < 0 {
 			f.deficit = 0
@@ -229,8 +229,8 @@
 			idle = 0 // it has work: its deficit grows each time round
 			continue
 		}
-		credit, isPaid := b.options.Pick(item)
-		if !isPaid {
+		credit, paid := b.options.Pick(item)
+		if !paid {
 			return false // the turn stays here until a credit comes free
 		}
 		f.deficit -= item.Cost
@@ -244,8 +244,8 @@
 }
 
 // next finds the first item that can still be in time, or the first of all.
-func (f *flow) next(now time.Time, isLate bool) int {
-	if isLate && len(f.items) > 0 {
+func (f *flow) next(now time.Time, late bool) int {
+	if late && len(f.items) > 0 {
 		return 0
 	}
 	return slices.IndexFunc(f.items, func(item *Item) bool { return item.Due.IsZero() || now.Before(item.Due) })
@@ -253,7 +253,7 @@
 
 func (r *ring) advance() {
 	r.cursor = (r.cursor + 1) % len(r.flows)
-	r.isNew = true
+	r.new = true
 }
 
 // isReleased looks at the flow's hold and at its pacer (§4.4).
@@ -287,12 +287,12 @@
 // giveUp ends the wait of those that the hold outlasts: their answer is known, and they can be told when to come back.
 func (f *flow) giveUp(until time.Time) {
 	f.items = slices.DeleteFunc(f.items, func(item *Item) bool {
-		isOver := !item.Deadline.IsZero() && !item.Deadline.After(until)
-		if isOver {
+		over := !item.Deadline.IsZero() && !item.Deadline.After(until)
+		if over {
 			item.heldFor = time.Until(until)
 			close(item.granted)
 		}
-		return isOver
+		return over
 	})
 }
 
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -37,7 +37,7 @@
 	weight    int      // bytes of deltas since the last whole; with the write lock
 	promises  []string // promise files on disk; with the write lock
 	stale     []string // files that do not count, and are removed before anything else is written; with the write lock
-	isSynced  bool     // the files above are sure to survive a loss of power; with the write lock
+	synced    bool     // the files above are sure to survive a loss of power; with the write lock
 	mu        sync.Mutex
 	record    Record
 	lost      Revision // a version that was accepted here and whose file is torn; past once record.Revision is not below it
@@ -50,7 +50,7 @@
 	return e.record.Revision.Less(e.lost)
 }
 
-func newEntry() *entry { return &entry{writeLock: make(chan struct{}, 1), isSynced: true} }
+func newEntry() *entry { return &entry{writeLock: make(chan struct{}, 1), synced: true} }
 
 // lockWrites takes the write lock; a disk that stalls for too long rejects those behind.
 func (e *entry) lockWrites() error {
@@ -235,7 +235,7 @@
 		return k.sync(e, folderOf(change.Key)) // a late copy: what is here is the same, or came later under the same epoch
 	case !now.Revision.Less(change.Next):
 		return superseded(change.Next.Epoch, now)
-	case !change.IsFull && (change.Base != now.Revision || e.isDamaged()):
+	case !change.Full && (change.Base != now.Revision || e.isDamaged()):
 		return fail.New(fail.Behind, "has %v, base %v", now.Revision, change.Base)
 	}
 	return k.store(e, change)
@@ -252,15 +252,15 @@
 		k.Settle(key, revision)
 		return nil
 	}
-	return k.store(e, Change{Key: key, Next: revision, IsFull: true, Fields: fields, Settled: revision})
+	return k.store(e, Change{Key: key, Next: revision, Full: true, Fields: fields, Settled: revision})
 }
 
 // store writes a change and then shows it; the caller has the write lock, so the fields do not move meanwhile.
 func (k *Acceptor) store(e *entry, change Change) error {
 	old := e.read().Fields
 	weight, written := e.weight+weigh(change.Fields), change
-	if !change.IsFull && (len(e.files) == 0 || len(e.files) >= maxDeltas || weight > weigh(old)+4096) {
-		written.IsFull, written.Fields = true, old.Clone()
+	if !change.Full && (len(e.files) == 0 || len(e.files) >= maxDeltas || weight > weigh(old)+4096) {
+		written.Full, written.Fields = true, old.Clone()
 		written.Fields.Apply(change.Fields)
 	}
 	data, err := json.Marshal(written)
@@ -271,7 +271,7 @@
 	if err := k.put(e, folder, nameOf(change.Next), data); err != nil {
 		return err
 	}
-	if written.IsFull {
+	if written.Full {
 		k.drop(e, folder, e.files)
 		e.files, weight = nil, 0
 	}
@@ -279,7 +279,7 @@
 	e.files = append(e.files, nameOf(change.Next))
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.record.Fields == nil || change.IsFull {
+	if e.record.Fields == nil || change.Full {
 		e.record.Fields = Fields{}
 	}
 	e.record.Fields.Apply(change.Fields)
@@ -288,7 +288,7 @@
 	if e.record.Settled.Less(change.Settled) {
 		e.record.Settled = change.Settled
 	}
-	k.news(change.Key, e.record, change.Fields, change.IsFull)
+	k.news(change.Key, e.record, change.Fields, change.Full)
 	return nil
 }
 
@@ -305,7 +305,7 @@
 		}
 	}
 	err := k.disk.Put(folder, name, data)
-	e.isSynced = err == nil
+	e.synced = err == nil
 	switch {
 	case err == nil:
 		e.stale = nil
@@ -317,11 +317,11 @@
 
 // sync makes sure that what was loaded, or written by a call that failed, survives a loss of power. The caller has the write lock.
 func (k *Acceptor) sync(e *entry, folder string) error {
-	if e.isSynced {
+	if e.synced {
 		return nil
 	}
 	err := k.disk.Sync(folder)
-	e.isSynced = err == nil
+	e.synced = err == nil
 	return err
 }
 
--- a/register/acceptor_test.go
+++ b/register/acceptor_test.go
@@ -48,7 +48,7 @@
 	err = k.Accept(register.Change{Key: "a/b c", Base: base, Next: register.Revision{Epoch: 514, Version: 5}})
 	is.True(fail.Is(err, fail.Behind))
 	d.Fill(true)
-	full := register.Change{Key: "a/b c", Next: register.Revision{Epoch: 514, Version: 5}, IsFull: true, Fields: register.Fields{"x": []byte(`1`)}}
+	full := register.Change{Key: "a/b c", Next: register.Revision{Epoch: 514, Version: 5}, Full: true, Fields: register.Fields{"x": []byte(`1`)}}
 	is.True(fail.Is(k.Accept(full), fail.DiskFailed))
 	is.Equal(k.Revision("a/b c"), record.Revision) // no false yes
 	d.Fill(false)
--- a/register/confirm_test.go
+++ b/register/confirm_test.go
@@ -61,11 +61,11 @@
 }
 
 // isolate cuts a core off from all others: what it sends, what is sent to it, or both.
-func (c *cluster) isolate(core int, isSendingCut, isReceivingCut bool) {
+func (c *cluster) isolate(core int, sendingCut, receivingCut bool) {
 	for other := range c.acceptors {
 		if other != core {
-			c.cut(core, other, isSendingCut)
-			c.cut(other, core, isReceivingCut)
+			c.cut(core, other, sendingCut)
+			c.cut(other, core, receivingCut)
 		}
 	}
 }
@@ -87,9 +87,9 @@
 	var none T
 	pass := func(from, to int) error {
 		l.cluster.mu.Lock()
-		isCut := l.cluster.cuts[[2]int{from, to}]
+		cut := l.cluster.cuts[[2]int{from, to}]
 		l.cluster.mu.Unlock()
-		if isCut {
+		if cut {
 			<-ctx.Done()
 			return fail.New(fail.Unreachable, "lost from %d to %d", from, to)
 		}
@@ -143,7 +143,7 @@
 // An owner that lost the key without hearing of it answers nothing out of its memory: no refusal, no yes without a write, no read.
 // Once it hears the others again, it answers by what stands then.
 func TestDeposedOwnerAnswersNothingFromMemory(t *testing.T) {
-	for _, isEmpty := range []bool{false, true} { // whether the key had nothing when the owner was cut off
+	for _, empty := range []bool{false, true} { // whether the key had nothing when the owner was cut off
 		for _, cut := range [][2]bool{{true, true}, {true, false}, {false, true}} {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -151,7 +151,7 @@
 				c := newCluster(t, 4)
 				ctx := context.Background()
 				number := 0
-				if !isEmpty {
+				if !empty {
 					_, err := c.owners[0].Change(ctx, "k", raise(0, 1))
 					is.NoErr(err)
 					number = 1
--- a/register/explore_test.go
+++ b/register/explore_test.go
@@ -14,7 +14,7 @@
 // exploration is what a search over the schedules of a scenario came to.
 type exploration struct {
 	schedules, states, steps int
-	isFull                   bool // no schedule was left out or cut short
+	full                     bool // no schedule was left out or cut short
 	path                     []string
 	fault                    error
 }
@@ -26,10 +26,10 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // a bubble's goroutines take turns; on several processors that costs three times as much
 	met := map[uint64]bool{}
 	queue := [][]int{nil}
-	e.isFull = true
+	e.full = true
 	for len(queue) > 0 && e.fault == nil {
 		if most > 0 && e.schedules >= most {
-			e.isFull = false
+			e.full = false
 			break
 		}
 		prefix := queue[0]
@@ -47,7 +47,7 @@
 			}
 			met[state] = true
 			if len(path) >= deepest {
-				e.isFull = false
+				e.full = false
 				return -1
 			}
 			for i := 1; i < len(open); i++ {
@@ -59,12 +59,12 @@
 		})
 	}
 	e.states = len(met)
-	e.isFull = e.isFull && e.fault == nil
+	e.full = e.full && e.fault == nil
 	return e
 }
 
 func (e exploration) String() string {
-	return fmt.Sprintf("%d schedules, %d states, at most %d steps; all of them: %v", e.schedules, e.states, e.steps, e.isFull)
+	return fmt.Sprintf("%d schedules, %d states, at most %d steps; all of them: %v", e.schedules, e.states, e.steps, e.full)
 }
 
 // race has two owners take the first number for two contents.
--- a/register/fuzz_test.go
+++ b/register/fuzz_test.go
@@ -42,7 +42,7 @@
 		if next.Epoch == 0 {
 			return // no epoch is above the highest
 		}
-		if err := k.Accept(register.Change{Key: "k", Next: next, IsFull: true, Fields: register.Fields{"z": json.RawMessage(`1`)}}); err != nil {
+		if err := k.Accept(register.Change{Key: "k", Next: next, Full: true, Fields: register.Fields{"z": json.RawMessage(`1`)}}); err != nil {
 			t.Errorf("a whole change is not taken: %v", err)
 		}
 	})
--- a/register/lease_test.go
+++ b/register/lease_test.go
@@ -48,7 +48,7 @@
 	store     lease.Store
 	node      int
 	life      int
-	isFrozen  bool
+	frozen    bool
 	asked     atomic.Int64 // the node whose owner takes its next change
 	stepping  sync.Mutex
 }
@@ -72,12 +72,12 @@
 func (f fences) act(all []*candidate) error {
 	var holders []string
 	for _, c := range all {
-		number, isOurs := c.candidate.Holds()
-		if !isOurs {
+		number, own := c.candidate.Holds()
+		if !own {
 			continue
 		}
 		holders = append(holders, c.candidate.Holder())
-		if c.isFrozen {
+		if c.frozen {
 			continue
 		}
 		if before, isUsed := f[number]; isUsed && before != c.candidate.Holder() {
@@ -137,17 +137,17 @@
 			case 0:
 				c.isolate(one.node, random.IntN(2) == 0, random.IntN(2) == 0)
 			case 1:
-				one.isFrozen = true
+				one.frozen = true
 			case 2:
 				sit(one)
 			case 3, 4:
 				for _, other := range all {
-					other.isFrozen = false
+					other.frozen = false
 					c.isolate(other.node, false, false)
 				}
 			}
 			for _, stepping := range all {
-				if !stepping.isFrozen && random.IntN(20) == 0 {
+				if !stepping.frozen && random.IntN(20) == 0 {
 					stepping.asked.Store(int64(stepping.node))
 					if random.IntN(3) == 0 {
 						stepping.asked.Store(int64(random.IntN(len(all))))
--- a/register/load.go
+++ b/register/load.go
@@ -20,7 +20,7 @@
 func promiseName(epoch uint64) string { return fmt.Sprintf("p.%016x", epoch) }
 
 // revisionOf reads a version's revision from its file's name.
-func revisionOf(name string) (revision Revision, isVersion bool) {
+func revisionOf(name string) (revision Revision, version bool) {
 	_, err := fmt.Sscanf(name, "v.%016x.%016x", &revision.Epoch, &revision.Version)
 	return revision, err == nil && name == nameOf(revision)
 }
@@ -42,7 +42,7 @@
 	slices.Sort(names)
 	content := readFolder(d, folder, names, note)
 	e := newEntry()
-	e.isSynced = false // a process before this one may have died between a rename and the sync of the folder
+	e.synced = false // a process before this one may have died between a rename and the sync of the folder
 	revisions := make([]Revision, 0, len(content.changes))
 	for revision := range content.changes {
 		revisions = append(revisions, revision)
@@ -87,7 +87,7 @@
 			continue
 		}
 		note(folder, name, err)
-		if revision, isVersion := revisionOf(name); isVersion {
+		if revision, version := revisionOf(name); version {
 			content.torn = append(content.torn, revision)
 		}
 	}
@@ -113,12 +113,12 @@
 func chainTo(changes map[Revision]Change, revision Revision) []Change {
 	var chain []Change
 	for {
-		change, isThere := changes[revision]
-		if !isThere || !change.IsFull && !change.Base.Less(change.Next) {
+		change, ok := changes[revision]
+		if !ok || !change.Full && !change.Base.Less(change.Next) {
 			return nil
 		}
 		chain = append(chain, change)
-		if change.IsFull || change.Base == (Revision{}) {
+		if change.Full || change.Base == (Revision{}) {
 			slices.Reverse(chain)
 			return chain
 		}
@@ -128,7 +128,7 @@
 
 // take applies a change that was read from the disk.
 func (e *entry) take(change Change) {
-	if change.IsFull || e.record.Fields == nil {
+	if change.Full || e.record.Fields == nil {
 		e.record.Fields = Fields{}
 	}
 	e.record.Fields.Apply(change.Fields)
@@ -137,7 +137,7 @@
 		e.record.Settled = change.Settled
 	}
 	e.files = append(e.files, nameOf(change.Next))
-	if !change.IsFull {
+	if !change.Full {
 		e.weight += weigh(change.Fields)
 	}
 }
--- a/register/model_test.go
+++ b/register/model_test.go
@@ -31,7 +31,7 @@
 	name := fmt.Sprintf("p%d%s", number, label)
 	b := config.Empty()
 	b.Pools["web"] = config.Pool{Name: "web", Kind: "web"}
-	b.Paths[name] = config.Path{Name: name, Address: "/" + name + "/", Pool: "web", DeadlineMs: 1000, IsPublic: true, MaxBody: 1000, Cost: 1}
+	b.Paths[name] = config.Path{Name: name, Address: "/" + name + "/", Pool: "web", DeadlineMs: 1000, Public: true, MaxBody: 1000, Cost: 1}
 	d := &config.Declaration{Number: number, BasedOn: base, Digest: fmt.Sprint(number, base, label), Items: b.Fields(),
 		Texts: register.Fields{"path/" + name: json.RawMessage(`{}`)}, Order: []string{"path/" + name}}
 	delete(d.Items, "hold")
@@ -77,7 +77,7 @@
 	from, life, to int
 	name           string // what it asks, in full
 	sentAt         int    // the number of steps before it
-	isPutOff       bool   // a step was taken in its stead
+	putOff         bool   // a step was taken in its stead
 	do             func() (any, error)
 	answer         *answered
 	back           chan answered // nil: nobody waits for the answer
@@ -121,7 +121,7 @@
 	mu       sync.Mutex
 	flying   []*message
 	orphans  []chan answered // of owners whose life is over
-	isClosed bool
+	closed   bool
 	log      []string                     // what operators met, in order
 	contents map[register.Revision]string // whatever disk had it
 	yes      []string                     // fields that were acknowledged
@@ -190,7 +190,7 @@
 func (r remote) send(name string, do func(*register.Acceptor) (any, error)) (any, error) {
 	back := make(chan answered, 1)
 	r.c.mu.Lock()
-	if r.c.isClosed {
+	if r.c.closed {
 		r.c.mu.Unlock()
 		return nil, errLost
 	}
@@ -216,7 +216,7 @@
 }
 
 func (r remote) Accept(_ context.Context, change register.Change) error {
-	name := fmt.Sprint("accept ", change.Base, change.Next, change.IsFull, len(change.Fields)) // within one epoch a revision has one content
+	name := fmt.Sprint("accept ", change.Base, change.Next, change.Full, len(change.Fields)) // within one epoch a revision has one content
 	_, err := r.send(name, func(k *register.Acceptor) (any, error) { return nil, k.Accept(change) })
 	return err
 }
@@ -267,7 +267,7 @@
 		if c.isCut(m) {
 			continue
 		}
-		if m.isPutOff {
+		if m.putOff {
 			later = append(later, made)
 		} else {
 			all = append(all, made)
@@ -309,7 +309,7 @@
 func (c *model) take(open []choice, pick int) {
 	for _, passed := range open[:pick] {
 		if passed.message != nil && open[pick].message != nil {
-			passed.message.isPutOff = true
+			passed.message.putOff = true
 		}
 	}
 	c.steps++
@@ -438,8 +438,8 @@
 		go func() {
 			revision, err := owner.Settle(context.Background(), modelKey, false)
 			now := acceptor.Read(modelKey)
-			isShown := now.Revision == revision || revision.Less(now.Revision) && now.IsSettled() // as a core's read does; it would wait for the rest
-			if c.ends(o, life) && err == nil && isShown {
+			shown := now.Revision == revision || revision.Less(now.Revision) && now.IsSettled() // as a core's read does; it would wait for the rest
+			if c.ends(o, life) && err == nil && shown {
 				done(config.Number(now.Fields), history.Items(config.Texts(now.Fields)))
 				c.note(fmt.Sprint("shows ", config.Number(now.Fields), ": ", o))
 			}
@@ -470,7 +470,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running, o)
-	return !c.isClosed && c.members[o.node].life == life
+	return !c.closed && c.members[o.node].life == life
 }
 
 func (c *model) isAnyRunning() bool {
@@ -506,7 +506,7 @@
 		}
 		c.members[i].checked = at
 		raw, _ := json.Marshal(r.Fields) // maps encode in the order of their names
-		if was, isMet := c.contents[at]; isMet && was != string(raw) {
+		if was, met := c.contents[at]; met && was != string(raw) {
 			c.found(fmt.Errorf("stamp %v has two contents; the other one is at node %d", at, i))
 		}
 		c.contents[at] = string(raw)
@@ -569,7 +569,7 @@
 // close lets all goroutines end.
 func (c *model) close() {
 	c.mu.Lock()
-	c.isClosed = true
+	c.closed = true
 	waiting := c.orphans
 	for _, m := range c.flying {
 		if m.back != nil {
--- a/register/orders_test.go
+++ b/register/orders_test.go
@@ -71,7 +71,7 @@
 	}
 	items := b.Fields()
 	delete(items, "hold")
-	return &order{Declaration: config.Declaration{Number: number, BasedOn: basedOn, IsFull: basedOn == 0, Digest: digest, Items: items}}
+	return &order{Declaration: config.Declaration{Number: number, BasedOn: basedOn, Full: basedOn == 0, Digest: digest, Items: items}}
 }
 
 // Two to eight operators send configurations to any core, again while the first is under way, and again much later; messages and answers
@@ -125,7 +125,7 @@
 				mu.Lock()
 				least := highest
 				mu.Unlock()
-				if number, isRead := w.read(pick(cores)); isRead {
+				if number, read := w.read(pick(cores)); read {
 					if number < least {
 						t.Errorf("read %d after %d", number, least)
 					}
--- a/register/owner.go
+++ b/register/owner.go
@@ -42,20 +42,20 @@
 
 type owned struct {
 	ops      []*pending
-	isBusy   bool
+	busy     bool
 	epoch    uint64 // 0 while the key is not ours
 	seen     uint64 // highest epoch met
 	revision Revision
 	settled  Revision
 	fields   Fields
-	isShaken bool // an earlier change is undecided
+	shaken   bool // an earlier change is undecided
 }
 
 type pending struct {
-	op      Op // nil to settle
-	isCarry bool
-	ctx     context.Context // the caller's
-	result  chan result
+	op     Op // nil to settle
+	carry  bool
+	ctx    context.Context // the caller's
+	result chan result
 }
 
 type result struct {
@@ -76,8 +76,8 @@
 
 // Settle makes sure that what the key has is on a majority, and gives its revision: no older one than stood when it was called. With isCarry
 // the present membership accepts it anew even if it is known to be settled.
-func (o *Owner) Settle(ctx context.Context, key string, isCarry bool) (Revision, error) {
-	return o.do(ctx, key, &pending{isCarry: isCarry, ctx: ctx, result: make(chan result, 1)})
+func (o *Owner) Settle(ctx context.Context, key string, carry bool) (Revision, error) {
+	return o.do(ctx, key, &pending{carry: carry, ctx: ctx, result: make(chan result, 1)})
 }
 
 func (o *Owner) do(ctx context.Context, key string, p *pending) (Revision, error) {
@@ -88,8 +88,8 @@
 		o.keys[key] = k
 	}
 	k.ops = append(k.ops, p)
-	if !k.isBusy {
-		k.isBusy = true
+	if !k.busy {
+		k.busy = true
 		go o.work(key, k)
 	}
 	o.mu.Unlock()
@@ -108,7 +108,7 @@
 		batch := k.ops
 		k.ops = nil
 		if len(batch) == 0 {
-			k.isBusy = false
+			k.busy = false
 			o.mu.Unlock()
 			return
 		}
@@ -127,13 +127,13 @@
 		refuseAll(batch, err)
 		return
 	}
-	isTaken, err := o.hold(ctx, membership, key, k)
+	taken, err := o.hold(ctx, membership, key, k)
 	if err != nil {
 		refuseAll(batch, err)
 		return
 	}
 	e := k.evaluate(batch)
-	if !e.isTouched && !isTaken {
+	if !e.touched && !taken {
 		err := o.confirm(ctx, membership, key, k)
 		if fail.Is(err, fail.Superseded) { // another owner may have changed the key: what was answered here is void, and nothing was written
 			if _, err = o.hold(ctx, membership, key, k); err == nil {
@@ -145,7 +145,7 @@
 			return
 		}
 	}
-	if e.isTouched {
+	if e.touched {
 		if err := o.write(ctx, membership, key, k, e.change, e.working); err != nil {
 			refuseAll(batch, err) // those too that change nothing: their answers rest on what was to be written
 			return
@@ -164,18 +164,18 @@
 
 // evaluation is what a batch comes to, on the content that the owner knows.
 type evaluation struct {
-	working   Fields
-	change    Fields
-	refusals  []error // one for each of the batch; nil for a yes
-	isTouched bool    // something is to be written
+	working  Fields
+	change   Fields
+	refusals []error // one for each of the batch; nil for a yes
+	touched  bool    // something is to be written
 }
 
 // evaluate applies a batch in order to one working copy.
 func (k *owned) evaluate(batch []*pending) evaluation {
-	e := evaluation{working: k.fields.Clone(), change: Fields{}, refusals: make([]error, len(batch)), isTouched: k.isShaken}
+	e := evaluation{working: k.fields.Clone(), change: Fields{}, refusals: make([]error, len(batch)), touched: k.shaken}
 	for i, p := range batch {
 		if p.op == nil {
-			e.isTouched = e.isTouched || p.isCarry && k.revision.Version > 0
+			e.touched = e.touched || p.carry && k.revision.Version > 0
 			continue
 		}
 		if err := p.ctx.Err(); err != nil { // the caller may have gone to another core, and changed the key since
@@ -191,13 +191,13 @@
 		for name, value := range delta {
 			e.change[name] = value
 		}
-		e.isTouched = e.isTouched || len(delta) > 0
+		e.touched = e.touched || len(delta) > 0
 	}
 	return e
 }
 
 // hold takes the key unless it is ours; isTaken: a majority has just promised it.
-func (o *Owner) hold(ctx context.Context, membership Membership, key string, k *owned) (isTaken bool, err error) {
+func (o *Owner) hold(ctx context.Context, membership Membership, key string, k *owned) (taken bool, err error) {
 	if k.epoch != 0 && o.options.Acceptor.Promised(key) > k.epoch {
 		k.epoch = 0 // another owner has asked this very disk
 	}
@@ -248,8 +248,8 @@
 	count := 0
 	answers := gather(membership, func(p Peer) (Record, error) { return p.Promise(ctx, key, epoch, own.Revision) })
 	for count < membership.majority() {
-		a, isOpen := <-answers
-		if !isOpen {
+		a, open := <-answers
+		if !open {
 			break
 		}
 		if a.err != nil {
@@ -274,7 +274,7 @@
 		return fail.New(fail.NoMajority, "%d of %d promises for %s", count, membership.majority(), key)
 	}
 	k.epoch, k.revision, k.fields, k.settled = epoch, best.Revision, best.Fields.Clone(), settled
-	k.isShaken = !IsSettled(best.Revision, settled)
+	k.shaken = !IsSettled(best.Revision, settled)
 	return nil
 }
 
@@ -289,7 +289,7 @@
 		err := p.Accept(ctx, delta)
 		if fail.Is(err, fail.Behind) {
 			full := delta
-			full.IsFull, full.Fields = true, content
+			full.Full, full.Fields = true, content
 			err = p.Accept(ctx, full)
 		}
 		return struct{}{}, err
@@ -298,8 +298,8 @@
 	answers := gather(membership, ask)
 	var refusal error
 	for count < membership.majority() {
-		a, isOpen := <-answers
-		if !isOpen {
+		a, open := <-answers
+		if !open {
 			break
 		}
 		switch {
@@ -316,7 +316,7 @@
 		k.epoch = 0
 		return fail.New(fail.Undecided, "%d of %d disks have %s version %d: %v", count, membership.majority(), key, next.Version, refusal)
 	}
-	k.revision, k.fields, k.settled, k.isShaken = next, content, next, false
+	k.revision, k.fields, k.settled, k.shaken = next, content, next, false
 	o.options.Acceptor.Settle(key, next)
 	for _, p := range membership {
 		go func() {
@@ -343,7 +343,7 @@
 	defer o.mu.Unlock()
 	all := map[string]uint64{}
 	for key, k := range o.keys {
-		if !k.isBusy && k.epoch != 0 {
+		if !k.busy && k.epoch != 0 {
 			all[key] = k.epoch
 		}
 	}
