--- a/register/power_test.go
+++ b/register/power_test.go
@@ -81,7 +81,7 @@
 		case record.Revision != said.known && record.Revision != said.offered && record.Revision.Epoch < said.promised:
 			return fmt.Errorf("%s: said %v with its promise of %d and has %v", key, said.known, said.promised, record.Revision)
 		}
-		if content, isOffered := r.contents[contentOf(key, record.Revision)]; !isOffered && record.Revision != (register.Revision{}) {
+		if content, offered := r.contents[contentOf(key, record.Revision)]; !offered && record.Revision != (register.Revision{}) {
 			return fmt.Errorf("%s: has %v, which was never offered", key, record.Revision)
 		} else if !maps.EqualFunc(content, record.Fields, func(a, b json.RawMessage) bool { return bytes.Equal(a, b) }) {
 			return fmt.Errorf("%s: has another content of %v", key, record.Revision)
@@ -118,17 +118,17 @@
 }
 
 // accept asks for the owner's next change, whole if need be. Without a yes it may be on other disks, or the next owner takes up what is here.
-func (r *trial) accept(key string, isFull bool) error {
+func (r *trial) accept(key string, full bool) error {
 	said := r.key(key)
 	before, fields := said.revision, said.fields.Clone()
 	change := r.next(key)
-	if isFull {
-		change.IsFull, change.Fields = true, said.fields.Clone()
+	if full {
+		change.Full, change.Fields = true, said.fields.Clone()
 	}
 	said.offered = change.Next
 	err := r.acceptor.Accept(change)
 	if fail.Is(err, fail.Behind) {
-		change.IsFull, change.Fields = true, said.fields.Clone()
+		change.Full, change.Fields = true, said.fields.Clone()
 		err = r.acceptor.Accept(change)
 	}
 	if err == nil {
@@ -148,7 +148,7 @@
 	if said.offered.Epoch == 0 || said.offered.Less(said.known) {
 		return
 	}
-	if r.acceptor.Accept(register.Change{Key: key, Base: said.offered, Next: said.offered, IsFull: true, Fields: r.contents[contentOf(key, said.offered)].Clone()}) == nil {
+	if r.acceptor.Accept(register.Change{Key: key, Base: said.offered, Next: said.offered, Full: true, Fields: r.contents[contentOf(key, said.offered)].Clone()}) == nil {
 		said.known = said.offered
 	}
 }
@@ -208,7 +208,7 @@
 
 // interrupt ends the process, by a loss of power or a kill, and begins another that ends too, late in its opening or soon after; then power is
 // lost and a third process has to know all that the first two have answered. first and second count operations; 0: not ended.
-func interrupt(seed uint64, first, second int, isKill bool) error {
+func interrupt(seed uint64, first, second int, kill bool) error {
 	r := newTrial(seed)
 	r.random = rand.New(rand.NewPCG(seed, uint64(first)<<16|uint64(second))) // else all runs of a seed would draw alike
 	kept := keptChances[int(seed)%len(keptChances)]
@@ -218,9 +218,9 @@
 		begun = r.run(steps())
 	}
 	for _, stop := range []int{second, 0} {
-		if isKill {
+		if kill {
 			r.files.Restart()
-			isKill = false
+			kill = false
 		} else {
 			r.files.PowerLoss(r.random, kept)
 		}
@@ -261,18 +261,18 @@
 	t.Parallel()
 	eachSeed(t, *powerSeeds, func(seed uint64, operations int, judge func(error)) {
 		for first := 1; first <= operations+1; first++ {
-			for _, isKill := range []bool{false, true} {
+			for _, kill := range []bool{false, true} {
 				seconds := []int{0, 1 + (first+int(seed))%20, 11 + (first*7+int(seed))%20, 21 + (first+int(seed))%29}
-				if isKill && leavesUnanswered(first) { // what the next process finds is not sure to last: it is ended everywhere
+				if kill && leavesUnanswered(first) { // what the next process finds is not sure to last: it is ended everywhere
 					seconds = nil
 					for second := range 30 {
 						seconds = append(seconds, second)
 					}
 				}
 				for _, second := range seconds {
-					err := interrupt(seed, first, second, isKill)
+					err := interrupt(seed, first, second, kill)
 					if err != nil {
-						err = fmt.Errorf("ended at %d and %d, first by a kill %v: %w", first, second, isKill, err)
+						err = fmt.Errorf("ended at %d and %d, first by a kill %v: %w", first, second, kill, err)
 					}
 					judge(err)
 				}
@@ -373,7 +373,7 @@
 	eachSeed(t, (*powerSeeds+1)/2, func(seed uint64, operations int, judge func(error)) {
 		for from := 1; from <= operations; from++ {
 			for _, count := range []int{1, 2, 5, 30} {
-				for _, fault := range []sim.Fault{{}, {IsDone: true}, {IsWriting: true}} {
+				for _, fault := range []sim.Fault{{}, {Done: true}, {Writing: true}} {
 					fault.From, fault.To = from, from+count-1
 					err := failing(seed, fault)
 					if err != nil {
@@ -404,9 +404,9 @@
 				continue // a folder that cannot be listed: no process
 			}
 			for key, said := range r.keys {
-				isLost := r.acceptor.Revision(key).Less(said.known)
+				lost := r.acceptor.Revision(key).Less(said.known)
 				_, err := r.acceptor.Promise(key, said.epoch+255, register.Revision{})
-				if isLost != fail.Is(err, fail.Torn) {
+				if lost != fail.Is(err, fail.Torn) {
 					t.Fatalf("after %d steps, with read %d failing, %s of %v: promise %v", end, fault, key, r.acceptor.Revision(key), err)
 				}
 				if err == nil {
--- a/register/random_test.go
+++ b/register/random_test.go
@@ -63,23 +63,23 @@
 	var told *history.Recorder
 	path, fault = play(t, s, 0, func(c *model, open []choice) int {
 		told = c.history
-		isEnding := c.steps >= randomSteps
-		if isEnding {
+		ending := c.steps >= randomSteps
+		if ending {
 			c.left = budget{}
 		} else if random.IntN(20) == 0 {
 			c.cutOrMend(random)
 		}
-		if !isEnding && c.started == len(c.scenario.orders) && len(c.running) < mostUnderWay {
+		if !ending && c.started == len(c.scenario.orders) && len(c.running) < mostUnderWay {
 			c.scenario.orders = append(c.scenario.orders, o.next(c))
 		}
-		return pick(random, open, isEnding)
+		return pick(random, open, ending)
 	})
 	return path, told.Count(history.Acknowledged), fault
 }
 
 // pick draws a kind of step first, so that many messages under way do not make other kinds rare; at the end no faults. Cuts are mended
 // seldom, unless nothing else is open.
-func pick(random *rand.Rand, open []choice, isEnding bool) int {
+func pick(random *rand.Rand, open []choice, ending bool) int {
 	places := map[kind][]int{}
 	for i, made := range open {
 		places[made.kind] = append(places[made.kind], i)
@@ -93,7 +93,7 @@
 	case draw < 14:
 		drawn = mending
 	}
-	if isEnding && drawn != mending || len(places[drawn]) == 0 {
+	if ending && drawn != mending || len(places[drawn]) == 0 {
 		drawn = plain
 	}
 	if len(places[drawn]) == 0 {
--- a/register/register.go
+++ b/register/register.go
@@ -49,7 +49,7 @@
 	Key     string   `json:"key"`
 	Base    Revision `json:"base"`
 	Next    Revision `json:"next"`
-	IsFull  bool     `json:"whole,omitempty"`
+	Full    bool     `json:"whole,omitempty"`
 	Fields  Fields   `json:"fields"`
 	Settled Revision `json:"settled"`
 }
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -84,7 +84,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.checked++
-	if size, isMet := w.settled[r.Revision]; isMet && size != len(r.Fields) {
+	if size, met := w.settled[r.Revision]; met && size != len(r.Fields) {
 		w.t.Errorf("stamp %v is settled with %d and with %d fields", r.Revision, size, len(r.Fields))
 	}
 	w.settled[r.Revision] = len(r.Fields)
--- a/relaytest/acts.go
+++ b/relaytest/acts.go
@@ -8,10 +8,10 @@
 
 // act is what a replica does with a request. It gives whether the connection is kept.
 type act struct {
-	name     string
-	isProper bool
-	weight   int
-	do       func(l *line, r *Run, q *http.Request) bool
+	name   string
+	proper bool
+	weight int
+	do     func(l *line, r *Run, q *http.Request) bool
 }
 
 // Acts names what replicas may do with a request.
@@ -50,7 +50,7 @@
 	{"refused twice, the copy where the next answer is due", false, 5, func(l *line, r *Run, q *http.Request) bool {
 		l.w.note(func() { r.HasRun = false })
 		text := l.refusal(r, q, q.Header.Get(l.w.Speech.IDHeader))
-		l.pending, l.isSilly = text, l.w.draw(2) == 0
+		l.pending, l.silly = text, l.w.draw(2) == 0
 		return l.send(text)
 	}},
 	{"refused without a promise", false, 4, func(l *line, r *Run, q *http.Request) bool {
@@ -74,7 +74,7 @@
 	}},
 	{"twice, the copy where the next answer is due", false, 6, func(l *line, r *Run, q *http.Request) bool {
 		head, body := l.answerTo(r, q)
-		l.pending, l.isSilly = head+body, l.w.draw(2) == 0
+		l.pending, l.silly = head+body, l.w.draw(2) == 0
 		return l.finish(r, head+body)
 	}},
 	{"another's answer", false, 8, func(l *line, r *Run, q *http.Request) bool { return l.send(l.foreign(r, q)) }},
@@ -84,7 +84,7 @@
 		return l.send(text) && l.finish(r, head+body)
 	}},
 	{"another's answer where the next one is due", false, 5, func(l *line, r *Run, q *http.Request) bool {
-		l.pending, l.isSilly = l.foreign(r, q), l.w.draw(2) == 0
+		l.pending, l.silly = l.foreign(r, q), l.w.draw(2) == 0
 		head, body := l.answerTo(r, q)
 		return l.finish(r, head+body)
 	}},
@@ -168,12 +168,12 @@
 		}
 		cut := l.w.draw(len(body) + 1)
 		l.send(l.w.head(r.Status, q.Header.Get(l.w.Speech.IDHeader), r, kind, "Connection: close") + body[:cut])
-		hasEnd := r.IsStream && l.w.Speech.EndMark != "" // of its own
-		l.w.note(func() { r.IsComplete = body == "" || hasEnd && cut == len(body) })
+		hasEnd := r.Stream && l.w.Speech.EndMark != "" // of its own
+		l.w.note(func() { r.Complete = body == "" || hasEnd && cut == len(body) })
 		return false
 	}},
 	{"a success without a stamp", false, 2, func(l *line, r *Run, q *http.Request) bool {
-		if !l.w.Speech.IsStamped {
+		if !l.w.Speech.Stamped {
 			return l.breakOff()
 		}
 		bare := *r
--- a/relaytest/client.go
+++ b/relaytest/client.go
@@ -44,14 +44,14 @@
 	defer k.c.Close()
 	for i := range 1 + w.draw(5) {
 		tag := fmt.Sprintf("tag-%s-%d", name, i)
-		isOpen := false
+		open := false
 		switch n := w.draw(20); {
 		case n < 10:
-			isOpen = k.ask(tag)
+			open = k.ask(tag)
 		case n < 12:
-			isOpen = k.astray(tag)
+			open = k.astray(tag)
 		case n < 14:
-			isOpen = k.pipeline(tag)
+			open = k.pipeline(tag)
 		case n < 15:
 			k.leaveMidway(tag)
 		case n < 16:
@@ -63,7 +63,7 @@
 		default:
 			k.smuggle(tag)
 		}
-		if !isOpen {
+		if !open {
 			return
 		}
 		switch w.draw(6) {
@@ -147,25 +147,25 @@
 }
 
 // ask sends a request and waits for its answer.
-func (k *caller) ask(tag string) (isOpen bool) {
+func (k *caller) ask(tag string) (open bool) {
 	s, text := k.w.compose(tag)
 	k.write(text)
-	return k.read(s, Got{IsPatient: true})
+	return k.read(s, Got{Patient: true})
 }
 
 // astray asks for what there is no path to: the relay answers by itself.
-func (k *caller) astray(tag string) (isOpen bool) {
+func (k *caller) astray(tag string) (open bool) {
 	s := &Sent{Tag: tag, Kind: Once, Method: "GET", Target: "/nowhere/x", Times: 1}
 	k.w.mu.Lock()
 	k.w.sent[tag] = s
 	k.w.order = append(k.w.order, tag)
 	k.w.mu.Unlock()
 	k.write(request(s, append([]string{k.w.Speech.TagHeader + ": " + tag}, k.w.Speech.Lines(Once)...)))
-	return k.read(s, Got{IsPatient: true})
+	return k.read(s, Got{Patient: true})
 }
 
 // pipeline sends two or three at once.
-func (k *caller) pipeline(tag string) (isOpen bool) {
+func (k *caller) pipeline(tag string) (open bool) {
 	var all []*Sent
 	var whole string
 	for i := range 2 + k.w.draw(2) {
@@ -174,7 +174,7 @@
 	}
 	k.write(whole)
 	for _, s := range all {
-		if !k.read(s, Got{IsPatient: true}) {
+		if !k.read(s, Got{Patient: true}) {
 			return false
 		}
 	}
@@ -244,13 +244,13 @@
 	w.order = append(w.order, tag)
 	w.mu.Unlock()
 	k.write(request(s, append([]string{w.Speech.TagHeader + ": " + tag, "Content-Length: 4"}, w.Speech.Lines(Once)...)) + "last")
-	k.read(s, Got{IsPatient: true})
+	k.read(s, Got{Patient: true})
 }
 
 // smuggle sends a request whose end is told in more than one way, with another one inside.
 func (k *caller) smuggle(tag string) {
 	w := k.w
-	inner := &Sent{Tag: tag + "-inner", Kind: Once, Method: "POST", Target: w.Speech.Path(Once) + "smuggled", IsSmuggled: true}
+	inner := &Sent{Tag: tag + "-inner", Kind: Once, Method: "POST", Target: w.Speech.Path(Once) + "smuggled", Smuggled: true}
 	hidden := request(inner, append([]string{w.Speech.TagHeader + ": " + inner.Tag, "Content-Length: 0"}, w.Speech.Lines(Once)...))
 	s := &Sent{Tag: tag, Kind: Once, Method: "POST", Target: w.Speech.Path(Once) + "x", Times: 1}
 	length := func(n int) string { return fmt.Sprintf("Content-Length: %d", n) }
@@ -288,13 +288,13 @@
 	w.order = append(w.order, tag)
 	w.mu.Unlock()
 	k.write(request(s, append(append([]string{w.Speech.TagHeader + ": " + tag}, w.Speech.Lines(Once)...), way.lines...)) + way.body)
-	if k.read(s, Got{IsOdd: true}) {
-		k.read(inner, Got{IsOdd: true})
+	if k.read(s, Got{Odd: true}) {
+		k.read(inner, Got{Odd: true})
 	}
 }
 
 // read takes one answer. What it gives says whether the connection may be used for another request.
-func (k *caller) read(s *Sent, g Got) (isOpen bool) {
+func (k *caller) read(s *Sent, g Got) (open bool) {
 	g.Tag, g.From = s.Tag, time.Now()
 	defer func() { k.w.take(g) }()
 	_ = k.c.SetReadDeadline(time.Now().Add(patience))
@@ -315,9 +315,9 @@
 	}
 	g.Status, g.Stamp = answer.StatusCode, answer.Header.Get(k.w.Speech.StampHeader)
 	body, err := io.ReadAll(answer.Body)
-	g.Body, g.IsComplete = string(body), err == nil
-	g.IsUnframed = answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 && s.Method != http.MethodHead
-	return g.IsComplete && !answer.Close
+	g.Body, g.Complete = string(body), err == nil
+	g.Unframed = answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 && s.Method != http.MethodHead
+	return g.Complete && !answer.Close
 }
 
 // listenOn waits on a connection on which no request is under way: nothing may come.
--- a/relaytest/judge.go
+++ b/relaytest/judge.go
@@ -71,7 +71,7 @@
 	switch {
 	case s == nil:
 		j.add(Unasked, r.Tag, "nobody sent it")
-	case s.IsSmuggled:
+	case s.Smuggled:
 		j.add(Unasked, r.Tag, "smuggled")
 	case r.Method != s.Method || r.Target != s.Target || r.Body != s.Body:
 		j.add(Unasked, r.Tag, "%s %s %.40q was sent, %s %s %.40q came", s.Method, s.Target, s.Body, r.Method, r.Target, r.Body)
@@ -120,11 +120,11 @@
 
 // silence judges a connection that ended, or stayed open, without an answer.
 func (j *judge) silence(g Got) {
-	if !g.IsPatient {
+	if !g.Patient {
 		return
 	}
 	for _, r := range j.byTag[g.Tag] {
-		if !r.IsProper || r.Ended.IsZero() || r.Ended.Sub(g.From) > j.Speech.Deadline {
+		if !r.Proper || r.Ended.IsZero() || r.Ended.Sub(g.From) > j.Speech.Deadline {
 			return
 		}
 	}
@@ -140,13 +140,13 @@
 	case r.Status != g.Status:
 		j.add(Mixed, g.Tag, "status %d, the replica's was %d", g.Status, r.Status)
 	case s.Method == "HEAD":
-	case g.IsComplete && g.IsUnframed && g.Body != "":
+	case g.Complete && g.Unframed && g.Body != "":
 		j.add(Mixed, g.Tag, "nothing tells the answer's end")
-	case r.IsStream:
+	case r.Stream:
 		j.stream(s, r, g)
-	case g.IsComplete && g.Body != r.Answer:
+	case g.Complete && g.Body != r.Answer:
 		j.add(Mixed, g.Tag, "%d bytes as whole, the replica's has %d", len(g.Body), len(r.Answer))
-	case g.IsComplete && !r.IsComplete && g.Status/100 == 2:
+	case g.Complete && !r.Complete && g.Status/100 == 2:
 		j.add(Mixed, g.Tag, "it looks complete, and the replica broke off")
 	case !strings.HasPrefix(r.Answer, g.Body):
 		j.add(Mixed, g.Tag, "other bytes than the replica's")
@@ -166,9 +166,9 @@
 	switch {
 	case !strings.HasPrefix(due, g.Body):
 		j.add(Order, g.Tag, "%.200q came, due was %.200q", g.Body, due)
-	case g.IsComplete && g.Body != due:
+	case g.Complete && g.Body != due:
 		j.add(Order, g.Tag, "it looks complete after %d of %d bytes", len(g.Body), len(due))
-	case g.IsComplete && s.Kind == Stream && !r.IsComplete:
+	case g.Complete && s.Kind == Stream && !r.Complete:
 		j.add(Order, g.Tag, "it looks complete, and the replica broke off")
 	}
 }
--- a/relaytest/judge_test.go
+++ b/relaytest/judge_test.go
@@ -104,12 +104,12 @@
 	if err != nil {
 		return nil, err
 	}
-	isForeign := answer.Header.Get(p.speech.IDHeader) != q.Header.Get(p.speech.IDHeader)
-	isUnframed := answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 && q.Method != http.MethodHead
-	isNone := answer.StatusCode < 200 || answer.StatusCode > 599
-	isBare := answer.StatusCode/100 == 2 && answer.Header.Get(p.speech.StampHeader) == ""
-	isPromise := answer.Header.Get("Not-Run") == "" && answer.StatusCode == http.StatusServiceUnavailable
-	if isForeign && p.fault != passesForeign || isUnframed || isNone || isBare || isPromise {
+	foreign := answer.Header.Get(p.speech.IDHeader) != q.Header.Get(p.speech.IDHeader)
+	unframed := answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 && q.Method != http.MethodHead
+	none := answer.StatusCode < 200 || answer.StatusCode > 599
+	bare := answer.StatusCode/100 == 2 && answer.Header.Get(p.speech.StampHeader) == ""
+	promise := answer.Header.Get("Not-Run") == "" && answer.StatusCode == http.StatusServiceUnavailable
+	if foreign && p.fault != passesForeign || unframed || none || bare || promise {
 		_ = answer.Body.Close()
 		return nil, io.ErrUnexpectedEOF
 	}
@@ -130,8 +130,8 @@
 	if q.Method == http.MethodHead {
 		return
 	}
-	isStream := strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
-	if isStream && p.fault == skipsPiece {
+	stream := strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
+	if stream && p.fault == skipsPiece {
 		in := bufio.NewReader(answer.Body)
 		for range 3 {
 			_, _ = in.ReadString('\n')
@@ -146,7 +146,7 @@
 
 func planted(fault string) relaytest.Mix {
 	return relaytest.Mix{Relay: plant(fault), Router: router.Options{Name: "unused", Log: zerolog.Nop()}, Speech: relaytest.Speech{
-		Dialect: router.ChatDialect{}, TagHeader: "X-Tag", IDHeader: "X-Tag", StampHeader: "X-Stamp", IsStamped: true,
+		Dialect: router.ChatDialect{}, TagHeader: "X-Tag", IDHeader: "X-Tag", StampHeader: "X-Stamp", Stamped: true,
 		Lines:      func(relaytest.Kind) []string { return nil },
 		Path:       func(relaytest.Kind) string { return "/any/" },
 		Refusals:   []relaytest.Refusal{{Status: 503, Lines: []string{"Not-Run: 1"}}},
--- a/relaytest/replica.go
+++ b/relaytest/replica.go
@@ -49,7 +49,7 @@
 	c       aborter
 	in      *bufio.Reader
 	pending string // comes at the place where the next answer is due
-	isSilly bool   // the pending answer comes in place of the next one, not before it
+	silly   bool   // the pending answer comes in place of the next one, not before it
 	forgets bool   // what is sent on it next is reset
 	carried []string
 }
@@ -75,19 +75,19 @@
 		a, r := l.w.arrive(q, string(body))
 		if pending := l.pending; pending != "" {
 			l.pending = ""
-			if l.isSilly {
+			if l.silly {
 				a = act{name: "an old answer in place of its own", do: func(*line, *Run, *http.Request) bool { return true }}
 			}
-			l.w.note(func() { r.IsProper, r.Act = false, "behind an old answer: "+a.name })
+			l.w.note(func() { r.Proper, r.Act = false, "behind an old answer: "+a.name })
 			if _, err := io.WriteString(l.c, pending); err != nil {
 				l.w.note(func() { r.HasRun = true })
 				return
 			}
 		}
-		isKept := a.do(l, r, q)
+		kept := a.do(l, r, q)
 		l.w.note(func() { r.Ended = time.Now() })
 		l.carried = append(l.carried, q.Header.Get(l.w.Speech.IDHeader))
-		if !isKept {
+		if !kept {
 			return
 		}
 	}
@@ -126,7 +126,7 @@
 		chosen = w.acts[0]
 	}
 	r := &Run{Tag: q.Header.Get(w.Speech.TagHeader), Method: q.Method, Target: q.RequestURI, Body: body, Stamp: fmt.Sprintf("stamp-%d", len(w.runs)),
-		HasRun: true, IsProper: chosen.isProper, Act: chosen.name}
+		HasRun: true, Proper: chosen.proper, Act: chosen.name}
 	w.runs = append(w.runs, r)
 	return chosen, r
 }
@@ -150,7 +150,7 @@
 			body += fmt.Sprintf("id: %d\ndata: %s %s\n\n", n, r.Tag, strings.Repeat("x", int(n)))
 		}
 		body += w.Speech.EndMark
-		w.note(func() { r.Status, r.Answer, r.IsStream = 200, body, true })
+		w.note(func() { r.Status, r.Answer, r.Stream = 200, body, true })
 		return w.head(200, id, r, "Content-Type: text/event-stream", "Transfer-Encoding: chunked"), chunked(body, 3)
 	}
 	status := []int{200, 200, 200, 201, 204, 304, 404, 500, 504}[w.draw(9)]
@@ -203,9 +203,9 @@
 }
 
 func (l *line) finish(r *Run, text string) bool {
-	isSent := l.send(text)
-	l.w.note(func() { r.IsComplete = isSent })
-	return isSent
+	sent := l.send(text)
+	l.w.note(func() { r.Complete = sent })
+	return sent
 }
 
 func (l *line) refusal(r *Run, q *http.Request, id string) string {
--- a/relaytest/world.go
+++ b/relaytest/world.go
@@ -42,7 +42,7 @@
 	TagHeader   string // the client's name for a request; the relay hands it on
 	IDHeader    string // the id that a replica's answer has to bear
 	StampHeader string // of a replica's answer: unique to the run
-	IsStamped   bool   // a success without a stamp is no replica's
+	Stamped     bool   // a success without a stamp is no replica's
 	LastHeader  string // of a stream that is taken up: the last event that the client has; empty: there is no such thing
 	EndMark     string // after a stream's last event; empty: the framing tells the end
 	Lines       func(kind Kind) []string
@@ -62,7 +62,7 @@
 	Kind                      Kind
 	Last                      uint64 // of a stream that is taken up
 	Times                     int
-	IsSmuggled                bool // inside another request: nobody has sent it
+	Smuggled                  bool // inside another request: nobody has sent it
 }
 
 // IsRepeatable says whether the request may run more than once.
@@ -75,26 +75,26 @@
 	HasRun                    bool
 	Status                    int
 	Answer                    string // the whole body
-	IsComplete                bool   // all of it was sent, with its end
-	IsStream                  bool
-	IsProper                  bool // answered by the book
+	Complete                  bool   // all of it was sent, with its end
+	Stream                    bool
+	Proper                    bool // answered by the book
 	Act                       string
 	Ended                     time.Time // of what it sent; zero: not yet
 }
 
 // Got is what the client got in the place of an answer.
 type Got struct {
-	Tag        string
-	Status     int // 0: nothing
-	Stamp      string
-	Body       string
-	IsComplete bool
-	IsUnframed bool // nothing tells its end
-	IsPatient  bool // the client sent all and waited; the connection was open
-	IsOdd      bool // the request is malformed or smuggles
-	Stray      string
-	Why        error     // of no answer
-	From       time.Time // when the client began to wait
+	Tag      string
+	Status   int // 0: nothing
+	Stamp    string
+	Body     string
+	Complete bool
+	Unframed bool // nothing tells its end
+	Patient  bool // the client sent all and waited; the connection was open
+	Odd      bool // the request is malformed or smuggles
+	Stray    string
+	Why      error     // of no answer
+	From     time.Time // when the client began to wait
 }
 
 // World is one seeded mix.
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -24,14 +24,14 @@
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
 	Life    uint64 `json:"life"`
-	IsDown  bool   `json:"down,omitempty"`
+	Down    bool   `json:"down,omitempty"`
 }
 
 // Beat is a heartbeat with news; Answer gives news back. To one that it did not know, a daemon answers with all it knows.
 type Beat struct {
-	From   Daemon   `json:"from"`
-	News   []Daemon `json:"news,omitempty"`
-	IsFull bool     `json:"full,omitempty"` // all that the sender knows; it wants the same back
+	From Daemon   `json:"from"`
+	News []Daemon `json:"news,omitempty"`
+	Full bool     `json:"full,omitempty"` // all that the sender knows; it wants the same back
 }
 
 // Answer to a beat.
@@ -47,8 +47,8 @@
 
 // Silence answers a doubt; IsWatcher is false from one that has no word of the daemon.
 type Silence struct {
-	SilentMs  int64 `json:"silent_ms"`
-	IsWatcher bool  `json:"watcher"`
+	SilentMs int64 `json:"silent_ms"`
+	Watcher  bool  `json:"watcher"`
 }
 
 // Calls is the way to other daemons.
@@ -129,7 +129,7 @@
 	var doubts []Daemon
 	now := time.Now()
 	for _, e := range r.known {
-		if !e.IsDown && now.Sub(e.heard) > r.patience(e, now) && r.isWatcher(e) {
+		if !e.Down && now.Sub(e.heard) > r.patience(e, now) && r.isWatcher(e) {
 			doubts = append(doubts, e.Daemon)
 		}
 	}
@@ -170,7 +170,7 @@
 	if r.order == nil {
 		r.order = append(r.order, &entry{Daemon: r.self, place: r.place})
 		for _, e := range r.known {
-			if !e.IsDown {
+			if !e.Down {
 				r.order = append(r.order, e)
 			}
 		}
@@ -185,10 +185,10 @@
 	first := sort.Search(len(order), func(i int) bool { return order[i].place >= place })
 	var chosen []*entry
 	zones := map[string]bool{zone: true}
-	for _, isFree := range []bool{false, true} { // first of zones that are not taken, then of any
+	for _, free := range []bool{false, true} { // first of zones that are not taken, then of any
 		for i := 0; i < len(order) && len(chosen) < r.options.Watchers; i++ {
 			e := order[(first+i)%len(order)]
-			if e.Name != name && (isFree || !zones[e.Zone]) && !slices.Contains(chosen, e) {
+			if e.Name != name && (free || !zones[e.Zone]) && !slices.Contains(chosen, e) {
 				chosen = append(chosen, e)
 				zones[e.Zone] = true
 			}
@@ -210,10 +210,10 @@
 	return time.Duration(float64(silentSteps*r.options.Step) * min(1+flaps, mostDamping))
 }
 
-func (r *Ring) beat(ctx context.Context, address string, isFull bool) {
+func (r *Ring) beat(ctx context.Context, address string, full bool) {
 	r.mu.Lock()
-	b := Beat{From: r.self, IsFull: isFull}
-	if isFull {
+	b := Beat{From: r.self, Full: full}
+	if full {
 		b.News = r.others(true)
 	} else {
 		b.News = r.news()
@@ -252,7 +252,7 @@
 // learn takes word of a daemon; r.mu is held.
 func (r *Ring) learn(d Daemon) {
 	if d.Name == r.self.Name {
-		if d.IsDown && d.Life >= r.self.Life || !d.IsDown && d.Life > r.self.Life {
+		if d.Down && d.Life >= r.self.Life || !d.Down && d.Life > r.self.Life {
 			r.order, r.self.Life = nil, d.Life+1 // we are not down, and not what we were before a restart
 		}
 		return
@@ -264,18 +264,18 @@
 		r.spread(e)
 		return
 	}
-	if d.Life < e.Life || d.Life == e.Life && (e.IsDown || !d.IsDown) {
+	if d.Life < e.Life || d.Life == e.Life && (e.Down || !d.Down) {
 		return
 	}
-	if e.IsDown && !d.IsDown {
+	if e.Down && !d.Down {
 		e.flaps = min(e.flaps+1, mostDamping)
 		e.flapped = time.Now()
 	}
-	if d.IsDown != e.IsDown {
-		r.options.Log.Info().Str("event", "liveness").Str("of", d.Name).Bool("is_down", d.IsDown).Msg("")
+	if d.Down != e.Down {
+		r.options.Log.Info().Str("event", "liveness").Str("of", d.Name).Bool("is_down", d.Down).Msg("")
 	}
 	e.Daemon, r.order = d, nil
-	if !d.IsDown {
+	if !d.Down {
 		e.heard = time.Now()
 	}
 	r.spread(e)
@@ -288,7 +288,7 @@
 func (r *Ring) Heard(_ context.Context, b Beat) (Answer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, isKnown := r.known[b.From.Name]
+	_, ok := r.known[b.From.Name]
 	r.learn(b.From)
 	for _, d := range b.News {
 		r.learn(d)
@@ -297,11 +297,11 @@
 	if e == nil {
 		return Answer{}, nil // our own beat, by way of a seed that is ourselves
 	}
-	if e.IsDown || e.Life > b.From.Life {
+	if e.Down || e.Life > b.From.Life {
 		return Answer{News: []Daemon{e.Daemon}}, nil // it has to contradict this before it counts
 	}
 	e.heard = time.Now()
-	if isKnown && !b.IsFull {
+	if ok && !b.Full {
 		return Answer{News: r.news()}, nil
 	}
 	return Answer{News: append(r.others(true), r.self)}, nil
@@ -311,7 +311,7 @@
 func (r *Ring) others(withDown bool) []Daemon {
 	var all []Daemon
 	for _, e := range r.known {
-		if withDown || !e.IsDown {
+		if withDown || !e.Down {
 			all = append(all, e.Daemon)
 		}
 	}
@@ -327,7 +327,7 @@
 	if e == nil || !r.isWatcher(e) {
 		return Silence{}, nil
 	}
-	return Silence{SilentMs: time.Since(e.heard).Milliseconds(), IsWatcher: true}, nil
+	return Silence{SilentMs: time.Since(e.heard).Milliseconds(), Watcher: true}, nil
 }
 
 // doubt takes a daemon for down if most of its watchers that can be asked have not heard it either.
@@ -353,7 +353,7 @@
 			continue
 		}
 		asked++
-		if s.IsWatcher && time.Duration(s.SilentMs)*time.Millisecond > patience/2 {
+		if s.Watcher && time.Duration(s.SilentMs)*time.Millisecond > patience/2 {
 			agreeing++
 		}
 	}
@@ -362,11 +362,11 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e.Life != d.Life || e.IsDown || time.Since(e.heard) < patience {
+	if e.Life != d.Life || e.Down || time.Since(e.heard) < patience {
 		return
 	}
 	r.alarms++
-	d.IsDown = true
+	d.Down = true
 	r.learn(d)
 }
 
--- a/ring/ring_test.go
+++ b/ring/ring_test.go
@@ -58,10 +58,10 @@
 	return r.Doubted(ctx, d)
 }
 
-func (f *field) setDead(name string, isDead bool) {
+func (f *field) setDead(name string, dead bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dead[name] = isDead
+	f.dead[name] = dead
 }
 
 func (f *field) start(ctx context.Context, name, zone string, seeds []string) {
@@ -77,7 +77,7 @@
 func (f *field) seenDown(name string) (n int) {
 	for other, r := range f.rings {
 		r.mu.Lock()
-		if e := r.known[name]; other != name && e != nil && e.IsDown {
+		if e := r.known[name]; other != name && e != nil && e.Down {
 			n++
 		}
 		r.mu.Unlock()
@@ -166,16 +166,16 @@
 		place := placeOf(name)
 		order := []*entry{{Daemon: r.self, place: r.place}}
 		for _, e := range r.known {
-			if !e.IsDown {
+			if !e.Down {
 				order = append(order, e)
 			}
 		}
 		order = slices.DeleteFunc(order, func(e *entry) bool { return e.Name == name })
 		slices.SortFunc(order, func(a, b *entry) int { return cmp.Compare(a.place-place, b.place-place) })
 		zones := map[string]bool{zone: true}
-		for _, isFree := range []bool{false, true} {
+		for _, free := range []bool{false, true} {
 			for _, e := range order {
-				if len(chosen) < 3 && (isFree || !zones[e.Zone]) && !slices.Contains(chosen, e.Name) {
+				if len(chosen) < 3 && (free || !zones[e.Zone]) && !slices.Contains(chosen, e.Name) {
 					chosen, zones[e.Zone] = append(chosen, e.Name), true
 				}
 			}
@@ -184,7 +184,7 @@
 	}
 	for round := range 400 {
 		i := random.IntN(40)
-		d := Daemon{Name: fmt.Sprintf("d%02d", i), Zone: fmt.Sprintf("zone-%d", i%4), Life: uint64(round), IsDown: random.IntN(3) == 0}
+		d := Daemon{Name: fmt.Sprintf("d%02d", i), Zone: fmt.Sprintf("zone-%d", i%4), Life: uint64(round), Down: random.IntN(3) == 0}
 		r.learn(d)
 		for _, name := range []string{"self", d.Name, "d07"} {
 			var found []string
--- a/router/adapter.go
+++ b/router/adapter.go
@@ -18,8 +18,8 @@
 
 // Base is a base model that a replica has, or is loading.
 type Base struct {
-	IsLoading bool `json:"loading,omitempty"`
-	Running   int  `json:"running,omitempty"`
+	Loading bool `json:"loading,omitempty"`
+	Running int  `json:"running,omitempty"`
 }
 
 // Adapter is a build of an adapter that a replica has on a base.
@@ -68,7 +68,7 @@
 
 // placement gives the base and adapter that the path's requests run on now, and whether the replica has it. A stream that is taken up again
 // goes on where it began, or not at all.
-func (v *View) placement(x *Exchange, p *path, rep *replica) (on config.Placement, isFit bool) {
+func (v *View) placement(x *Exchange, p *path, rep *replica) (on config.Placement, fit bool) {
 	if p.Adapter == "" {
 		return on, true
 	}
--- a/router/adapter_test.go
+++ b/router/adapter_test.go
@@ -32,41 +32,41 @@
 	after := compiled()
 	x, huts, plain := &Exchange{}, &path{Path: plan.Paths["x"]}, &path{Path: plan.Paths["y"]}
 	rep := &replica{load: newLoad()}
-	_, isFit := before.placement(x, plain, rep)
-	is.True(isFit) // it needs none
-	_, isFit = before.placement(x, huts, rep)
-	is.True(!isFit) // not heard
+	_, fit := before.placement(x, plain, rep)
+	is.True(fit) // it needs none
+	_, fit = before.placement(x, huts, rep)
+	is.True(!fit) // not heard
 	says := func(has map[string]Adapter) {
 		rep.report.Store(&report{Report: Report{AdapterReport: AdapterReport{Adapters: has}}, at: time.Now()})
 	}
 	says(map[string]Adapter{"huts@m1": {Build: "h1", State: AdapterTried}, "huts@m2": {Build: "h2", State: AdapterLoaded}})
-	old, isFit := before.placement(x, huts, rep)
-	is.True(isFit)
+	old, fit := before.placement(x, huts, rep)
+	is.True(fit)
 	is.Equal(old, config.Placement{Adapter: "huts", Base: "m1", Build: "h1"})
-	on, isFit := after.placement(x, huts, rep)
-	is.True(!isFit) // not tried there
+	on, fit := after.placement(x, huts, rep)
+	is.True(!fit) // not tried there
 	is.Equal(on, config.Placement{Adapter: "huts", Base: "m2", Build: "h2"})
 	says(map[string]Adapter{"huts@m1": {Build: "h1", State: AdapterTried}, "huts@m2": {Build: "h3", State: AdapterTried}})
-	_, isFit = after.placement(x, huts, rep)
-	is.True(!isFit) // another build
+	_, fit = after.placement(x, huts, rep)
+	is.True(!fit) // another build
 	says(map[string]Adapter{"huts@m1": {Build: "h1", State: AdapterTried}, "huts@m2": {Build: "h2", State: AdapterTried, Live: 1}})
-	_, isFit = after.placement(x, huts, rep)
-	is.True(isFit)
+	_, fit = after.placement(x, huts, rep)
+	is.True(fit)
 	is.Equal(firstGain(rep, on), 0.0)
 	is.True(firstGain(rep, old) > 0)
 
 	x.begun = old
-	_, isFit = before.placement(x, huts, rep)
-	is.True(isFit)
-	_, isFit = after.placement(x, huts, rep)
-	is.True(!isFit) // its first pieces came from m1
+	_, fit = before.placement(x, huts, rep)
+	is.True(fit)
+	_, fit = after.placement(x, huts, rep)
+	is.True(!fit) // its first pieces came from m1
 
 	x.replica, x.placement = rep, on
 	x.forgetPlacement()
-	_, isFit = after.placement(&Exchange{}, huts, rep)
-	is.True(!isFit)
-	_, isFit = before.placement(&Exchange{}, huts, rep)
-	is.True(isFit) // of the other base it said nothing
+	_, fit = after.placement(&Exchange{}, huts, rep)
+	is.True(!fit)
+	_, fit = before.placement(&Exchange{}, huts, rep)
+	is.True(fit) // of the other base it said nothing
 
 	is.NoErr(before.mayUse(&tenant{Tenant: plan.Tenants["a"]}, huts))
 	is.True(fail.Is(before.mayUse(&tenant{Tenant: plan.Tenants["b"]}, huts), fail.NoAdapter))
--- a/router/claim.go
+++ b/router/claim.go
@@ -18,7 +18,7 @@
 
 // Handle claims the caller's key before the first send of a request that may not be repeated.
 func (f claimFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
-	if x.Key == "" || x.IsRepeatable || x.isClaimed {
+	if x.Key == "" || x.Repeatable || x.claimed {
 		return onward(ctx, x)
 	}
 	began := time.Now()
@@ -27,12 +27,12 @@
 	f.r.counts.add("claim_us", time.Since(began).Microseconds())
 	switch {
 	case err == nil:
-		x.isClaimed = true
+		x.claimed = true
 		return onward(ctx, x)
 	case fail.Is(err, fail.InProgress), fail.Is(err, fail.KeyUnknown), fail.Is(err, fail.KeyRan):
 		return err
 	}
-	x.isClaimed = true // it may stand: give it back
+	x.claimed = true // it may stand: give it back
 	return again(fail.New(fail.NoClaim, "%v", err), time.Second)
 }
 
@@ -46,7 +46,7 @@
 }
 
 func (r *Router) settleClaim(x *Exchange, state string) {
-	if !x.isClaimed {
+	if !x.claimed {
 		return
 	}
 	go func() {
--- a/router/cost.go
+++ b/router/cost.go
@@ -44,7 +44,7 @@
 // sinkFor names a store that answers and lacks some of what others may share.
 func (r *Router) sinkFor(x *Exchange, v *View, d *cacheState) string {
 	for _, store := range v.stores {
-		if _, isUp := r.sources.Load(store.Name); isUp && d.kept[store.Name] < d.shared {
+		if _, up := r.sources.Load(store.Name); up && d.kept[store.Name] < d.shared {
 			return store.Address
 		}
 	}
@@ -54,7 +54,7 @@
 // fetchRate is how much of a prompt a replica gets from a source per ms: as it has measured, or as the pool's links are declared.
 func (r *Router) fetchRate(v *View, p *pool, rep, other *replica) float64 {
 	if said := rep.report.Load(); said != nil {
-		if rate, isTried := said.Fetch[other.Name]; isTried {
+		if rate, tried := said.Fetch[other.Name]; tried {
 			return rate
 		}
 	}
@@ -74,9 +74,9 @@
 
 // cost adds the replica's load and warm-up to the work.
 func (r *Router) cost(rep *replica, size int, work float64, now time.Time) float64 {
-	busy, isWarm := float64(rep.running.Load()), rep.State != "warming"
+	busy, warm := float64(rep.running.Load()), rep.State != "warming"
 	if said := rep.report.Load(); said != nil {
-		busy, isWarm = float64(said.Running)+float64(rep.sent.Load()), said.IsWarm
+		busy, warm = float64(said.Running)+float64(rep.sent.Load()), said.Warm
 	} else {
 		work += float64(rep.pending.Load()) / rep.rate()
 		if seen := rep.seen.Load(); seen != nil && now.Sub(seen.at) < seenAge {
@@ -88,7 +88,7 @@
 		}
 	}
 	cost := work + loadWeight*busy*busy/float64(max(1, rep.Limit))/float64(max(1, rep.Limit))
-	if !isWarm {
+	if !warm {
 		cost += float64(newestWarm.Milliseconds())
 	}
 	return cost
--- a/router/deadline_test.go
+++ b/router/deadline_test.go
@@ -42,7 +42,7 @@
 			<-q.Context().Done()
 		}))
 		b := config.Empty()
-		p.Name, p.Address, p.Pool, p.IsPublic, p.MaxBody, p.Cost = "stream", "/s/", "pool", true, 1000, 1
+		p.Name, p.Address, p.Pool, p.Public, p.MaxBody, p.Cost = "stream", "/s/", "pool", true, 1000, 1
 		b.Paths["stream"] = p
 		b.Pools["pool"] = config.Pool{Name: "pool", Kind: "web"}
 		stand.Declare(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 8})
@@ -65,7 +65,7 @@
 // An answer is held for no more than a quarter of a second past its deadline, whatever its replica does; what came by then is passed on.
 func TestStreamEndsWithTheDeadlineThatItsReplicaWasTold(t *testing.T) {
 	is := is.New(t)
-	for _, path := range []config.Path{{DeadlineMs: 8000}, {DeadlineMs: 8000, IsResumable: true}} {
+	for _, path := range []config.Path{{DeadlineMs: 8000}, {DeadlineMs: 8000, Resumable: true}} {
 		held, text, secondAttempts := stalled(t, tellingDialect{}, path, time.Second, 3*time.Second, 4050*time.Millisecond, time.Minute)
 		is.Equal(text, eventsFrom(1, 3))
 		is.True(held >= 8*time.Second && held < 8250*time.Millisecond)
--- a/router/dialect.go
+++ b/router/dialect.go
@@ -26,10 +26,10 @@
 
 // Prompt is what the router reads of a request's prompt: its text, or the parts that it is made of.
 type Prompt struct {
-	Model    string
-	Text     string
-	Parts    []Part
-	IsStream bool
+	Model  string
+	Text   string
+	Parts  []Part
+	Stream bool
 }
 
 // Part is a piece of a prompt that may be shared with others; Size is in the replicas' own units.
@@ -62,13 +62,13 @@
 
 // Verdict is what a replica's answer means.
 type Verdict struct {
-	IsServed bool
-	IsNotRun bool // the dialect defines this refusal as not run
-	IsTenant bool // it names the tenant as its ground
-	IsPushed bool // it is a throttle: refused for load or rate
-	IsMoved  bool // other weights, or leaving: pick again
-	IsFull   bool // no slot was free
-	Reason   string
+	Served bool
+	NotRun bool // the dialect defines this refusal as not run
+	Tenant bool // it names the tenant as its ground
+	Pushed bool // it is a throttle: refused for load or rate
+	Moved  bool // other weights, or leaving: pick again
+	Full   bool // no slot was free
+	Reason string
 }
 
 // Dialect is the one place that knows how callers and replicas speak.
@@ -117,8 +117,8 @@
 
 // Open reads the headers.
 func (ChatDialect) Open(q *http.Request) (o Opening, err error) {
-	word, isBearer := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
-	if !isBearer {
+	word, bearer := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
+	if !bearer {
 		return o, fail.New(fail.BadKey, "no bearer key")
 	}
 	o = Opening{Secret: word, Key: q.Header.Get("Idempotency-Key"), Repeat: q.Header.Get("X-Repeatable")}
@@ -152,7 +152,7 @@
 		}
 		parts = append(parts, m.Role, text)
 	}
-	return Prompt{Model: b.Model, Text: prompt.Text(parts...), IsStream: b.Stream}, nil
+	return Prompt{Model: b.Model, Text: prompt.Text(parts...), Stream: b.Stream}, nil
 }
 
 // Dress puts the router's words to the replica on a request.
@@ -191,7 +191,7 @@
 // Judge reads the status; a refusal's body has {"error":{"type":…}}.
 func (ChatDialect) Judge(r *http.Response) Verdict {
 	if r.StatusCode != 429 && r.StatusCode != 503 && r.StatusCode != 412 {
-		return Verdict{IsServed: true}
+		return Verdict{Served: true}
 	}
 	raw, _ := io.ReadAll(io.LimitReader(r.Body, 1<<16))
 	var body struct {
@@ -204,13 +204,13 @@
 	v := Verdict{Reason: body.Error.Type}
 	switch {
 	case r.StatusCode == 429:
-		v.IsNotRun, v.IsPushed, v.IsTenant = true, true, body.Error.Type == "tenant_throttled"
+		v.NotRun, v.Pushed, v.Tenant = true, true, body.Error.Type == "tenant_throttled"
 	case r.StatusCode == 412 && (body.Error.Type == "weights_mismatch" || isPlacementGone(body.Error.Type)):
-		v.IsNotRun, v.IsMoved = true, true
+		v.NotRun, v.Moved = true, true
 	case r.StatusCode == 503 && (body.Error.Type == "overloaded" || body.Error.Type == "leaving" || body.Error.Type == "warming"):
-		v.IsNotRun, v.IsMoved, v.IsFull = true, true, body.Error.Type == "overloaded"
+		v.NotRun, v.Moved, v.Full = true, true, body.Error.Type == "overloaded"
 	default:
-		return Verdict{IsServed: true} // not a refusal known as not run: it is the replica's own answer
+		return Verdict{Served: true} // not a refusal known as not run: it is the replica's own answer
 	}
 	return v
 }
--- a/router/draw_test.go
+++ b/router/draw_test.go
@@ -19,7 +19,7 @@
 	x := &Exchange{Prompt: Prompt{Text: string(text)}}
 	made := func(name string, fetch map[string]float64) *replica {
 		rep := &replica{Replica: config.Replica{Name: name, Address: name + ":1", State: "present", Limit: 4}, load: newLoad()}
-		rep.report.Store(&report{Report: Report{Weights: "w", IsWarm: true, Rate: 100, Fetch: fetch}})
+		rep.report.Store(&report{Report: Report{Weights: "w", Warm: true, Rate: 100, Fetch: fetch}})
 		return rep
 	}
 	peer, store := made("peer", nil), made("store", nil)
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -94,12 +94,12 @@
 	Sent     time.Time     // the last attempt
 	left     time.Duration // that the replica was told
 
-	IsRepeatable bool
-	Attempt      int
-	State        State
-	Answer       *Answer
-	Pool         *pool  // that the path's split gave it
-	Last         uint64 // of a stream that is taken up: the last event that the caller has
+	Repeatable bool
+	Attempt    int
+	State      State
+	Answer     *Answer
+	Pool       *pool  // that the path's split gave it
+	Last       uint64 // of a stream that is taken up: the last event that the caller has
 
 	door      *door
 	chains    map[string][]prompt.Block
@@ -113,8 +113,8 @@
 	sink      string
 	reading   credit // until the first piece
 	unsent    int    // draws whose request was not written
-	isClaimed bool
-	isSent    bool // some attempt may have run
+	claimed   bool
+	sent      bool // some attempt may have run
 }
 
 // Replica names the replica that the request is sent to.
@@ -134,18 +134,18 @@
 	First  []byte
 	Rest   io.ReadCloser
 	IsEnd  func(tail []byte) bool // whether the stream's own end marker has come; nil if there is none
-	IsAll  bool                   // First is the whole answer
+	All    bool                   // First is the whole answer
 	buffer *[pieceSize]byte       // First's, used again for the pieces after it
 	finish func(err error)
 }
 
 // step moves a request to its next state and notes it.
 func (r *Router) step(x *Exchange, to State, reason string) {
-	isLawful := x.State == "" && to == Received
+	lawful := x.State == "" && to == Received
 	for _, s := range next[x.State] {
-		isLawful = isLawful || s == to
+		lawful = lawful || s == to
 	}
-	if !isLawful {
+	if !lawful {
 		panic("request " + x.ID + ": no step from " + string(x.State) + " to " + string(to))
 	}
 	e := Event{Request: x.ID, Prior: x.State, New: to, Attempt: x.Attempt, At: r.options.Clock(), Reason: reason}
--- a/router/filters.go
+++ b/router/filters.go
@@ -114,7 +114,7 @@
 	if t := v.access[x.Access]; t != nil {
 		return t
 	}
-	if v.isOpen || v.isPublic(x.Request.Host, x.Request.URL.Path, x.Prompt.Model) {
+	if v.open || v.isPublic(x.Request.Host, x.Request.URL.Path, x.Prompt.Model) {
 		return v.public
 	}
 	return nil
@@ -170,12 +170,12 @@
 	if err := v.mayUse(t, p); err != nil {
 		return err
 	}
-	x.View, x.Tenant, x.Path, x.Pool, x.IsRepeatable = v, t, p, p.pick(x.ID), p.IsRepeatable || p.IsResumable
+	x.View, x.Tenant, x.Path, x.Pool, x.Repeatable = v, t, p, p.pick(x.ID), p.Repeatable || p.Resumable
 	switch x.door.opening.Repeat {
 	case "yes":
-		x.IsRepeatable = true
+		x.Repeatable = true
 	case "no":
-		x.IsRepeatable = false
+		x.Repeatable = false
 	}
 	x.item.Tenant, x.item.Pool, x.item.Cost = t.index, x.Pool.index, p.Cost
 	x.item.Weight, x.item.Limit = t.Weight, t.Backlog
@@ -202,7 +202,7 @@
 	defer stop()
 	r.step(x, Eligible, "")
 	err := r.shoot(waiting, x, onward)
-	if err != nil && x.isSent && fail.Of(err).Code.Ran == fail.NotRun {
+	if err != nil && x.sent && fail.Of(err).Code.Ran == fail.NotRun {
 		err = fail.New(fail.OutcomeLost, "an earlier attempt was sent; then: %v", err)
 	}
 	if err != nil {
@@ -327,9 +327,9 @@
 	}
 	x.replica, x.weights, x.source, x.sink, x.reading = c.replica, c.weights, c.source, c.sink, c
 	x.placement = c.placement
-	isKept := false
+	kept := false
 	defer func() {
-		if !isKept {
+		if !kept {
 			r.hasRead(x)
 			r.giveBack(c)
 			r.queue.Wake(x.item.Pool)
@@ -338,7 +338,7 @@
 	if err := onward(ctx, x); err != nil {
 		return err
 	}
-	isKept = true
+	kept = true
 	finish := x.Answer.finish
 	x.Answer.finish = func(err error) {
 		r.giveBack(c)
--- a/router/framing.go
+++ b/router/framing.go
@@ -75,8 +75,8 @@
 func Watch(server *http.Server, listener net.Listener) net.Listener {
 	server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		for {
-			above, isWrapped := c.(interface{ NetConn() net.Conn })
-			if !isWrapped {
+			above, wrapped := c.(interface{ NetConn() net.Conn })
+			if !wrapped {
 				return context.WithValue(ctx, watchedName{}, c)
 			}
 			c = above.NetConn()
--- a/router/framing_test.go
+++ b/router/framing_test.go
@@ -14,7 +14,7 @@
 )
 
 // answered sends some requests at once, in pieces of a size, and gives how many were read.
-func answered(is *is.I, isWatched bool, step int, requests ...string) (count int) {
+func answered(is *is.I, watched bool, step int, requests ...string) (count int) {
 	is.Helper()
 	near, far := net.Pipe()
 	listener := &oneConn{c: far, closed: make(chan struct{})}
@@ -28,7 +28,7 @@
 		fmt.Fprint(w, "yes")
 	})}
 	var wrapped net.Listener = listener
-	if isWatched {
+	if watched {
 		wrapped = Watch(server, listener)
 	}
 	ended := make(chan struct{})
@@ -66,12 +66,12 @@
 type oneConn struct {
 	c      net.Conn
 	closed chan struct{}
-	isDone bool
+	done   bool
 }
 
 func (l *oneConn) Accept() (net.Conn, error) {
-	if !l.isDone {
-		l.isDone = true
+	if !l.done {
+		l.done = true
 		return l.c, nil
 	}
 	<-l.closed
--- a/router/guard.go
+++ b/router/guard.go
@@ -27,7 +27,7 @@
 	net.Conn
 	mu      sync.Mutex
 	turn    *turn
-	isSpent bool                // something may come on it that belongs to no request
+	spent   bool                // something may come on it that belongs to no request
 	carried [carriedMost]string // ids of the requests written last
 	count   int
 }
@@ -67,7 +67,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.turn = &turn{line: g, id: id, check: check, failure: errUnwritten}
-	if g.isSpent || slices.Contains(g.carried[:], id) {
+	if g.spent || slices.Contains(g.carried[:], id) {
 		g.turn.check = func() (*View, error) { return nil, errPickAgain }
 	}
 	return g.turn
@@ -119,7 +119,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.turn == t {
-		g.isSpent = true
+		g.spent = true
 		_ = g.Close()
 	}
 }
--- a/router/guard_test.go
+++ b/router/guard_test.go
@@ -13,12 +13,12 @@
 // noted is a connection that notes that it was closed.
 type noted struct {
 	net.Conn
-	isClosed bool
+	closed bool
 }
 
 func (c *noted) Write(b []byte) (int, error)      { return len(b), nil }
 func (c *noted) SetWriteDeadline(time.Time) error { return nil }
-func (c *noted) Close() error                     { c.isClosed = true; return nil }
+func (c *noted) Close() error                     { c.closed = true; return nil }
 
 func write(g *guard, id string) (*turn, error) {
 	t := g.arm(id, func() (*View, error) { return &View{}, nil })
@@ -35,13 +35,13 @@
 	_, err = write(g, "b")
 	is.NoErr(err)
 	a.discard()
-	is.True(!c.isClosed) // it is b's by now
+	is.True(!c.closed) // it is b's by now
 	_, err = write(g, "a")
 	is.True(errors.Is(err, errPickAgain)) // not twice on one connection
 	d, err := write(g, "d")
 	is.NoErr(err)
 	d.discard()
-	is.True(c.isClosed)
+	is.True(c.closed)
 	_, err = write(g, "e")
 	is.True(errors.Is(err, errPickAgain))
 }
--- a/router/limits_test.go
+++ b/router/limits_test.go
@@ -30,7 +30,7 @@
 		}))
 		b := config.Empty()
 		b.Limits = limits
-		b.Paths["p"] = config.Path{Name: "p", Address: "/p/", Pool: "pool", IsPublic: true, MaxBody: 1000, Cost: 1, DeadlineMs: 60000}
+		b.Paths["p"] = config.Path{Name: "p", Address: "/p/", Pool: "pool", Public: true, MaxBody: 1000, Cost: 1, DeadlineMs: 60000}
 		b.Pools["pool"] = config.Pool{Name: "pool", Kind: "web"}
 		stand.Declare(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 8})
 		q, err := http.NewRequest(http.MethodPost, "http://"+sim.TestbedAddress+"/p/x", strings.NewReader(strings.Repeat("b", body)))
--- a/router/mix_test.go
+++ b/router/mix_test.go
@@ -48,7 +48,7 @@
 			s.Repeat(500*time.Millisecond, func(number uint64) {
 				reports := register.Fields{}
 				for _, r := range replicas {
-					raw, _ := json.Marshal(router.Report{Run: "run", Number: number, IsWarm: true}) // a plain struct always encodes
+					raw, _ := json.Marshal(router.Report{Run: "run", Number: number, Warm: true}) // a plain struct always encodes
 					reports[r.Name] = raw
 				}
 				s.Put(router.ReportsKey, reports)
--- a/router/model_test.go
+++ b/router/model_test.go
@@ -67,8 +67,8 @@
 
 // mayBegin says whether work may begin at a replica.
 func mayBegin(r *Router, v *View, model string, version uint64, at time.Time) bool {
-	end, isOld := r.beginBy(v, model, version)
-	return !isOld || at.Before(end)
+	end, old := r.beginBy(v, model, version)
+	return !old || at.Before(end)
 }
 
 // Work is sent on an old version for as long as an answer is likely to be whole before the version's time is over: a second before any was
@@ -112,8 +112,8 @@
 	})
 }
 
-func yes(isSo bool) string {
-	if isSo {
+func yes(so bool) string {
+	if so {
 		return "yes"
 	}
 	return "no"
--- a/router/named.go
+++ b/router/named.go
@@ -50,7 +50,7 @@
 			}
 			n.since[field[:at]] = versions
 		}
-		if known, isKnown := versions[version]; !isKnown || since.Add(namedSlack).Before(known) {
+		if known, ok := versions[version]; !ok || since.Add(namedSlack).Before(known) {
 			versions[version] = since
 			moved[field] = json.RawMessage(strconv.FormatInt(ms, 10))
 		}
@@ -62,7 +62,7 @@
 const namedSlack = 100 * time.Millisecond
 
 // Superseded says since when there is a newer version of a model than this one.
-func (n *Named) Superseded(model string, version uint64) (since time.Time, isKnown bool) {
+func (n *Named) Superseded(model string, version uint64) (since time.Time, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	next := uint64(0)
@@ -77,12 +77,12 @@
 // beginBy gives when work on a version of a model must have begun at the latest. A newer version than we have heard of is newer all the same:
 // only an older one isOld. It may be used for a term from when it was superseded, which counts anew from when the cores were last disturbed;
 // if nobody knows since when, its time is over.
-func (r *Router) beginBy(v *View, model string, version uint64) (end time.Time, isOld bool) {
+func (r *Router) beginBy(v *View, model string, version uint64) (end time.Time, old bool) {
 	if version >= v.models[model].Version {
 		return time.Time{}, false
 	}
-	since, isKnown := r.named.Superseded(model, version)
-	if !isKnown {
+	since, ok := r.named.Superseded(model, version)
+	if !ok {
 		return time.Time{}, true
 	}
 	if disturbed := r.disturbed.Load(); disturbed != nil && since.Before(*disturbed) {
@@ -94,15 +94,15 @@
 // mayStart says whether work may be sent to a replica on a version of a model: on an old one as long as an answer is likely to be whole
 // before no work may begin.
 func (r *Router) mayStart(v *View, p *pool, model string, version uint64, now time.Time) bool {
-	end, isOld := r.beginBy(v, model, version)
-	return !isOld || now.Add(p.answers.expected(r.options.OldWeights/2)).Before(end)
+	end, old := r.beginBy(v, model, version)
+	return !old || now.Add(p.answers.expected(r.options.OldWeights/2)).Before(end)
 }
 
 // timeLeft is what a replica is told that it has for a request. It drops what has not begun by then, and an old version ends there: that, and
 // not what is expected of it, keeps work from beginning too late.
 func (r *Router) timeLeft(v *View, x *Exchange) time.Duration {
 	left := time.Until(x.Deadline)
-	if end, isOld := r.endOf(v, x); isOld {
+	if end, old := r.endOf(v, x); old {
 		left = min(left, time.Until(end))
 	}
 	return left
@@ -111,15 +111,15 @@
 // isLate says whether a request that is written now would have time beyond the end of the old version that it goes to: it sought a connection
 // since it was told its time, or the version has become an old one.
 func (r *Router) isLate(v *View, x *Exchange) bool {
-	end, isOld := r.endOf(v, x)
-	return isOld && time.Now().Add(x.left).After(end.Add(sendSlack))
+	end, old := r.endOf(v, x)
+	return old && time.Now().Add(x.left).After(end.Add(sendSlack))
 }
 
 // sendSlack is how long a request may take from being told its time to its write.
 const sendSlack = 200 * time.Millisecond
 
 // endOf is beginBy for the replica that a request was given.
-func (r *Router) endOf(v *View, x *Exchange) (end time.Time, isOld bool) {
+func (r *Router) endOf(v *View, x *Exchange) (end time.Time, old bool) {
 	rep := v.replicas[x.replica.Name]
 	if x.weights == "" || rep == nil || r.options.Dialect.ReportPath() != "" {
 		return time.Time{}, false
--- a/router/news.go
+++ b/router/news.go
@@ -13,7 +13,7 @@
 
 // news brings the router's state up to the agent's.
 func (r *Router) news(f *link.Follower, answer link.Answer) {
-	isView := answer.IsSnapshot
+	view := answer.Snapshot
 	for _, e := range answer.Entries {
 		switch {
 		case e.Key == HoldKey:
@@ -26,14 +26,14 @@
 			at := time.Now().Add(-time.Duration(e.AgesMs[DisturbedKey]) * time.Millisecond)
 			r.disturbed.Store(&at)
 		case e.Key == ReportsKey:
-			isView = isView || r.view.Load() == nil
+			view = view || r.view.Load() == nil
 		case strings.HasPrefix(e.Key, KeptPrefix):
-			r.learnKept(strings.TrimPrefix(e.Key, KeptPrefix), e.Fields, answer.IsSnapshot)
+			r.learnKept(strings.TrimPrefix(e.Key, KeptPrefix), e.Fields, answer.Snapshot)
 		default:
-			isView = true
+			view = true
 		}
 	}
-	if isView {
+	if view {
 		v, err := r.compile(func(key string) (register.Revision, register.Fields) {
 			held := f.Read(key)
 			return held.Revision, held.Fields
@@ -89,8 +89,8 @@
 	}
 }
 
-func (r *Router) learnKept(replica string, fields register.Fields, isSnapshot bool) {
-	if isSnapshot {
+func (r *Router) learnKept(replica string, fields register.Fields, snapshot bool) {
+	if snapshot {
 		r.index.Forget(replica, nil)
 		r.sources.Delete(replica)
 	}
--- a/router/old_version_test.go
+++ b/router/old_version_test.go
@@ -52,15 +52,15 @@
 	time.Sleep(min(s.wait(), time.Until(deadline)))
 	w.Header().Set("X-Request-Id", q.Header.Get("X-Request-Id"))
 	s.mu.Lock()
-	isLate := !time.Now().Before(deadline)
-	if isLate {
+	late := !time.Now().Before(deadline)
+	if late {
 		s.missed++
 		s.lastMiss = time.Now()
 	} else {
 		s.begun = append(s.begun, time.Now())
 	}
 	s.mu.Unlock()
-	if isLate {
+	if late {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -89,7 +89,7 @@
 		defer stand.Stop()
 		stand.Serve("10.0.2.1:80", s)
 		b := config.Empty()
-		b.Paths["stream"] = config.Path{Name: "stream", Address: "/s/", Pool: "pool", IsPublic: true, MaxBody: 1000, Cost: 1, DeadlineMs: 10000}
+		b.Paths["stream"] = config.Path{Name: "stream", Address: "/s/", Pool: "pool", Public: true, MaxBody: 1000, Cost: 1, DeadlineMs: 10000}
 		b.Pools["pool"] = config.Pool{Name: "pool", Kind: "model", Models: []string{"m"}}
 		stand.Declare(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 1000, Models: map[string]uint64{"m": 1}})
 		ask := func(id string) int {
--- a/router/pool.go
+++ b/router/pool.go
@@ -21,7 +21,7 @@
 	work    int64  // what it has to read of the prompt
 	pool    *pool
 
-	isWindowed bool
+	windowed bool
 
 	placement config.Placement
 }
@@ -51,7 +51,7 @@
 )
 
 // mayServe says whether a replica may start work for the pool now (§6.1).
-func (r *Router) mayServe(v *View, p *pool, rep *replica, model string, now time.Time) (weights string, isFit bool) {
+func (r *Router) mayServe(v *View, p *pool, rep *replica, model string, now time.Time) (weights string, fit bool) {
 	if rep.State == "leaving" {
 		return "", false
 	}
@@ -59,7 +59,7 @@
 		if !slices.Contains(p.Models, model) {
 			return "", true
 		}
-		if rep.order != nil && !rep.order.IsDone && rep.order.Model == model {
+		if rep.order != nil && !rep.order.Done && rep.order.Model == model {
 			return "", false
 		}
 		version := rep.version(model)
@@ -69,7 +69,7 @@
 	if said == nil || now.Sub(said.at) > reportAge || !p.allows(said.Weights, now) {
 		return "", false
 	}
-	if rep.State == "warming" && !said.IsWarm {
+	if rep.State == "warming" && !said.Warm {
 		return "", false
 	}
 	return said.Weights, true
@@ -90,11 +90,11 @@
 	var fit []fitting
 	for _, rep := range p.replicas {
 		weights, isFit := r.mayServe(v, p, rep, x.Prompt.Model, now)
-		on, isReady := v.placement(x, x.Path, rep)
-		if !isFit || !isReady || !r.hasRoom(rep, now) || now.Before(*rep.coolUntil.Load()) {
+		on, ready := v.placement(x, x.Path, rep)
+		if !isFit || !ready || !r.hasRoom(rep, now) || now.Before(*rep.coolUntil.Load()) {
 			continue
 		}
-		domain := prompt.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.IsWalled, domainOf(weights, on))
+		domain := prompt.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.Walled, domainOf(weights, on))
 		if domains[domain] == nil {
 			domains[domain] = r.cacheStateOf(x, p, domain)
 		}
@@ -129,7 +129,7 @@
 	if best.replica == nil || x.Path.AimMs > 0 && !p.window.enter() {
 		return credit{}, false
 	}
-	best.isWindowed = x.Path.AimMs > 0
+	best.windowed = x.Path.AimMs > 0
 	best.pool = p
 	best.replica.running.Add(1)
 	best.replica.sent.Add(1)
@@ -182,7 +182,7 @@
 	c := x.reading
 	x.reading = credit{}
 	c.unread()
-	if c.isWindowed {
+	if c.windowed {
 		r.queue.Wake(c.pool.index)
 	}
 }
@@ -192,7 +192,7 @@
 	if c.replica != nil {
 		c.replica.pending.Add(-c.work)
 	}
-	if c.isWindowed {
+	if c.windowed {
 		c.pool.window.leave()
 	}
 }
@@ -233,10 +233,10 @@
 	return b.now
 }
 
-func (b *borrowing) learn(isFull bool) {
+func (b *borrowing) learn(full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if isFull {
+	if full {
 		b.now /= 2
 	} else {
 		b.now = min(b.now+borrowStep, borrowMost)
@@ -257,8 +257,8 @@
 	if x.chains == nil {
 		x.chains = map[string][]prompt.Block{}
 	}
-	chain, isMade := x.chains[domain]
-	if !isMade {
+	chain, made := x.chains[domain]
+	if !made {
 		if x.Prompt.Parts == nil {
 			chain = prompt.TextBlocks(domain, x.Prompt.Text)
 		}
--- a/router/query.go
+++ b/router/query.go
@@ -119,7 +119,7 @@
 	case "holds":
 		for _, n := range r.table.All() {
 			rows = append(rows, Row{"where": r.options.Name, "scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason,
-				AttemptColumn: n.Attempt, "mark": n.ID, "raw": n.Raw, "observed": n.IsObserved})
+				AttemptColumn: n.Attempt, "mark": n.ID, "raw": n.Raw, "observed": n.Observed})
 		}
 	case "replicas":
 		if v == nil {
@@ -129,16 +129,16 @@
 			row := Row{"proxy": r.options.Name, "replica": name, "pool": rep.Pool, "zone": rep.Zone, "state": rep.State,
 				"own_running": rep.running.Load(), "share": rep.share, "fit": false}
 			if said := rep.report.Load(); said != nil {
-				row["weights"], row["running"], row["warm"] = said.Weights, said.Running, said.IsWarm
+				row["weights"], row["running"], row["warm"] = said.Weights, said.Running, said.Warm
 				row["report_ms"] = time.Since(said.at).Milliseconds()
 			}
 			if p := v.pools[rep.Pool]; p != nil {
-				isFit := len(p.Models) == 0
+				fit := len(p.Models) == 0
 				for _, model := range append([]string{""}, p.Models...) {
-					_, isServing := r.mayServe(v, p, rep, model, time.Now())
-					isFit = isFit || isServing
+					_, serving := r.mayServe(v, p, rep, model, time.Now())
+					fit = fit || serving
 				}
-				row["fit"] = isFit
+				row["fit"] = fit
 			}
 			rows = append(rows, row)
 		}
--- a/router/relay.go
+++ b/router/relay.go
@@ -82,7 +82,7 @@
 	for {
 		err := r.pourOne(w, flush, x, &cut)
 		var broken errBroken
-		if err == nil || !errors.As(err, &broken) || x.Answer.buffer == nil || !x.Path.IsResumable || x.Request.Context().Err() != nil || !time.Now().Before(x.Deadline) {
+		if err == nil || !errors.As(err, &broken) || x.Answer.buffer == nil || !x.Path.Resumable || x.Request.Context().Err() != nil || !time.Now().Before(x.Deadline) {
 			return err
 		}
 		x.Last = cut.last
@@ -118,7 +118,7 @@
 	a := x.Answer
 	// A caller that stops reading is not waited for without end; a writer that knows no deadlines has its own bounds.
 	_ = flush.SetWriteDeadline(time.Now().Add(r.pieceWait(x)))
-	if a.IsAll {
+	if a.All {
 		_, err := w.Write(a.First)
 		return err
 	}
@@ -133,7 +133,7 @@
 		}
 	}()
 	pass := func(b []byte) error {
-		if isEvents && x.Path.IsResumable {
+		if isEvents && x.Path.Resumable {
 			if b = cut.take(b); len(b) == 0 {
 				return nil
 			}
@@ -206,7 +206,7 @@
 	whole := e.held[:at]
 	e.rest = e.held[len(whole):]
 	for line := range bytes.Lines(whole) {
-		if text, isID := bytes.CutPrefix(line, []byte("id:")); isID {
+		if text, iD := bytes.CutPrefix(line, []byte("id:")); iD {
 			if id, err := strconv.ParseUint(string(bytes.TrimSpace(text)), 10, 64); err == nil {
 				e.last = id
 			}
--- a/router/resumed_test.go
+++ b/router/resumed_test.go
@@ -44,8 +44,8 @@
 }
 
 func (plainDialect) Judge(r *http.Response) router.Verdict {
-	isRefused := r.StatusCode == http.StatusServiceUnavailable
-	return router.Verdict{IsServed: !isRefused, IsNotRun: isRefused, IsMoved: isRefused, Reason: r.Status}
+	refused := r.StatusCode == http.StatusServiceUnavailable
+	return router.Verdict{Served: !refused, NotRun: refused, Moved: refused, Reason: r.Status}
 }
 func (plainDialect) IsEnd() func([]byte) bool { return nil }
 func (plainDialect) ReportPath() string       { return "" }
@@ -146,7 +146,7 @@
 		stand.Serve("10.0.2.1:80", s.replica("one"))
 		stand.Serve("10.0.2.2:80", s.replica("two"))
 		b := config.Empty()
-		p.Name, p.Address, p.Pool, p.IsPublic, p.MaxBody, p.Cost = "stream", "/s/", "pool", true, 1000, 1
+		p.Name, p.Address, p.Pool, p.Public, p.MaxBody, p.Cost = "stream", "/s/", "pool", true, 1000, 1
 		if p.DeadlineMs == 0 {
 			p.DeadlineMs = 60000
 		}
@@ -178,7 +178,7 @@
 	})
 }
 
-var resumable = config.Path{IsResumable: true}
+var resumable = config.Path{Resumable: true}
 
 // The first replica breaks off in the midst of an event, and the second goes on behind the last whole one: the caller gets every event once,
 // under the head of the first answer, and does not see that there were two.
--- a/router/router.go
+++ b/router/router.go
@@ -175,7 +175,7 @@
 	}
 	for i := len(filters) - 1; i >= 0; i-- {
 		filter, onward := filters[i], r.chain
-		if _, isAttempts := filter.(attemptsFilter); isAttempts {
+		if _, attempts := filter.(attemptsFilter); attempts {
 			r.onward = onward
 		}
 		r.chain = func(ctx context.Context, x *Exchange) error { return filter.Handle(ctx, x, onward) }
@@ -191,19 +191,19 @@
 
 // Status is what a router tells its agent, and so the cores.
 type Status struct {
-	Proxy     string           `json:"proxy"`
-	Run       string           `json:"run"` // one process's life
-	Zone      string           `json:"zone"`
-	Admin     string           `json:"admin"`
-	IsCurrent bool             `json:"current"`
-	IsStop    bool             `json:"stopping,omitempty"`
-	Counts    map[string]int64 `json:"counts"`
+	Proxy   string           `json:"proxy"`
+	Run     string           `json:"run"` // one process's life
+	Zone    string           `json:"zone"`
+	Admin   string           `json:"admin"`
+	Current bool             `json:"current"`
+	Stop    bool             `json:"stopping,omitempty"`
+	Counts  map[string]int64 `json:"counts"`
 }
 
 func (r *Router) ask() link.Ask {
 	r.noteCurrency()
-	status := Status{Proxy: r.options.Name, Run: r.run, Zone: r.options.Zone, Admin: r.options.Admin, IsCurrent: r.IsCurrent(),
-		IsStop: r.stopping.Load(), Counts: r.counts.all()}
+	status := Status{Proxy: r.options.Name, Run: r.run, Zone: r.options.Zone, Admin: r.options.Admin, Current: r.IsCurrent(),
+		Stop: r.stopping.Load(), Counts: r.counts.all()}
 	raw, _ := json.Marshal(status) // a plain struct always encodes
 	ask := link.Ask{Name: r.options.Name, Role: "proxy", Status: raw, Applied: map[string]register.Revision{}}
 	if v := r.view.Load(); v != nil {
@@ -213,12 +213,12 @@
 }
 
 // noteCurrency logs when the router becomes current, or has ceased to be.
-func (r *Router) noteCurrency() (isChanged bool) {
-	isCurrent := r.IsCurrent()
-	if isChanged = r.saidCurrent.Swap(isCurrent) != isCurrent; isChanged {
-		r.log.Info().Str("event", "currency").Bool("is_current", isCurrent).Msg("")
+func (r *Router) noteCurrency() (changed bool) {
+	current := r.IsCurrent()
+	if changed = r.saidCurrent.Swap(current) != current; changed {
+		r.log.Info().Str("event", "currency").Bool("is_current", current).Msg("")
 	}
-	return isChanged
+	return changed
 }
 
 // IsCurrent says whether this router can prove that it knows every accepted change.
@@ -271,7 +271,7 @@
 	limit := time.Duration(rule.CapMs) * time.Millisecond
 	n := hold.Notice{
 		Scope: x.item.Scope, ID: fmt.Sprintf("%s.%s.%d", r.options.Name, r.run, r.noticesSent.Add(1)), Raw: raw,
-		RemainingMs: min(delay, limit).Milliseconds(), Reason: reason, Attempt: x.Attempt, IsObserved: rule.IsObserve,
+		RemainingMs: min(delay, limit).Milliseconds(), Reason: reason, Attempt: x.Attempt, Observed: rule.Observe,
 	}
 	r.counts.add("throttles", 1)
 	if !r.table.Merge(n, limit) {
--- a/router/send.go
+++ b/router/send.go
@@ -33,10 +33,10 @@
 	if rep == nil || rep.Address != x.replica.Address {
 		return nil, errPickAgain
 	}
-	if weights, isFit := r.mayServe(v, p.pick(x.ID), rep, x.Prompt.Model, time.Now()); !isFit || weights != x.weights {
+	if weights, fit := r.mayServe(v, p.pick(x.ID), rep, x.Prompt.Model, time.Now()); !fit || weights != x.weights {
 		return nil, errPickAgain
 	}
-	if on, isReady := v.placement(x, p, rep); !isReady || on != x.placement {
+	if on, ready := v.placement(x, p, rep); !ready || on != x.placement {
 		return nil, errPickAgain // the route has switched: the base is picked at the write (§6.6)
 	}
 	if r.isLate(v, x) {
@@ -48,7 +48,7 @@
 // Handle sends the request to its replica and waits for the first piece of the answer.
 func (f sendFilter) Handle(_ context.Context, x *Exchange, _ func(context.Context, *Exchange) error) error {
 	r, rep := f.r, x.replica
-	domain := prompt.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.IsWalled, domainOf(x.weights, x.placement))
+	domain := prompt.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.Walled, domainOf(x.weights, x.placement))
 	x.left = 0 // nothing was told yet
 	v, err := r.recheck(x)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	r.learnAnswer(x, answer)
 	verdict := r.options.Dialect.Judge(answer)
-	if !verdict.IsServed {
+	if !verdict.Served {
 		timer.Stop()
 		_ = answer.Body.Close()
 		stop()
@@ -118,7 +118,7 @@
 
 // learnAnswer takes what an answer tells of its replica.
 func (r *Router) learnAnswer(x *Exchange, answer *http.Response) {
-	if seen, isTold := r.options.Dialect.Occupancy(answer); isTold {
+	if seen, told := r.options.Dialect.Occupancy(answer); told {
 		seen.at = time.Now()
 		if before := x.replica.seen.Load(); before != nil {
 			seen.Free = before.Free
@@ -222,12 +222,12 @@
 // firstPiece reads the first piece of a stream, or a short answer whole.
 func (r *Router) firstPiece(x *Exchange, answer *http.Response) error {
 	a := x.Answer
-	isFramed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
+	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 	switch {
 	case x.Request.Method == http.MethodHead:
-		a.IsAll = true
+		a.All = true
 	case strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream"):
-		if a.IsEnd = r.options.Dialect.IsEnd(); a.IsEnd == nil && !isFramed {
+		if a.IsEnd = r.options.Dialect.IsEnd(); a.IsEnd == nil && !framed {
 			return errUnframed
 		}
 		a.buffer = pieces.Get().(*[pieceSize]byte)
@@ -239,12 +239,12 @@
 		if n == 0 && !errors.Is(err, io.EOF) {
 			return err
 		}
-	case !isFramed:
+	case !framed:
 		return errUnframed
 	case answer.ContentLength <= maxWhole:
 		var err error
 		a.First, err = io.ReadAll(io.LimitReader(answer.Body, maxWhole+1))
-		a.IsAll = len(a.First) <= maxWhole
+		a.All = len(a.First) <= maxWhole
 		return err
 	}
 	return nil
@@ -257,14 +257,14 @@
 
 // lost ends an attempt that may have run.
 func (r *Router) lost(x *Exchange, err error) error {
-	x.isSent = true
+	x.sent = true
 	if x.Request.Context().Err() != nil {
 		return fail.Wrap(err, fail.OutcomeLost, "the caller left")
 	}
 	r.cool(x.replica)
 	r.log.Warn().Str("event", "lost").Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("")
 	lost := fail.Wrap(err, fail.OutcomeLost, "no whole answer from "+x.replica.Name)
-	if x.IsRepeatable && time.Now().Before(x.Deadline) {
+	if x.Repeatable && time.Now().Before(x.Deadline) {
 		return errAgain{lost}
 	}
 	return fail.New(fail.OutcomeLost, "%v", lost)
@@ -274,32 +274,32 @@
 func (r *Router) refused(x *Exchange, answer *http.Response, v Verdict) error {
 	r.counts.add("refusals", 1)
 	cause := fail.New(fail.ReplicaSaid, "%s refused: %s", x.replica.Name, v.Reason)
-	if v.IsPushed {
+	if v.Pushed {
 		r.counts.add("refusals_pushed", 1)
 		rule := r.view.Load().hold
 		values := answer.Header.Values("Retry-After")
-		isOurs := v.IsTenant || r.signals.Refused(x.replica.index, x.Tenant.index)
-		if !isOurs {
+		own := v.Tenant || r.signals.Refused(x.replica.index, x.Tenant.index)
+		if !own {
 			r.cool(x.replica)
 		}
-		if isOurs || len(values) > 0 {
-			delay, isParsed := hold.RetryAfter(values, r.dateOf(answer), time.Duration(rule.CapMs)*time.Millisecond)
-			if !isParsed {
+		if own || len(values) > 0 {
+			delay, parsed := hold.RetryAfter(values, r.dateOf(answer), time.Duration(rule.CapMs)*time.Millisecond)
+			if !parsed {
 				delay = r.random.backoff(rule, x.Attempt+r.streak(x))
 			}
 			r.throttle(x, delay, "refused: "+v.Reason, strings.Join(values, " | "))
 		}
 	}
-	if v.IsMoved {
+	if v.Moved {
 		r.cool(x.replica)
 	}
 	if isPlacementGone(v.Reason) {
 		x.forgetPlacement()
 	}
-	if v.IsFull {
+	if v.Full {
 		r.borrow.learn(true)
 	}
-	if !v.IsNotRun {
+	if !v.NotRun {
 		return r.lost(x, errors.New(cause.Error()))
 	}
 	return errAgain{cause}
@@ -320,7 +320,7 @@
 	r.learnRate(x, delay)
 	r.hasRead(x)
 	said := x.replica.report.Load()
-	if said != nil && !said.IsWarm {
+	if said != nil && !said.Warm {
 		return // slow for everyone
 	}
 	rule := r.view.Load().hold
--- a/router/view.go
+++ b/router/view.go
@@ -24,7 +24,7 @@
 	stores   []*replica // of pools that keep prompts for the others
 	models   map[string]config.Model
 	public   *tenant // of those who need no key
-	isOpen   bool    // a fleet declared by numbers without tenants: nobody needs a key
+	open     bool    // a fleet declared by numbers without tenants: nobody needs a key
 	hold     config.Hold
 	limits   config.Limits
 	proxies  []string
@@ -81,7 +81,7 @@
 // version is the newest version of a model that the replica is known to have; they only rise within a replica's life.
 func (rep *replica) version(model string) uint64 {
 	version := max(1, rep.Models[model], rep.seenVersion.Load())
-	if rep.order != nil && rep.order.IsDone && rep.order.Model == model {
+	if rep.order != nil && rep.order.Done && rep.order.Model == model {
 		version = max(version, rep.order.Version)
 	}
 	return version
@@ -124,7 +124,7 @@
 	Number  uint64  `json:"number"`
 	Weights string  `json:"weights"`
 	Running int     `json:"running"`
-	IsWarm  bool    `json:"warm"`
+	Warm    bool    `json:"warm"`
 	Rate    float64 `json:"rate"` // bytes of prompt read anew per ms
 	// Fetch has, by source, the bytes of prompt that this replica has got per ms; a source that it has not tried is not there.
 	Fetch map[string]float64 `json:"fetch,omitempty"`
@@ -140,8 +140,8 @@
 type indices struct{ byName map[string]int }
 
 func (x *indices) of(name string) int {
-	i, isThere := x.byName[name]
-	if !isThere {
+	i, ok := x.byName[name]
+	if !ok {
 		i = len(x.byName)
 		x.byName[name] = i
 	}
@@ -186,7 +186,7 @@
 		v.proxies = append(v.proxies, name)
 	}
 	sort.Strings(v.proxies)
-	v.isOpen = plan.IsOpen
+	v.open = plan.Open
 	for name, t := range plan.Tenants {
 		made := &tenant{t, r.names.of("tenant/" + name)}
 		v.tenants[name] = made
@@ -203,7 +203,7 @@
 				return nil, err
 			}
 			for hash, access := range all {
-				if !access.IsRevoked && access.Born == t.Born {
+				if !access.Revoked && access.Born == t.Born {
 					v.access[hash] = t
 				}
 			}
@@ -252,7 +252,7 @@
 	}
 	for name, told := range replicas {
 		made := &replica{Replica: told, load: newLoad(), index: r.names.of("replica/" + name)}
-		if order, isThere := orders[name]; isThere {
+		if order, ok := orders[name]; ok {
 			made.order = &order
 		}
 		if old != nil && old.replicas[name] != nil && old.replicas[name].Address == told.Address {
@@ -311,8 +311,8 @@
 	}
 	for _, paths := range [][]*path{v.paths[strings.ToLower(host)], v.paths[""]} {
 		for _, p := range paths {
-			isAt := p.Address == address || strings.HasSuffix(p.Address, "/") && strings.HasPrefix(address, p.Address)
-			if isAt && (p.Model == "" || p.Model == model) {
+			at := p.Address == address || strings.HasSuffix(p.Address, "/") && strings.HasPrefix(address, p.Address)
+			if at && (p.Model == "" || p.Model == model) {
 				return p
 			}
 		}
@@ -323,7 +323,7 @@
 // isPublic says whether some path at the address needs no access key.
 func (v *View) isPublic(host, address, model string) bool {
 	p := v.find(host, address, model)
-	return p != nil && p.IsPublic
+	return p != nil && p.Public
 }
 
 // isStaffed says whether the platform has told of a replica that is not leaving.
--- a/sim/backend_test.go
+++ b/sim/backend_test.go
@@ -37,12 +37,12 @@
 // backend is one replica.
 type backend struct {
 	config.Replica
-	fence    uint64
-	until    time.Time // loading until then
-	next     config.LoadOrder
-	isSilent bool
-	shown    map[string]uint64 // the versions that the platform's list has: it lags
-	showAt   time.Time
+	fence  uint64
+	until  time.Time // loading until then
+	next   config.LoadOrder
+	silent bool
+	shown  map[string]uint64 // the versions that the platform's list has: it lags
+	showAt time.Time
 }
 
 // ordered is an order that came to a replica.
@@ -51,7 +51,7 @@
 	core    int
 	replica string
 	at      time.Time
-	isTaken bool
+	taken   bool
 }
 
 // source keeps parts of prompts, and tells the news of one life.
@@ -61,7 +61,7 @@
 	before    daemon.KeptPlace // the place before the last change, and what that changed
 	changed   map[string]int
 	news      chan struct{} // closed at the next change
-	isGone    bool
+	gone      bool
 	readers   []int // cores that read now
 	most      int
 	readTimes map[int]int // by core
@@ -170,20 +170,20 @@
 func (v view) Versions(ctx context.Context, r config.Replica) (map[string]uint64, bool, error) {
 	v.mu.Lock()
 	own := v.replicas[r.Name]
-	isSilent := own == nil || own.isSilent
+	silent := own == nil || own.silent
 	v.mu.Unlock()
-	if isSilent {
+	if silent {
 		<-ctx.Done()
 		return nil, false, ctx.Err()
 	}
 	v.mu.Lock()
 	own.end()
-	models, isBusy, onVersions := maps.Clone(own.Models), own.next.Version > 0, v.onVersions
+	models, busy, onVersions := maps.Clone(own.Models), own.next.Version > 0, v.onVersions
 	v.mu.Unlock()
 	if onVersions != nil {
 		onVersions(v.core, models)
 	}
-	return models, isBusy, nil
+	return models, busy, nil
 }
 
 func (v view) Load(ctx context.Context, r config.Replica, o daemon.Order) error {
@@ -194,13 +194,13 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	own := v.replicas[r.Name]
-	if own == nil || own.isSilent || ctx.Err() != nil {
+	if own == nil || own.silent || ctx.Err() != nil {
 		return errors.New("no answer")
 	}
 	own.end()
-	told.isTaken = own.next.Version == 0 && o.Fence >= own.fence
+	told.taken = own.next.Version == 0 && o.Fence >= own.fence
 	v.orders = append(v.orders, told)
-	if !told.isTaken {
+	if !told.taken {
 		return errors.New("refused")
 	}
 	own.fence, own.next, own.until = o.Fence, o.LoadOrder, time.Now().Add(v.loadTime)
@@ -217,7 +217,7 @@
 func (v view) Kept(ctx context.Context, address string, from daemon.KeptPlace, wait time.Duration) (daemon.KeptNews, error) {
 	v.mu.Lock()
 	s := v.sources[address]
-	if s == nil || s.isGone {
+	if s == nil || s.gone {
 		v.mu.Unlock()
 		return daemon.KeptNews{}, errors.New("gone")
 	}
@@ -236,7 +236,7 @@
 	}
 	defer v.mu.Unlock()
 	s.readers = slices.Delete(s.readers, slices.Index(s.readers, v.core), slices.Index(s.readers, v.core)+1)
-	if ctx.Err() != nil || s.isGone {
+	if ctx.Err() != nil || s.gone {
 		return daemon.KeptNews{}, errors.New("gone meanwhile")
 	}
 	switch from {
@@ -245,7 +245,7 @@
 	case s.before:
 		return daemon.KeptNews{Place: s.place, Kept: maps.Clone(s.changed)}, nil
 	}
-	return daemon.KeptNews{Place: s.place, IsSnapshot: true, Kept: maps.Clone(s.kept)}, nil
+	return daemon.KeptNews{Place: s.place, Snapshot: true, Kept: maps.Clone(s.kept)}, nil
 }
 
 // keep changes what a source keeps. In another epoch it has started anew.
@@ -271,11 +271,11 @@
 }
 
 // silence has a source fail from now on, or answer again.
-func (b *backends) silence(address string, isGone bool) {
+func (b *backends) silence(address string, gone bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.sources[address]
-	s.isGone = isGone
+	s.gone = gone
 	close(s.news)
 	s.news = make(chan struct{})
 }
@@ -311,24 +311,24 @@
 // reservations reads the open reservations of replicas that are to load.
 func reservations(f *link.Follower) map[string]config.LoadOrder {
 	all, _ := config.Load[config.LoadOrder](f.Read(config.LoadsKey).Fields) // none that cannot be read
-	maps.DeleteFunc(all, func(_ string, o config.LoadOrder) bool { return o.IsDone })
+	maps.DeleteFunc(all, func(_ string, o config.LoadOrder) bool { return o.Done })
 	return all
 }
 
 // keptAt reads what an agent passes on of a source, and whether the source answers.
-func keptAt(f *link.Follower, source string) (kept map[string]int, isUp bool) {
+func keptAt(f *link.Follower, source string) (kept map[string]int, up bool) {
 	kept = map[string]int{}
 	for field, raw := range f.Read(router.KeptPrefix + source).Fields {
 		if register.IsGone(raw) {
 			continue
 		}
 		if field == router.KeptUp {
-			isUp = true
+			up = true
 		} else if n := 0; json.Unmarshal(raw, &n) == nil {
 			kept[field] = n
 		}
 	}
-	return kept, isUp
+	return kept, up
 }
 
 // given lists the orders that came until now.
--- a/sim/catchup_test.go
+++ b/sim/catchup_test.go
@@ -22,15 +22,15 @@
 )
 
 // routesOf is a configuration in which the given routes are new or differ from those of the number before.
-func routesOf(number, basedOn uint64, isFull bool, first, count int) config.Declaration {
+func routesOf(number, basedOn uint64, full bool, first, count int) config.Declaration {
 	b := config.Empty()
-	d := config.Declaration{Number: number, BasedOn: basedOn, IsFull: isFull, Digest: fmt.Sprint(number), Texts: register.Fields{}}
-	if isFull {
+	d := config.Declaration{Number: number, BasedOn: basedOn, Full: full, Digest: fmt.Sprint(number), Texts: register.Fields{}}
+	if full {
 		b.Pools["web"] = config.Pool{Name: "web", Kind: "web"}
 	}
 	for i := first; i < first+count; i++ {
 		name := fmt.Sprintf("route-%03d", i)
-		b.Paths[name] = config.Path{Name: name, Address: "/" + name + "/", Pool: "web", DeadlineMs: 1000 + int(number%1000), IsPublic: true, MaxBody: 1000, Cost: 1}
+		b.Paths[name] = config.Path{Name: name, Address: "/" + name + "/", Pool: "web", DeadlineMs: 1000 + int(number%1000), Public: true, MaxBody: 1000, Cost: 1}
 		d.Texts["path/"+name] = json.RawMessage(fmt.Sprintf(`{"label":"%s","service":"web","deadline_ms":%d,"max_tries":3}`, name, 1000+number%1000))
 		d.Order = append(d.Order, "path/"+name)
 	}
--- a/sim/chaos_test.go
+++ b/sim/chaos_test.go
@@ -60,7 +60,7 @@
 // fault brings something about and gives what undoes it. One that harms a disk waits until none is harmed.
 type fault struct {
 	name    string
-	isHarm  bool
+	harm    bool
 	do      func(c *chaos) (undo func())
 	longest time.Duration // before it is undone; 3 s if zero
 }
@@ -90,7 +90,7 @@
 }
 
 func (c *chaos) partial(format string, args ...any) {
-	c.order(config.Key, daemon.ConfigOrder{IsPartial: true, Text: fmt.Appendf(nil, format, args...)})
+	c.order(config.Key, daemon.ConfigOrder{Partial: true, Text: fmt.Appendf(nil, format, args...)})
 }
 
 func (c *chaos) tell(i int, state string) {
@@ -186,13 +186,13 @@
 		c.Net.Freeze(ip, true)
 		return func() { c.Net.Freeze(ip, false) }
 	}},
-	{name: "a disk lost", isHarm: true, do: func(c *chaos) func() { return c.wipe(c.core()) }},
-	{name: "a disk lost in the instant after a yes", isHarm: true, do: func(c *chaos) func() {
+	{name: "a disk lost", harm: true, do: func(c *chaos) func() { return c.wipe(c.core()) }},
+	{name: "a disk lost in the instant after a yes", harm: true, do: func(c *chaos) func() {
 		i := c.core()
-		_, _ = c.Order(i, config.Key, daemon.ConfigOrder{IsPartial: true, Text: fmt.Appendf(nil, `{"tenants":[{"name":%q,"weight":%d}]}`, c.tenant(), 1+c.random.IntN(9))})
+		_, _ = c.Order(i, config.Key, daemon.ConfigOrder{Partial: true, Text: fmt.Appendf(nil, `{"tenants":[{"name":%q,"weight":%d}]}`, c.tenant(), 1+c.random.IntN(9))})
 		return c.wipe(i)
 	}},
-	{name: "a file torn", isHarm: true, do: func(c *chaos) func() {
+	{name: "a file torn", harm: true, do: func(c *chaos) func() {
 		i := c.core()
 		c.Kill(CoreIP(i))
 		names, _ := c.Disks[i].Open().List("k" + config.Key)
@@ -202,7 +202,7 @@
 		c.harmed = "torn"
 		return func() { c.startCore(i) }
 	}},
-	{name: "a core machine replaced elsewhere", isHarm: true, do: func(c *chaos) func() {
+	{name: "a core machine replaced elsewhere", harm: true, do: func(c *chaos) func() {
 		i, made := c.core(), len(c.Disks)
 		if made >= 10 {
 			return func() {}
@@ -313,13 +313,13 @@
 	}},
 	{name: "a tenant throttled", do: func(c *chaos) func() {
 		tenant := c.tenant()
-		c.behave(fake.Behaviour{Tenant: tenant, IsRefusing: true})
+		c.behave(fake.Behaviour{Tenant: tenant, Refusing: true})
 		return func() { c.behave(fake.Behaviour{Tenant: tenant}) }
 	}},
 	{name: "a throttle storm", do: func(c *chaos) func() {
 		set := func(isRefusing bool) {
 			for _, tenant := range c.Options.Tenants[:6] {
-				c.behave(fake.Behaviour{Tenant: tenant, IsRefusing: isRefusing, IsUnnamed: true})
+				c.behave(fake.Behaviour{Tenant: tenant, Refusing: isRefusing, Unnamed: true})
 			}
 		}
 		set(true)
@@ -332,7 +332,7 @@
 	}},
 	{name: "replicas failing with errors of their own", do: func(c *chaos) func() {
 		tenant := c.tenant()
-		c.behave(fake.Behaviour{Tenant: tenant, IsFailing: true})
+		c.behave(fake.Behaviour{Tenant: tenant, Failing: true})
 		return func() { c.behave(fake.Behaviour{Tenant: tenant}) }
 	}},
 	{name: "cache news lost", do: func(c *chaos) func() {
@@ -355,7 +355,7 @@
 		}
 	}},
 	{name: "the store empty", do: func(c *chaos) func() {
-		c.Replicas["store-1"].Behave(fake.Behaviour{IsEmptied: true})
+		c.Replicas["store-1"].Behave(fake.Behaviour{Emptied: true})
 		return func() {}
 	}},
 	{name: "links between replicas slow", do: func(c *chaos) func() {
@@ -369,7 +369,7 @@
 	{name: "a key revoked, another granted", do: func(c *chaos) func() {
 		tenant := c.tenant()
 		c.spare++
-		c.order("keys", daemon.KeyOrder{Tenant: tenant, Hash: config.HashKey(tenant + "-spare"), IsRevoked: true})
+		c.order("keys", daemon.KeyOrder{Tenant: tenant, Hash: config.HashKey(tenant + "-spare"), Revoked: true})
 		c.order("keys", daemon.KeyOrder{Tenant: tenant, Hash: config.HashKey(fmt.Sprint(tenant, c.spare))})
 		return func() {}
 	}},
@@ -429,10 +429,10 @@
 				joiners[name] = joiners[name] || row["state"] == router.JoinerState
 			}
 		}
-		isDone := len(members) > 0
-		for name, isLive := range members {
-			if joiners[name] || !isLive {
-				isDone = false
+		done := len(members) > 0
+		for name, live := range members {
+			if joiners[name] || !live {
+				done = false
 				if !joiners[name] || len(members) > 3 {
 					c.members("retire", name)
 				}
@@ -442,7 +442,7 @@
 				break
 			}
 		}
-		if isDone {
+		if done {
 			return
 		}
 		time.Sleep(2 * time.Second)
@@ -479,7 +479,7 @@
 	for time.Now().Before(end) {
 		if len(now) < 3 {
 			pick := faults[c.random.IntN(len(faults))]
-			if !pick.isHarm || c.harmed == "" {
+			if !pick.harm || c.harmed == "" {
 				played = append(played, pick.name)
 				longest := pick.longest
 				if longest == 0 {
@@ -491,11 +491,11 @@
 		}
 		time.Sleep(time.Duration(100+c.random.IntN(900)) * time.Millisecond)
 		now = slices.DeleteFunc(now, func(s activeFault) bool {
-			isOver := !time.Now().Before(s.until)
-			if isOver {
+			over := !time.Now().Before(s.until)
+			if over {
 				s.undo()
 			}
-			return isOver
+			return over
 		})
 	}
 	for _, s := range now {
@@ -512,7 +512,7 @@
 		a, err := f.Query(f.cores()[0], what)
 		is.NoErr(err)
 		for _, row := range a.Rows {
-			if n, isThere := row["own_running"]; isThere && n != 0.0 || row["waiting"] != nil {
+			if n, ok := row["own_running"]; ok && n != 0.0 || row["waiting"] != nil {
 				is.Equal(fmt.Sprint(row), "nothing left over")
 			}
 		}
--- a/sim/codes_test.go
+++ b/sim/codes_test.go
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is, f := is.New(t), NewFleet(options(140))
 		defer f.Stop()
-		weight := daemon.ConfigOrder{IsPartial: true, Text: json.RawMessage(`{"tenants":[{"name":"a","weight":7}]}`)}
+		weight := daemon.ConfigOrder{Partial: true, Text: json.RawMessage(`{"tenants":[{"name":"a","weight":7}]}`)}
 		_, err := f.Order(0, config.Key, weight)
 		is.True(fail.Is(err, fail.NotFounded))
 		f.Declare()
@@ -61,7 +61,7 @@
 		is.Equal(f.sum("bounce_"+fail.StreamCut.Name), int64(1))
 
 		// A caller that leaves while it waits did not run.
-		f.behave(fake.Behaviour{Tenant: "a", IsRefusing: true, RetryAfter: "8"})
+		f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "8"})
 		ctx, leave := context.WithCancel(context.Background())
 		var asking sync.WaitGroup
 		asking.Go(func() {
@@ -77,7 +77,7 @@
 		is.Equal(f.sum("bounce_"+fail.CallerGone.Name), int64(1))
 
 		// Refused with nothing left for a retry: the answer names the refusal.
-		f.behave(fake.Behaviour{IsRefusing: true})
+		f.behave(fake.Behaviour{Refusing: true})
 		var said strings.Builder
 		for range 9 {
 			_, _, text = f.Ask(2, "b", "", chat("light"))
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -28,16 +28,16 @@
 }
 
 // isolate cuts a core off from all other cores: what it sends, what is sent to it, or both. Operators and the platform reach it as before.
-func (f *Fleet) isolate(core int, isSending, isReceiving, isCut bool) {
+func (f *Fleet) isolate(core int, sending, receiving, cut bool) {
 	for other := range f.Disks {
 		if other == core {
 			continue
 		}
-		if isSending {
-			f.Net.setCut(CoreIP(core), CoreIP(other), isCut)
+		if sending {
+			f.Net.setCut(CoreIP(core), CoreIP(other), cut)
 		}
-		if isReceiving {
-			f.Net.setCut(CoreIP(other), CoreIP(core), isCut)
+		if receiving {
+			f.Net.setCut(CoreIP(other), CoreIP(core), cut)
 		}
 	}
 }
@@ -77,8 +77,8 @@
 			owner, other := ownerOf(config.Key)
 			f.declare(other, numbered(1, 0, true, "a"))
 			f.declare(owner, numbered(2, 1, false, "b"))
-			isFrozen := !cut[0] && !cut[1]
-			if isFrozen {
+			frozen := !cut[0] && !cut[1]
+			if frozen {
 				f.Net.Freeze(CoreIP(owner), true)
 			} else {
 				f.isolate(owner, cut[0], cut[1], true)
@@ -97,7 +97,7 @@
 				}
 			}
 			for since := time.Now(); time.Since(since) < longCut; time.Sleep(time.Second) {
-				if !isFrozen {
+				if !frozen {
 					ask()
 				}
 			}
@@ -125,7 +125,7 @@
 		key := config.KeysPrefix + "a"
 		owner, other := ownerOf(key)
 		hash := config.HashKey("another")
-		_, err := f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, IsRevoked: true}) // the owner holds the key from here on
+		_, err := f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, Revoked: true}) // the owner holds the key from here on
 		is.True(fail.Is(err, fail.NotFound))
 		f.isolate(owner, true, true, true)
 		f.Until(6*time.Second, "the others take the key", func() bool {
@@ -133,12 +133,12 @@
 			return err == nil
 		})
 		for since := time.Now(); time.Since(since) < longCut; time.Sleep(time.Second) {
-			_, err = f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, IsRevoked: true})
+			_, err = f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, Revoked: true})
 			is.True(err != nil && !fail.Is(err, fail.NotFound))
 		}
 		f.isolate(owner, true, true, false)
 		f.Until(6*time.Second, "the key is revoked", func() bool {
-			_, err := f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, IsRevoked: true})
+			_, err := f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, Revoked: true})
 			return err == nil
 		})
 	})
@@ -190,7 +190,7 @@
 		version, _, err := f.config(0)
 		is.NoErr(err)
 		order := func(weight int) daemon.ConfigOrder {
-			return daemon.ConfigOrder{IsPartial: true, Expect: &version, Text: fmt.Appendf(nil, `{"tenants":[{"name":"a","weight":%d}]}`, weight)}
+			return daemon.ConfigOrder{Partial: true, Expect: &version, Text: fmt.Appendf(nil, `{"tenants":[{"name":"a","weight":%d}]}`, weight)}
 		}
 		_, err = f.Order(0, config.Key, order(7))
 		is.NoErr(err)
--- a/sim/declare_test.go
+++ b/sim/declare_test.go
@@ -21,13 +21,13 @@
 	t.Parallel()
 	for _, cores := range []int{3, 4} {
 		for lost := range cores {
-			isLater := false
+			later := false
 			o := numberedOptions(uint64(240+lost), cores)
-			o.PlaceCore = func(_ int, p *daemon.Host) { p.IsFounded = isLater }
+			o.PlaceCore = func(_ int, p *daemon.Host) { p.Founded = later }
 			inNumbered(t, o, func(is *is.I, f *Fleet) {
 				all := members("core-1 core-2 core-3 core-4"[:7*cores-1])
 				f.untilMembership(10*time.Second, all)
-				isLater = true
+				later = true
 				f.declare(0, numbered(1, 0, true, "a"))
 				is.NoErr(f.core((lost+1)%cores).Declare(context.Background(), numbered(2, 1, false, "b")))
 				for i := range cores {
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -16,7 +16,7 @@
 	folders map[string]map[string][]byte // sealed files
 	life    int
 	delay   time.Duration
-	isFull  bool
+	full    bool
 	stall   chan struct{} // not nil: writes wait until it is closed
 	writes  int
 	written int // bytes, in all
@@ -33,10 +33,10 @@
 }
 
 // Fill makes writes fail, or work again.
-func (d *Disk) Fill(isFull bool) {
+func (d *Disk) Fill(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.isFull = isFull
+	d.full = full
 }
 
 // Stall holds writes back until the function that it gives is called.
@@ -123,7 +123,7 @@
 		time.Sleep(delay) // the disk's own time, in the bubble's fake clock
 	}
 	return h.locked(func() error {
-		if h.disk.isFull {
+		if h.disk.full {
 			return fail.New(fail.DiskFailed, "no space left")
 		}
 		if h.disk.folders[folder] == nil {
@@ -138,8 +138,8 @@
 
 func (h *handle) Get(folder, name string) (data []byte, err error) {
 	err = h.locked(func() error {
-		sealed, isThere := h.disk.folders[folder][name]
-		if !isThere {
+		sealed, ok := h.disk.folders[folder][name]
+		if !ok {
 			return fail.New(fail.NotFound, "no file %s/%s", folder, name)
 		}
 		data, err = disk.Open(sealed)
--- a/sim/exchange_test.go
+++ b/sim/exchange_test.go
@@ -33,7 +33,7 @@
 	var out strings.Builder
 	fmt.Fprintf(&out, "> %s %s\n", method, address)
 	for _, name := range []string{"Authorization", "Idempotency-Key", "X-Repeatable", "X-Deadline-Ms"} {
-		if value, isSet := header[name]; isSet {
+		if value, set := header[name]; set {
 			q.Header.Set(name, value)
 			fmt.Fprintf(&out, "> %s: %s\n", name, value)
 		}
@@ -91,7 +91,7 @@
 		say("the same key again, by another proxy", f.exchange(1, "POST", chatAddress, bearer("a", "Idempotency-Key", "k1"), chat("light")))
 		say("the same key of another tenant", f.exchange(1, "POST", chatAddress, bearer("c", "Idempotency-Key", "k1"), chat("light")))
 		for _, r := range f.Replicas {
-			r.Behave(fake.Behaviour{Tenant: "a", IsRefusing: true, RetryAfter: "40"})
+			r.Behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "40"})
 		}
 		say("throttled for longer than the request may wait", f.exchange(0, "POST", chatAddress, bearer("a"), chat("light")))
 		time.Sleep(200 * time.Millisecond)
@@ -103,7 +103,7 @@
 		say("a stream that the replica breaks off", f.exchange(0, "POST", chatAddress, bearer("c", "Idempotency-Key", "k2"), chat("light")))
 		time.Sleep(time.Second)
 		say("its key again", f.exchange(1, "POST", chatAddress, bearer("c", "Idempotency-Key", "k2"), chat("light")))
-		must(f.Order(0, "keys", daemon.KeyOrder{Tenant: "b", Hash: config.HashKey("b-key"), IsRevoked: true}))
+		must(f.Order(0, "keys", daemon.KeyOrder{Tenant: "b", Hash: config.HashKey("b-key"), Revoked: true}))
 		time.Sleep(time.Second)
 		say("a revoked key", f.exchange(0, "POST", chatAddress, bearer("b"), chat("light")))
 		golden.Compare(t, "testdata/exchanges.txt", changing.ReplaceAllString(out.String(), "…"))
@@ -203,7 +203,7 @@
 		}
 		is.Equal(ask(chat("light")), "200  ")
 		is.Equal(ask(strings.Replace(chat("light"), "where", strings.Repeat("where ", 100), 1)), "413 106 no")
-		f.behave(fake.Behaviour{Tenant: "a", IsRefusing: true, RetryAfter: "50"})
+		f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "50"})
 		f.Ask(1, "a", "", chat("light"))
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(ask(chat("light")), "429 210 no") // it holds whom the fleet holds
--- a/sim/faults_test.go
+++ b/sim/faults_test.go
@@ -22,7 +22,7 @@
 	var a daemon.Accepted
 	var err error
 	for _, core := range f.cores() {
-		if a, err = f.Order(core, config.Key, daemon.ConfigOrder{Text: json.RawMessage(text), IsPartial: true}); err == nil {
+		if a, err = f.Order(core, config.Key, daemon.ConfigOrder{Text: json.RawMessage(text), Partial: true}); err == nil {
 			return a, nil
 		}
 	}
@@ -63,10 +63,10 @@
 		all := f.during(600, 30, 11, func() {
 			time.Sleep(5 * time.Second)
 			for _, r := range f.Replicas { // work of b waits behind a hold when its key goes
-				r.Behave(fake.Behaviour{Tenant: "b", IsRefusing: true, RetryAfter: "4"})
+				r.Behave(fake.Behaviour{Tenant: "b", Refusing: true, RetryAfter: "4"})
 			}
 			time.Sleep(time.Second)
-			must(f.Order(2, "keys", daemon.KeyOrder{Tenant: "b", Hash: config.HashKey("b-key"), IsRevoked: true}))
+			must(f.Order(2, "keys", daemon.KeyOrder{Tenant: "b", Hash: config.HashKey("b-key"), Revoked: true}))
 			for _, r := range f.Replicas {
 				r.Behave(fake.Behaviour{Tenant: "b"})
 			}
@@ -148,7 +148,7 @@
 		status, _, _ := f.Ask(0, "a", "before", chat("light"))
 		is.Equal(status, 200)
 		for _, r := range f.Replicas {
-			r.Behave(fake.Behaviour{Tenant: "c", IsRefusing: true, RetryAfter: "60"})
+			r.Behave(fake.Behaviour{Tenant: "c", Refusing: true, RetryAfter: "60"})
 		}
 		_, code, _ := f.Ask(0, "c", "", chat("light"))
 		is.Equal(code, "210")
@@ -184,7 +184,7 @@
 }
 
 // configuration gives a core's version of the configuration.
-func (f *Fleet) config(core int) (version uint64, isSettled bool, err error) {
+func (f *Fleet) config(core int) (version uint64, settled bool, err error) {
 	a, err := f.Query(core, "owners")
 	for _, row := range a.Rows {
 		if row["key"] == config.Key {
@@ -235,7 +235,7 @@
 			f.Net.Part(ips[:2], ips[2:], true)
 			time.Sleep(1500 * time.Millisecond)
 			for core := range 4 {
-				_, err := f.Order(core, config.Key, daemon.ConfigOrder{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":50}]}`), IsPartial: true})
+				_, err := f.Order(core, config.Key, daemon.ConfigOrder{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":50}]}`), Partial: true})
 				is.True(err != nil)
 			}
 			f.Net.Part(ips[:2], ips[2:], false)
@@ -245,10 +245,10 @@
 			})
 			f.Net.Part(ips[:1], ips[1:], true)
 			f.Until(6*time.Second, "three of four accept", func() bool {
-				_, err := f.Order(2, config.Key, daemon.ConfigOrder{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":52}]}`), IsPartial: true})
+				_, err := f.Order(2, config.Key, daemon.ConfigOrder{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":52}]}`), Partial: true})
 				return err == nil
 			})
-			_, err := f.Order(0, config.Key, daemon.ConfigOrder{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":53}]}`), IsPartial: true})
+			_, err := f.Order(0, config.Key, daemon.ConfigOrder{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":53}]}`), Partial: true})
 			is.True(err != nil)
 			f.Net.Part(ips[:1], ips[1:], false)
 			time.Sleep(3 * time.Second)
@@ -300,7 +300,7 @@
 					name := fmt.Sprintf("t-%d-%d", op, n)
 					version, _, err := f.config(op)
 					is.NoErr(err)
-					_, err = f.Order(op, config.Key, daemon.ConfigOrder{IsPartial: true, Expect: &version,
+					_, err = f.Order(op, config.Key, daemon.ConfigOrder{Partial: true, Expect: &version,
 						Text: json.RawMessage(`{"tenants":[{"name":"` + name + `"}]}`)})
 					mu.Lock()
 					if err == nil {
@@ -318,7 +318,7 @@
 		for n := range 60 {
 			burst.Go(func() {
 				name := fmt.Sprintf("burst-%d", n)
-				_, err := f.Order(n%4, config.Key, daemon.ConfigOrder{IsPartial: true, Text: json.RawMessage(`{"tenants":[{"name":"` + name + `"}]}`)})
+				_, err := f.Order(n%4, config.Key, daemon.ConfigOrder{Partial: true, Text: json.RawMessage(`{"tenants":[{"name":"` + name + `"}]}`)})
 				is.NoErr(err)
 				mu.Lock()
 				defer mu.Unlock()
@@ -392,8 +392,8 @@
 			a, err := f.Query(0, "replicas")
 			for _, row := range a.Rows {
 				name := row["replica"].(string)
-				isModel := row["pool"] == "deep" || row["pool"] == "quick"
-				if isModel && !silent[name] && row["weights"] != "w2" {
+				model := row["pool"] == "deep" || row["pool"] == "quick"
+				if model && !silent[name] && row["weights"] != "w2" {
 					return false
 				}
 			}
@@ -457,7 +457,7 @@
 		}
 		f.Rest(callers[2], func() {})
 		for _, fact := range f.FactLog.Facts() {
-			is.True(fact.Kind != fake.Leaving || fact.IsTried)
+			is.True(fact.Kind != fake.Leaving || fact.Tried)
 		}
 		noBreach(is, f, 11, 12)
 	})
--- a/sim/files.go
+++ b/sim/files.go
@@ -20,16 +20,16 @@
 	root       *node
 	operations int
 	stop       int // from this operation on, all fail until the next Restart or PowerLoss; 0: none
-	isStopped  bool
+	stopped    bool
 	fault      Fault
 	temps      int
 }
 
 // Fault fails operations without ending the process.
 type Fault struct {
-	From, To  int  // the operations that fail, counted as Operations does; both included
-	IsDone    bool // they are done and report an error all the same
-	IsWriting bool // only those that need space fail: made files and folders, and writes
+	From, To int  // the operations that fail, counted as Operations does; both included
+	Done     bool // they are done and report an error all the same
+	Writing  bool // only those that need space fail: made files and folders, and writes
 }
 
 var (
@@ -93,14 +93,14 @@
 func (f *Files) IsStopped() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.isStopped
+	return f.stopped
 }
 
 // Restart begins another process after the one before was killed: nothing is lost, and nothing more is synced.
 func (f *Files) Restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.stop, f.isStopped, f.fault = 0, false, Fault{}
+	f.stop, f.stopped, f.fault = 0, false, Fault{}
 }
 
 // PowerLoss loses power and begins another process. What was not synced is kept with the given chance, from 0 (none) to 1 (all).
@@ -154,16 +154,16 @@
 }
 
 // begin counts an operation and says whether it is to be done, and what it reports.
-func (f *Files) begin(isWriting bool) (isDone bool, err error) {
+func (f *Files) begin(writing bool) (done bool, err error) {
 	f.operations++
 	if f.stop != 0 && f.operations >= f.stop {
-		f.isStopped = true
+		f.stopped = true
 	}
-	if f.isStopped {
+	if f.stopped {
 		return false, errStopped
 	}
-	if f.operations >= f.fault.From && f.operations <= f.fault.To && (isWriting || !f.fault.IsWriting) {
-		return f.fault.IsDone, errFaulty
+	if f.operations >= f.fault.From && f.operations <= f.fault.To && (writing || !f.fault.Writing) {
+		return f.fault.Done, errFaulty
 	}
 	return true, nil
 }
@@ -187,11 +187,11 @@
 func (f *Files) MkdirAll(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, err := f.folder(name); err == nil && !f.isStopped {
+	if _, err := f.folder(name); err == nil && !f.stopped {
 		return nil // nothing is written
 	}
-	isDone, err := f.begin(true)
-	if !isDone {
+	done, err := f.begin(true)
+	if !done {
 		return err
 	}
 	at := f.root
@@ -212,8 +212,8 @@
 	if missing != nil {
 		return nil, missing
 	}
-	isDone, err := f.begin(true)
-	if !isDone {
+	done, err := f.begin(true)
+	if !done {
 		return nil, err
 	}
 	f.temps++
@@ -241,8 +241,8 @@
 	if moved == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	isDone, err := f.begin(false)
-	if isDone {
+	done, err := f.begin(false)
+	if done {
 		source.set(path.Base(from), nil)
 		target.set(path.Base(to), moved)
 	}
@@ -260,8 +260,8 @@
 	if at.lookup(path.Base(name)) == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	isDone, err := f.begin(false)
-	if isDone {
+	done, err := f.begin(false)
+	if done {
 		at.set(path.Base(name), nil)
 	}
 	return err
@@ -279,7 +279,7 @@
 	if file == nil {
 		return nil, &fs.PathError{Op: "read", Path: name, Err: fs.ErrNotExist}
 	}
-	if isDone, err := f.begin(false); !isDone {
+	if done, err := f.begin(false); !done {
 		return nil, err
 	}
 	return file.content(), nil
@@ -293,13 +293,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if isDone, err := f.begin(false); !isDone {
+	if done, err := f.begin(false); !done {
 		return nil, err
 	}
 	var entries []disk.Entry
 	for entry := range at.names {
 		if found := at.lookup(entry); found != nil {
-			entries = append(entries, disk.Entry{Name: entry, IsDir: found.names != nil})
+			entries = append(entries, disk.Entry{Name: entry, Dir: found.names != nil})
 		}
 	}
 	slices.SortFunc(entries, func(a, b disk.Entry) int { return strings.Compare(a.Name, b.Name) })
@@ -314,8 +314,8 @@
 	if err != nil {
 		return err
 	}
-	isDone, err := f.begin(false)
-	if isDone {
+	done, err := f.begin(false)
+	if done {
 		for entry := range at.names {
 			at.names[entry] = []*node{at.lookup(entry)}
 		}
@@ -335,8 +335,8 @@
 func (o *openFile) Write(data []byte) (int, error) {
 	o.files.mu.Lock()
 	defer o.files.mu.Unlock()
-	isDone, err := o.files.begin(true)
-	if isDone {
+	done, err := o.files.begin(true)
+	if done {
 		o.node.writes = append(o.node.writes, slices.Clone(data))
 	}
 	if err != nil {
@@ -348,8 +348,8 @@
 func (o *openFile) Sync() error {
 	o.files.mu.Lock()
 	defer o.files.mu.Unlock()
-	isDone, err := o.files.begin(false)
-	if isDone {
+	done, err := o.files.begin(false)
+	if done {
 		o.node.synced, o.node.writes = o.node.content(), nil
 	}
 	return err
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -353,9 +353,9 @@
 }
 
 // Until waits in fake time for something to become so, and panics if it does not.
-func (f *Fleet) Until(limit time.Duration, what string, isSo func() bool) time.Duration {
+func (f *Fleet) Until(limit time.Duration, what string, so func() bool) time.Duration {
 	began := time.Now()
-	for !isSo() {
+	for !so() {
 		if time.Since(began) > limit {
 			panic("not within " + limit.String() + ": " + what)
 		}
--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -52,7 +52,7 @@
 func whole(all []fake.Asked) int {
 	n := 0
 	for _, a := range all {
-		if a.Status == 200 && a.IsEnded {
+		if a.Status == 200 && a.Ended {
 			n++
 		}
 	}
@@ -72,7 +72,7 @@
 	t.Parallel()
 	inBubble(t, options(2), func(is *is.I, f *Fleet) {
 		for _, r := range f.Replicas {
-			r.Behave(fake.Behaviour{Tenant: "a", IsRefusing: true, RetryAfter: "3"})
+			r.Behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "3"})
 		}
 		go f.Ask(0, "a", "", chat("light"))
 		spread := f.Until(time.Second, "every proxy holds a", func() bool { return f.holding("a") == 3 })
--- a/sim/founding_test.go
+++ b/sim/founding_test.go
@@ -14,12 +14,12 @@
 func TestFoundersKilledBeforeTheirFirstListFoundTheFleet(t *testing.T) {
 	t.Parallel()
 	for after := 50 * time.Millisecond; after <= 850*time.Millisecond; after += 100 * time.Millisecond {
-		isLater := false
+		later := false
 		o := numberedOptions(260, 3)
-		o.PlaceCore = func(_ int, p *daemon.Host) { p.IsFounded = isLater }
+		o.PlaceCore = func(_ int, p *daemon.Host) { p.Founded = later }
 		inNumbered(t, o, func(_ *is.I, f *Fleet) {
 			time.Sleep(after)
-			isLater = true
+			later = true
 			for i := range 3 {
 				f.Kill(CoreIP(i))
 			}
@@ -38,7 +38,7 @@
 	t.Parallel()
 	for emptied := range 3 {
 		o := numberedOptions(261, 3)
-		o.PlaceCore = func(i int, p *daemon.Host) { p.IsFounded = i == emptied }
+		o.PlaceCore = func(i int, p *daemon.Host) { p.Founded = i == emptied }
 		inNumbered(t, o, func(is *is.I, f *Fleet) {
 			time.Sleep(30 * time.Second)
 			for i := range 3 {
--- a/sim/handover_test.go
+++ b/sim/handover_test.go
@@ -34,8 +34,8 @@
 		is.NoErr(err)
 		is.Equal(third, first) // the choice is the same as before
 		for _, agent := range agents {
-			kept, isUp := keptAt(agent, theStore)
-			is.True(isUp)
+			kept, up := keptAt(agent, theStore)
+			is.True(up)
 			is.Equal(kept["d/new"], 4)
 		}
 	})
--- a/sim/kept_test.go
+++ b/sim/kept_test.go
@@ -51,8 +51,8 @@
 	}()
 	return f.Until(limit, fmt.Sprint(source, " keeps ", want), func() bool {
 		for _, agent := range agents {
-			kept, isUp := keptAt(agent, source)
-			if last = fmt.Sprint(kept, isUp); isUp != (want != nil) || !maps.Equal(kept, want) {
+			kept, up := keptAt(agent, source)
+			if last = fmt.Sprint(kept, up); up != (want != nil) || !maps.Equal(kept, want) {
 				return false
 			}
 		}
@@ -134,8 +134,8 @@
 		time.Sleep(600 * time.Millisecond) // a call is held there
 		stop := watch(func() {
 			for _, agent := range agents {
-				_, isUp := keptAt(agent, theStore)
-				is.True(isUp)
+				_, up := keptAt(agent, theStore)
+				is.True(up)
 			}
 		})
 		b.silence(storeAt, true)
--- a/sim/listing_test.go
+++ b/sim/listing_test.go
@@ -117,14 +117,14 @@
 		}
 		_, err = f.Order(other, "replicas", daemon.ReplicasOrder{Text: []byte(`{"replicas":[` + strings.Join(told, ",") + `]}`)})
 		is.NoErr(err)
-		isLost := false
+		lost := false
 		f.Until(3*time.Second, "it is known", func() bool { return len(watcher.Read(config.ReplicasKey).Fields) == 4 })
-		stop := watch(func() { isLost = isLost || len(watcher.Read(config.ReplicasKey).Fields) < 4 })
+		stop := watch(func() { lost = lost || len(watcher.Read(config.ReplicasKey).Fields) < 4 })
 		time.Sleep(longCut)
 		close(release)
 		time.Sleep(5 * time.Second)
 		stop()
-		is.True(!isLost)
+		is.True(!lost)
 	})
 }
 
@@ -153,8 +153,8 @@
 			time.Sleep(longCut / 5)
 		}
 		for name, r := range b.replicas {
-			isReading := b.readTimes(r.Address)[core] > before[r.Address][core]
-			is.Equal(isReading, readerOf(name) == core)
+			reading := b.readTimes(r.Address)[core] > before[r.Address][core]
+			is.Equal(reading, readerOf(name) == core)
 		}
 		f.isolate(core, true, true, false)
 		time.Sleep(4 * time.Second)
@@ -193,11 +193,11 @@
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		watcher := f.follow(ctx, At(CoreIP((holder+1)%4)), "/core/pull")
-		highest, isBack := map[string]uint64{}, false
+		highest, back := map[string]uint64{}, false
 		stop := watch(func() {
 			all, _ := config.Load[config.LoadOrder](watcher.Read(config.LoadsKey).Fields)
 			for name, o := range all {
-				isBack = isBack || o.Version < highest[name]
+				back = back || o.Version < highest[name]
 				highest[name] = max(highest[name], o.Version)
 			}
 		})
@@ -208,6 +208,6 @@
 		close(release)
 		time.Sleep(5 * time.Second)
 		stop()
-		is.True(!isBack)
+		is.True(!back)
 	})
 }
--- a/sim/load_test.go
+++ b/sim/load_test.go
@@ -23,7 +23,7 @@
 		all := f.record(fake.Load, fake.LoadOptions{Callers: callers, Count: 500, Rate: 25, Seed: 120, Prefix: "long", Heavy: 300_000})
 		anew, size := 0, 0
 		for _, r := range f.Ledgers.Runs {
-			if r.HasRun && r.IsComplete && r.Size > 100_000 {
+			if r.HasRun && r.Complete && r.Size > 100_000 {
 				anew += r.Size - r.Hit
 				size += r.Size
 			}
@@ -85,7 +85,7 @@
 					for _, a := range all {
 						n := tenants[a.Tenant]
 						n[1]++
-						if a.Status == 200 && a.IsEnded {
+						if a.Status == 200 && a.Ended {
 							firsts[a.Kind] = append(firsts[a.Kind], a.FirstMs)
 							if !a.At.Add(time.Duration(a.AllMs) * time.Millisecond).After(last) {
 								good++
--- a/sim/loading_test.go
+++ b/sim/loading_test.go
@@ -97,7 +97,7 @@
 		is.Equal(most, 5)
 		is.Equal(len(b.given()), 15) // nobody was told twice
 		for _, o := range b.given() {
-			is.True(o.isTaken)
+			is.True(o.taken)
 			is.Equal(o.core, b.given()[0].core)
 			is.Equal(o.Holder, b.given()[0].Holder)
 		}
@@ -145,7 +145,7 @@
 			is.True(o.Fence >= all[i-1].Fence)
 			is.True(o.Holder == all[i-1].Holder || o.Fence > all[i-1].Fence)
 		}
-		if before, isAgain := last[o.replica]; isAgain && all[before].Holder != o.Holder {
+		if before, again := last[o.replica]; again && all[before].Holder != o.Holder {
 			is.True(o.at.Sub(all[before].at) >= lease)
 		}
 		last[o.replica] = i
@@ -183,18 +183,18 @@
 	b := newBackends()
 	b.add("pool", 6, "m")
 	rollout(t, 223, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *link.Follower) {
-		b.change("pool-01", func(r *backend) { r.isSilent = true })
+		b.change("pool-01", func(r *backend) { r.silent = true })
 		f.nameVersion(0, "m", 2)
 		f.Until(time.Minute, "the others have it", func() bool { return b.has("m", 2, "pool-01") })
-		isReserved, isFree := false, false
+		reserved, free := false, false
 		stop := watch(func() {
-			_, isThere := reservations(watcher)["pool-01"]
-			isReserved, isFree = isReserved || isThere, isFree || !isThere
+			_, ok := reservations(watcher)["pool-01"]
+			reserved, free = reserved || ok, free || !ok
 		})
 		time.Sleep(20 * time.Second)
 		stop()
-		is.True(isReserved && isFree) // tried again, and let go again
-		b.change("pool-01", func(r *backend) { r.isSilent = false })
+		is.True(reserved && free) // tried again, and let go again
+		b.change("pool-01", func(r *backend) { r.silent = false })
 		f.Until(20*time.Second, "it has it too", func() bool { return b.has("m", 2) })
 	})
 }
@@ -205,9 +205,9 @@
 	b := newBackends()
 	b.add("pool", 5, "m")
 	rollout(t, 224, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *link.Follower) {
-		b.change("pool-01", func(r *backend) { r.isSilent = true })
+		b.change("pool-01", func(r *backend) { r.silent = true })
 		f.nameVersion(0, "m", 2)
-		f.Until(10*time.Second, "it is marked", func() bool { _, isThere := reservations(watcher)["pool-01"]; return isThere })
+		f.Until(10*time.Second, "it is marked", func() bool { _, ok := reservations(watcher)["pool-01"]; return ok })
 		b.mu.Lock()
 		delete(b.replicas, "pool-01")
 		b.mu.Unlock()
@@ -315,8 +315,8 @@
 			go follower.Run(ctx)
 		}
 		age := func() time.Duration {
-			since, isKnown := named.Load().Superseded("m", 1)
-			is.True(isKnown)
+			since, ok := named.Load().Superseded("m", 1)
+			is.True(ok)
 			return time.Since(since).Round(time.Second)
 		}
 		f.nameVersion(0, "m", 2)
--- a/sim/members_test.go
+++ b/sim/members_test.go
@@ -201,8 +201,8 @@
 
 func (f *Fleet) loseSettling(then string) {
 	live, retired, owner := []string{"core-1", "core-3", "core-4"}, 1, 0
-	isFull := strings.HasSuffix(then, "taken it")
-	if isFull { // three others take it without the owner
+	full := strings.HasSuffix(then, "taken it")
+	if full { // three others take it without the owner
 		live, retired = append(live, "core-2"), 3
 	} else {
 		f.Kill(CoreIP(retired))
@@ -217,13 +217,13 @@
 			}
 		}
 	}
-	shows := func(core int, what string, isIt func(row router.Row) bool) bool {
+	shows := func(core int, what string, it func(row router.Row) bool) bool {
 		a, err := f.Query(core, what)
-		return err == nil && slices.ContainsFunc(a.Rows, isIt)
+		return err == nil && slices.ContainsFunc(a.Rows, it)
 	}
 	others(func(from, to string) { f.Net.Slow(from, to, 100*time.Millisecond) })
 	time.Sleep(time.Second)
-	f.Disks[owner-1].Fill(isFull)
+	f.Disks[owner-1].Fill(full)
 	go func() { _, _ = f.Order(owner-1, "members", daemon.MembersOrder{Do: "retire", Name: name}) }()
 	f.Until(3*time.Second, "the others have accepted the list", func() bool {
 		return shows(owner%4, "owners", func(row router.Row) bool {
@@ -231,7 +231,7 @@
 		})
 	})
 	time.Sleep(10 * time.Millisecond) // the owner knows it, and its word is under way
-	if !isFull {                      // else it is to stay the owner, and nobody takes the key from it
+	if !full {                        // else it is to stay the owner, and nobody takes the key from it
 		others(f.Net.Cut)
 	}
 	others(f.Net.Reset)
@@ -244,10 +244,10 @@
 	others(func(from, to string) { f.Net.Slow(from, to, time.Millisecond) })
 	f.Until(12*time.Second, "the keys are carried over", func() bool {
 		for i := range 4 {
-			isOld := func(row router.Row) bool {
+			old := func(row router.Row) bool {
 				return row["state"] == "carrying" || row["name"] == name && row["state"] == "member"
 			}
-			if i != retired && (shows(i, "members", isOld) || !shows(i, "members", func(router.Row) bool { return true })) {
+			if i != retired && (shows(i, "members", old) || !shows(i, "members", func(router.Row) bool { return true })) {
 				return false
 			}
 		}
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -25,7 +25,7 @@
 	o := options(seed)
 	o.Cores, o.Replicas, o.Proxies = cores, 0, 2
 	o.Founders = []string{At(CoreIP(0)), At(CoreIP(1)), At(CoreIP(2))}
-	o.Core = daemon.CoreOptions{IsSelfAdmitting: true, Lease: 700 * time.Millisecond, LinkWait: 200 * time.Millisecond,
+	o.Core = daemon.CoreOptions{SelfAdmitting: true, Lease: 700 * time.Millisecond, LinkWait: 200 * time.Millisecond,
 		Tolerance: daemon.Tolerance{Machines: 1}}
 	return o
 }
@@ -46,9 +46,9 @@
 	agreed := ""
 	for i := range f.Disks {
 		f.mu.Lock()
-		isDead := f.dead[CoreIP(i)]
+		dead := f.dead[CoreIP(i)]
 		f.mu.Unlock()
-		if isDead {
+		if dead {
 			continue
 		}
 		a, err := f.Query(i, "members")
@@ -95,14 +95,14 @@
 const allFour = "core-1 core-2 core-3 core-4"
 
 // numbered is a configuration with one path for each name, as operators' tools would write it.
-func numbered(number, basedOn uint64, isFull bool, paths ...string) config.Declaration {
+func numbered(number, basedOn uint64, full bool, paths ...string) config.Declaration {
 	b := config.Empty()
-	d := config.Declaration{Number: number, BasedOn: basedOn, IsFull: isFull, Digest: fmt.Sprint(number, isFull, paths), Texts: register.Fields{}}
-	if isFull {
+	d := config.Declaration{Number: number, BasedOn: basedOn, Full: full, Digest: fmt.Sprint(number, full, paths), Texts: register.Fields{}}
+	if full {
 		b.Pools["web"] = config.Pool{Name: "web", Kind: "web"}
 	}
 	for _, name := range paths {
-		b.Paths[name] = config.Path{Name: name, Address: "/" + name + "/", Pool: "web", DeadlineMs: 1000, IsPublic: true, MaxBody: 1000, Cost: 1}
+		b.Paths[name] = config.Path{Name: name, Address: "/" + name + "/", Pool: "web", DeadlineMs: 1000, Public: true, MaxBody: 1000, Cost: 1}
 		d.Texts["path/"+name] = json.RawMessage(`{"label":"` + name + `"}`)
 		d.Order = append(d.Order, "path/"+name)
 	}
@@ -232,7 +232,7 @@
 	o := numberedOptions(204, 4)
 	o.PlaceCore = func(i int, p *daemon.Host) {
 		if i == 4 {
-			p.Zone, p.IsFounded = "zone-2", true
+			p.Zone, p.Founded = "zone-2", true
 		}
 	}
 	inNumbered(t, o, func(is *is.I, f *Fleet) {
@@ -299,9 +299,9 @@
 // Where the fleet was founded before, empty disks never found it again: neither all cores together, nor one whose members are down.
 func TestEmptyDisksOfAFoundedFleetNeverFoundIt(t *testing.T) {
 	t.Parallel()
-	isFounded := true
+	founded := true
 	o := numberedOptions(206, 3)
-	o.PlaceCore = func(_ int, p *daemon.Host) { p.IsFounded = isFounded }
+	o.PlaceCore = func(_ int, p *daemon.Host) { p.Founded = founded }
 	inNumbered(t, o, func(is *is.I, f *Fleet) {
 		time.Sleep(30 * time.Second)
 		for i := range 3 {
@@ -309,10 +309,10 @@
 			is.True(fail.Is(f.core(i).Declare(context.Background(), numbered(1, 0, true, "a")), fail.NotFounded))
 		}
 	})
-	isFounded = false
+	founded = false
 	inNumbered(t, o, func(is *is.I, f *Fleet) {
 		f.untilMembership(10*time.Second, "core-1 core-2 core-3")
-		isFounded = true
+		founded = true
 		for i := range 3 {
 			f.Kill(CoreIP(i))
 		}
--- a/sim/network.go
+++ b/sim/network.go
@@ -19,7 +19,7 @@
 	delays    map[[2]string]time.Duration
 	frozen    map[string]bool
 	Delay     time.Duration // of every piece
-	isOver    bool          // the run has ended: nobody connects any more
+	over      bool          // the run has ended: nobody connects any more
 	news      chan struct{} // closed when cuts change
 
 	carried map[string]int // bytes by the host that they go to
@@ -60,11 +60,11 @@
 // Mend undoes Cut.
 func (n *Network) Mend(from, to string) { n.setCut(from, to, false) }
 
-func (n *Network) setCut(from, to string, isCut bool) {
+func (n *Network) setCut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at := [2]string{from, to}
-	if !isCut {
+	if !cut {
 		delete(n.cuts, at)
 	} else if n.cuts[at].IsZero() {
 		n.cuts[at] = time.Now()
@@ -73,11 +73,11 @@
 }
 
 // Part cuts two groups of hosts from each other, both ways; isCut false mends.
-func (n *Network) Part(a, b []string, isCut bool) {
+func (n *Network) Part(a, b []string, cut bool) {
 	for _, x := range a {
 		for _, y := range b {
-			n.setCut(x, y, isCut)
-			n.setCut(y, x, isCut)
+			n.setCut(x, y, cut)
+			n.setCut(y, x, cut)
 		}
 	}
 }
@@ -91,10 +91,10 @@
 
 // Freeze stops all reading, writing, dialling and accepting of a host's processes, as of a stopped process whose kernel goes on; or
 // wakes them. What they were about to do is done on waking.
-func (n *Network) Freeze(ip string, isFrozen bool) {
+func (n *Network) Freeze(ip string, frozen bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.frozen[ip] = isFrozen
+	n.frozen[ip] = frozen
 	n.changed()
 }
 
@@ -102,9 +102,9 @@
 func (n *Network) thaw(ip string) {
 	for {
 		n.mu.Lock()
-		isFrozen, news := n.frozen[ip] && !n.isOver, n.news
+		frozen, news := n.frozen[ip] && !n.over, n.news
 		n.mu.Unlock()
-		if !isFrozen {
+		if !frozen {
 			return
 		}
 		<-news
@@ -115,12 +115,12 @@
 func (n *Network) isCut(from, to string) (bool, chan struct{}, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	isCut := !n.cutSince(from, to).IsZero()
-	delay, isSet := n.delays[[2]string{from, to}]
-	if !isSet {
+	cut := !n.cutSince(from, to).IsZero()
+	delay, set := n.delays[[2]string{from, to}]
+	if !set {
 		delay = n.Delay
 	}
-	return isCut, n.news, delay
+	return cut, n.news, delay
 }
 
 // cutSince is when the cut between two hosts began; zero if there is none. n.mu is held.
@@ -175,7 +175,7 @@
 // End resets every connection and lets nobody connect again.
 func (n *Network) End() {
 	n.mu.Lock()
-	n.isOver = true
+	n.over = true
 	var left []*conn
 	for c := range n.conns {
 		left = append(left, c)
@@ -267,7 +267,7 @@
 	}
 	n.mu.Lock()
 	l := n.listeners[address]
-	if l == nil || n.isOver {
+	if l == nil || n.over {
 		n.mu.Unlock()
 		return nil, failed(errors.New("connection refused"))
 	}
@@ -340,8 +340,8 @@
 	delete(c.network.conns, c)
 	c.network.mu.Unlock()
 	c.out.mu.Lock()
-	if !c.out.isShut {
-		c.out.isShut = true
+	if !c.out.shut {
+		c.out.shut = true
 		c.out.changed()
 	}
 	c.out.mu.Unlock()
@@ -364,8 +364,8 @@
 func (c *conn) ShutWrite() {
 	c.out.mu.Lock()
 	defer c.out.mu.Unlock()
-	if !c.out.isShut {
-		c.out.isShut = true
+	if !c.out.shut {
+		c.out.shut = true
 		c.out.changed()
 	}
 }
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -58,8 +58,8 @@
 
 // declare sends a declaration to a core and waits for its answer for a while; then the answer is lost.
 func (o *operators) declare(i int, d config.Declaration, patience time.Duration) error {
-	core, isServing := o.serving(i)
-	if !isServing {
+	core, serving := o.serving(i)
+	if !serving {
 		return errDead
 	}
 	done := o.history.Declare(history.Of(d))
@@ -77,8 +77,8 @@
 }
 
 func (o *operators) read(i int) (number uint64, err error) {
-	core, isServing := o.serving(i)
-	if !isServing {
+	core, serving := o.serving(i)
+	if !serving {
 		return 0, errDead
 	}
 	done := o.history.Read()
@@ -104,8 +104,8 @@
 		base--
 	}
 	number := base + 1 + uint64(o.random.IntN(2))
-	isFull := base == 0 || o.random.IntN(10) == 0
-	d := numbered(number, base, isFull, fmt.Sprintf("p%d-%d", number, o.random.IntN(3)))
+	full := base == 0 || o.random.IntN(10) == 0
+	d := numbered(number, base, full, fmt.Sprintf("p%d-%d", number, o.random.IntN(3)))
 	d.Digest = fmt.Sprint(d.Digest, base)
 	o.sent = append(o.sent, d)
 	return d
@@ -188,7 +188,7 @@
 func (m *membersCheck) look() error {
 	var acting []daemon.Membership
 	for i := range m.Disks {
-		if core, isServing := m.serving(i); isServing {
+		if core, serving := m.serving(i); serving {
 			acting = append(acting, core.Membership())
 		}
 	}
@@ -201,11 +201,11 @@
 	count := map[string]int{} // by list
 	var deciding []string
 	for _, list := range acting {
-		if !list.IsMember {
+		if !list.Member {
 			continue
 		}
 		said := describeMembers(list.Members)
-		if before, isMet := m.lists[list.Version]; isMet && before != said {
+		if before, met := m.lists[list.Version]; met && before != said {
 			return fmt.Errorf("list %d is %s and %s", list.Version, before, said)
 		}
 		m.lists[list.Version] = said
@@ -222,7 +222,7 @@
 
 // listOf is a list of members as one of them acts on it.
 func listOf(version uint64, numbers ...uint32) daemon.Membership {
-	list := daemon.Membership{Version: version, IsMember: true}
+	list := daemon.Membership{Version: version, Member: true}
 	for _, number := range numbers {
 		list.Members = append(list.Members, config.Member{ID: number, Name: fmt.Sprint("core-", number)})
 	}
@@ -255,7 +255,7 @@
 func (o *operators) isFull() bool {
 	var names []string
 	for _, i := range o.cores() {
-		if _, isServing := o.serving(i); !isServing {
+		if _, serving := o.serving(i); !serving {
 			return false
 		}
 		names = append(names, fmt.Sprintf("core-%d", i+1))
@@ -265,9 +265,9 @@
 }
 
 // isWithin waits until something is so, for a while.
-func (o *operators) isWithin(limit time.Duration, isSo func() bool) bool {
+func (o *operators) isWithin(limit time.Duration, so func() bool) bool {
 	for began := time.Now(); time.Since(began) < limit; time.Sleep(50 * time.Millisecond) {
-		if isSo() {
+		if so() {
 			return true
 		}
 	}
@@ -302,13 +302,13 @@
 		random := rand.New(rand.NewPCG(seed, 9))
 		options := numberedOptions(seed, 3+random.IntN(3))
 		options.Proxies = 0
-		isFounded := false
-		options.PlaceCore = func(_ int, p *daemon.Host) { p.IsFounded = isFounded }
+		founded := false
+		options.PlaceCore = func(_ int, p *daemon.Host) { p.Founded = founded }
 		f := NewFleet(options)
 		defer f.Stop()
 		o = &operators{Fleet: f, random: rand.New(rand.NewPCG(seed, 10))}
 		o.Until(15*time.Second, "the fleet is whole", o.isFull)
-		isFounded = true
+		founded = true
 		check := &membersCheck{operators: o, lists: map[uint64]string{}}
 		stop := make(chan struct{})
 		var watching sync.WaitGroup
--- a/sim/pipe.go
+++ b/sim/pipe.go
@@ -16,8 +16,8 @@
 	mu       sync.Mutex
 	pieces   []piece
 	size     int
-	isShut   bool // by the writer
-	isReset  bool
+	shut     bool // by the writer
+	reset    bool
 	news     chan struct{}
 	other    *pipe // the way back
 }
@@ -43,15 +43,15 @@
 func (p *pipe) read(b []byte, deadline func() time.Time) (int, error) {
 	for {
 		p.network.thaw(p.to)
-		isCut, mended, _ := p.network.isCut(p.from, p.to)
+		cut, mended, _ := p.network.isCut(p.from, p.to)
 		p.mu.Lock()
-		if p.isReset {
+		if p.reset {
 			p.mu.Unlock()
 			return 0, &net.OpError{Op: "read", Net: "tcp", Err: errReset}
 		}
 		now := time.Now()
 		pause := time.Hour
-		if !isCut && len(p.pieces) > 0 {
+		if !cut && len(p.pieces) > 0 {
 			first := &p.pieces[0]
 			if !now.Before(first.at) {
 				n := copy(b, first.data)
@@ -64,7 +64,7 @@
 				return n, nil
 			}
 			pause = first.at.Sub(now)
-		} else if !isCut && p.isShut {
+		} else if !cut && p.shut {
 			p.mu.Unlock()
 			return 0, io.EOF
 		}
@@ -101,11 +101,11 @@
 	p.network.mu.Lock()
 	there, back := p.network.cutSince(p.from, p.to), p.network.cutSince(p.to, p.from)
 	p.network.mu.Unlock()
-	isLost := !there.IsZero() && !there.After(at)
-	if isLost {
+	lost := !there.IsZero() && !there.After(at)
+	if lost {
 		p.abort()
 	}
-	if isLost || !back.IsZero() && !back.After(at) {
+	if lost || !back.IsZero() && !back.After(at) {
 		p.other.abort()
 	}
 }
@@ -119,7 +119,7 @@
 		}
 		_, mended, delay := p.network.isCut(p.from, p.to)
 		p.mu.Lock()
-		if p.isReset || p.isShut {
+		if p.reset || p.shut {
 			p.mu.Unlock()
 			return sent, &net.OpError{Op: "write", Net: "tcp", Err: errReset}
 		}
@@ -152,8 +152,8 @@
 func (p *pipe) abort() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.isReset {
-		p.isReset = true
+	if !p.reset {
+		p.reset = true
 		p.changed()
 	}
 }
--- a/sim/redundancy_test.go
+++ b/sim/redundancy_test.go
@@ -71,8 +71,8 @@
 		if c.keys*c.slowness*c.cores > 10000 && !*isLarge { // minutes of processor time; the figures in docs/results.md are from it
 			continue
 		}
-		for _, isElsewhere := range []bool{false, true} {
-			t.Run(fmt.Sprint(c, " elsewhere ", isElsewhere), func(t *testing.T) {
+		for _, elsewhere := range []bool{false, true} {
+			t.Run(fmt.Sprint(c, " elsewhere ", elsewhere), func(t *testing.T) {
 				t.Parallel()
 				inReplaceable(t, 320, c.cores, c.losses, func(is *is.I, f *replaceable) {
 					f.fill(c.keys)
@@ -82,7 +82,7 @@
 					f.Kill(CoreIP(0))
 					time.Sleep(time.Second)
 					began := time.Now()
-					if isElsewhere {
+					if elsewhere {
 						f.end(0, false)
 						f.Disks = append(f.Disks, NewDisk())
 						f.Disks[f.next].Slow(diskTime * time.Duration(c.slowness))
@@ -93,7 +93,7 @@
 						f.StartCore(0)
 					}
 					f.Until(c.bound, "all keys are on all members", f.isRedundant)
-					t.Logf("%d cores, %d keys, disks of %v a file, elsewhere %v: %v", c.cores, c.keys, diskTime*time.Duration(c.slowness), isElsewhere, time.Since(began))
+					t.Logf("%d cores, %d keys, disks of %v a file, elsewhere %v: %v", c.cores, c.keys, diskTime*time.Duration(c.slowness), elsewhere, time.Since(began))
 					f.checkNothingLost(is)
 				})
 			})
--- a/sim/replacement_test.go
+++ b/sim/replacement_test.go
@@ -39,7 +39,7 @@
 		if i < cores && f.number == 0 {
 			return
 		}
-		p.IsFounded, p.Seeds, p.Zone = true, nil, fmt.Sprintf("zone-%d", i%cores+1)
+		p.Founded, p.Seeds, p.Zone = true, nil, fmt.Sprintf("zone-%d", i%cores+1)
 		for _, j := range f.live {
 			if j != i && len(p.Seeds) < 3 {
 				p.Seeds = append(p.Seeds, At(CoreIP(j)))
@@ -95,8 +95,8 @@
 }
 
 // end takes a machine away for good.
-func (f *replaceable) end(machine int, isInOrder bool) {
-	if isInOrder {
+func (f *replaceable) end(machine int, inOrder bool) {
+	if inOrder {
 		f.Terminate(machine)
 	} else {
 		f.Kill(CoreIP(machine))
@@ -105,9 +105,9 @@
 }
 
 // wipe has machines lose their disks at once, while all others lose power if that is said; all come back a second later.
-func (f *replaceable) wipe(machines []int, isPowerLost bool) {
+func (f *replaceable) wipe(machines []int, powerLost bool) {
 	down := machines
-	if isPowerLost {
+	if powerLost {
 		down = f.live
 	}
 	for _, i := range down {
@@ -149,8 +149,8 @@
 	t.Parallel()
 	for _, c := range []struct{ cores, losses int }{{3, 1}, {4, 1}, {5, 1}, {5, 2}, {8, 2}} {
 		for _, times := range []int{2, 3} {
-			for _, isPowerLost := range []bool{false, true} {
-				t.Run(fmt.Sprint(c.cores, " cores, ", c.losses, " lost, ", times, " replaced, power ", isPowerLost), func(t *testing.T) {
+			for _, powerLost := range []bool{false, true} {
+				t.Run(fmt.Sprint(c.cores, " cores, ", c.losses, " lost, ", times, " replaced, power ", powerLost), func(t *testing.T) {
 					t.Parallel()
 					inReplaceable(t, 300, c.cores, c.losses, func(is *is.I, f *replaceable) {
 						for i := range times {
@@ -158,7 +158,7 @@
 							f.end(i, true)
 							f.declareNext()
 						}
-						f.wipe(f.live[:c.losses], isPowerLost)
+						f.wipe(f.live[:c.losses], powerLost)
 						f.checkNothingLost(is)
 					})
 				})
@@ -172,12 +172,12 @@
 func TestLossAfterReplacementsWithoutAWord(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ cores, losses int }{{3, 1}, {4, 1}, {5, 2}} {
-		for _, isNewFirst := range []bool{false, true} {
-			t.Run(fmt.Sprint(c.cores, " cores, ", c.losses, " lost, new first ", isNewFirst), func(t *testing.T) {
+		for _, newFirst := range []bool{false, true} {
+			t.Run(fmt.Sprint(c.cores, " cores, ", c.losses, " lost, new first ", newFirst), func(t *testing.T) {
 				t.Parallel()
 				inReplaceable(t, 301, c.cores, c.losses, func(is *is.I, f *replaceable) {
 					for i := range 3 {
-						if isNewFirst {
+						if newFirst {
 							f.start()
 							f.end(i, false)
 							time.Sleep(6 * time.Second)
@@ -272,8 +272,8 @@
 // A core that is frozen or cut off for 20 s retires nobody when it is back, and is a member again within the time that it has for that.
 func TestFrozenOrCutOffCoreIsReadmitted(t *testing.T) {
 	t.Parallel()
-	for _, isFrozen := range []bool{true, false} {
-		t.Run(fmt.Sprint("frozen ", isFrozen), func(t *testing.T) {
+	for _, frozen := range []bool{true, false} {
+		t.Run(fmt.Sprint("frozen ", frozen), func(t *testing.T) {
 			t.Parallel()
 			for away := range 4 {
 				inReplaceable(t, 305, 4, 1, func(is *is.I, f *replaceable) {
@@ -284,7 +284,7 @@
 						}
 					}
 					set := func(isAway bool) {
-						if isFrozen {
+						if frozen {
 							f.Net.Freeze(CoreIP(away), isAway)
 						} else {
 							f.Net.Part([]string{CoreIP(away)}, others, isAway)
@@ -375,10 +375,10 @@
 // limit.
 func TestStoppedProgramLeavesTheMembers(t *testing.T) {
 	t.Parallel()
-	for _, isStalled := range []bool{false, true} {
+	for _, stalled := range []bool{false, true} {
 		inReplaceable(t, 307, 4, 1, func(is *is.I, f *replaceable) {
 			host, disk := f.place("core-5", CoreIP(4), "zone-1"), NewDisk()
-			host.IsFounded, host.Seeds = true, f.Options.Founders
+			host.Founded, host.Seeds = true, f.Options.Founders
 			options := f.Options.Core
 			options.LeaveLimit, options.ClaimAge = 3*time.Second, time.Hour
 			core := must(daemon.NewCore(host, disk.Open(), options))
@@ -399,7 +399,7 @@
 				return count
 			}
 			is.Equal(listed(), 5)
-			if isStalled {
+			if stalled {
 				for i := range 4 {
 					defer f.Disks[i].Stall()()
 				}
@@ -408,7 +408,7 @@
 			stop()
 			is.NoErr(<-ended)
 			is.True(time.Since(began) < 5*time.Second)
-			if !isStalled {
+			if !stalled {
 				is.Equal(listed(), 4)
 				is.True(time.Since(began) < 2*time.Second)
 			}
--- a/sim/reservations_test.go
+++ b/sim/reservations_test.go
@@ -61,7 +61,7 @@
 		stop := watch(func() {
 			now := reservations(watcher)
 			for name, o := range now {
-				if was, isThere := before[name]; isThere && was != o {
+				if was, ok := before[name]; ok && was != o {
 					changes++
 				}
 			}
--- a/sim/retire_test.go
+++ b/sim/retire_test.go
@@ -373,10 +373,10 @@
 // isLost says whether a machine is frozen, or cut off from the callers.
 func (n *Network) isLost(ip string) bool {
 	n.mu.Lock()
-	isFrozen := n.frozen[ip]
+	frozen := n.frozen[ip]
 	n.mu.Unlock()
-	isCut, _, _ := n.isCut(CallerIP, ip)
-	return isFrozen || isCut
+	cut, _, _ := n.isCut(CallerIP, ip)
+	return frozen || cut
 }
 
 func (f *Fleet) anyReplica(column, part string) bool {
--- a/sim/send_test.go
+++ b/sim/send_test.go
@@ -14,9 +14,9 @@
 )
 
 // cutReplicas cuts a proxy's machine from all replicas, or mends that.
-func (f *Fleet) cutReplicas(proxy int, isCut bool) {
+func (f *Fleet) cutReplicas(proxy int, cut bool) {
 	for i := range f.Options.Replicas {
-		f.Net.Part([]string{ProxyIP(proxy)}, []string{ReplicaIP(i)}, isCut)
+		f.Net.Part([]string{ProxyIP(proxy)}, []string{ReplicaIP(i)}, cut)
 	}
 }
 
@@ -31,7 +31,7 @@
 		order func(f *Fleet)
 	}{
 		{"key revoked", 5, 6 * time.Second, func(f *Fleet) {
-			must(f.Order(0, "keys", daemon.KeyOrder{Tenant: "a", Hash: config.HashKey("a-key"), IsRevoked: true}))
+			must(f.Order(0, "keys", daemon.KeyOrder{Tenant: "a", Hash: config.HashKey("a-key"), Revoked: true}))
 		}},
 		{"all replicas leaving", 7, 4 * time.Second, func(f *Fleet) {
 			for i := range f.Options.Replicas {
@@ -84,7 +84,7 @@
 		asking.Go(func() { _, code, _ = f.Ask(0, "a", "", chat("light")) })
 		asking.Go(func() { _, again, _ = f.Ask(0, "b", "", chat("light")) })
 		time.Sleep(100 * time.Millisecond)
-		must(f.Order(0, "keys", daemon.KeyOrder{Tenant: "a", Hash: config.HashKey("a-key"), IsRevoked: true}))
+		must(f.Order(0, "keys", daemon.KeyOrder{Tenant: "a", Hash: config.HashKey("a-key"), Revoked: true}))
 		time.Sleep(700 * time.Millisecond) // less than a dial may take
 		f.cutReplicas(0, false)
 		asking.Wait()
@@ -103,7 +103,7 @@
 	inBubble(t, options(94), func(is *is.I, f *Fleet) {
 		again := func(seed uint64) { f.Load(150, 30, callers, seed) }
 		again(1)
-		f.behave(fake.Behaviour{Tenant: "a", IsRefusing: true, RetryAfter: "6"})
+		f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "6"})
 		var waiting sync.WaitGroup
 		waiting.Go(func() { again(2) })
 		time.Sleep(time.Second)
@@ -143,7 +143,7 @@
 			inBubble(t, options(uint64(96+n)), func(is *is.I, f *Fleet) {
 				f.Jump(ProxyIP(0), by)
 				f.Jump(CoreIP(1), -by)
-				f.behave(fake.Behaviour{Tenant: "a", IsRefusing: true, RetryIn: 5})
+				f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryIn: 5})
 				go f.Ask(0, "a", "", chat("light"))
 				time.Sleep(100 * time.Millisecond)
 				f.behave(fake.Behaviour{Tenant: "a"})
@@ -162,7 +162,7 @@
 func TestPathMovedWhileWorkWaits(t *testing.T) {
 	t.Parallel()
 	inBubble(t, options(99), func(is *is.I, f *Fleet) {
-		f.behave(fake.Behaviour{Tenant: "a", IsRefusing: true, RetryAfter: "5"})
+		f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "5"})
 		var waiting sync.WaitGroup
 		waiting.Go(func() {
 			status, code, _ := f.Ask(0, "a", "", chat("light"))
--- a/sim/signals_test.go
+++ b/sim/signals_test.go
@@ -17,7 +17,7 @@
 func (f *Fleet) sum(name string) (n int64) {
 	for _, p := range f.Proxies {
 		rows, _ := p.Router.Rows(context.Background(), router.Query{What: "counts"})
-		if has, isThere := rows[0][name].(int64); isThere {
+		if has, ok := rows[0][name].(int64); ok {
 			n += has
 		}
 	}
@@ -35,10 +35,10 @@
 		free    []string
 	}{
 		{"nothing is wrong", fake.Behaviour{Tenant: "nobody"}, "", nil, []string{"a", "b", "c"}},
-		{"one tenant is refused by name", fake.Behaviour{Tenant: "a", IsRefusing: true}, "", []string{"a"}, []string{"b", "c"}},
-		{"one tenant is refused without a ground", fake.Behaviour{Tenant: "a", IsRefusing: true, IsUnnamed: true}, "", []string{"a"}, []string{"b", "c"}},
+		{"one tenant is refused by name", fake.Behaviour{Tenant: "a", Refusing: true}, "", []string{"a"}, []string{"b", "c"}},
+		{"one tenant is refused without a ground", fake.Behaviour{Tenant: "a", Refusing: true, Unnamed: true}, "", []string{"a"}, []string{"b", "c"}},
 		{"one tenant is slowed", fake.Behaviour{Tenant: "a", SlowMs: 1500}, "", []string{"a"}, []string{"b", "c"}},
-		{"one replica refuses everyone", fake.Behaviour{IsRefusing: true}, "pool-2", nil, []string{"a", "b", "c"}},
+		{"one replica refuses everyone", fake.Behaviour{Refusing: true}, "pool-2", nil, []string{"a", "b", "c"}},
 		{"every replica is slow for everyone", fake.Behaviour{SlowMs: 1500}, "", nil, []string{"a", "b", "c"}},
 	}
 	for n, c := range cases {
@@ -79,8 +79,8 @@
 func TestUnnamedRefusalsHoldWhomTheyMean(t *testing.T) {
 	t.Parallel()
 	alone := []fake.Caller{{Tenant: "a", Access: "a-key", Weight: 1}}
-	refusing := fake.Behaviour{IsRefusing: true, IsUnnamed: true}
-	one := fake.Behaviour{Tenant: "a", IsRefusing: true, IsUnnamed: true}
+	refusing := fake.Behaviour{Refusing: true, Unnamed: true}
+	one := fake.Behaviour{Tenant: "a", Refusing: true, Unnamed: true}
 	cases := []struct {
 		name    string
 		callers []fake.Caller
@@ -95,7 +95,7 @@
 		{"one sick replica", callers, refusing, 1, nil, []string{"a", "b", "c"}},
 		{"two sick replicas", callers, refusing, 2, nil, []string{"a", "b", "c"}},
 		{"alone and one sick replica", alone, refusing, 1, nil, []string{"a", "b", "c"}},
-		{"a cold cache", callers, fake.Behaviour{IsEmptied: true}, 0, nil, []string{"a", "b", "c"}},
+		{"a cold cache", callers, fake.Behaviour{Emptied: true}, 0, nil, []string{"a", "b", "c"}},
 	}
 	for n, c := range cases {
 		for _, rate := range []float64{40, 4} {
--- a/sim/stored_data_test.go
+++ b/sim/stored_data_test.go
@@ -82,7 +82,7 @@
 			must(f.merge(fmt.Sprintf(`{"tenants":[{"name":"a","backlog":%d}]}`, 400+i)))
 		}
 		must(f.Order(0, "keys", daemon.KeyOrder{Tenant: "c", Hash: config.HashKey("c-old")}))
-		must(f.Order(0, "keys", daemon.KeyOrder{Tenant: "c", Hash: config.HashKey("c-old"), IsRevoked: true}))
+		must(f.Order(0, "keys", daemon.KeyOrder{Tenant: "c", Hash: config.HashKey("c-old"), Revoked: true}))
 		f.StartCore(4)
 		f.members("admit", "core-5")
 		f.members("retire", "core-4")
--- a/sim/traffic_test.go
+++ b/sim/traffic_test.go
@@ -23,7 +23,7 @@
 	inBubble(t, options(70), func(is *is.I, f *Fleet) {
 		all := f.during(900, 40, 70, func() {
 			time.Sleep(5 * time.Second)
-			f.behave(fake.Behaviour{IsRefusing: true})
+			f.behave(fake.Behaviour{Refusing: true})
 			time.Sleep(8 * time.Second)
 			f.behave(fake.Behaviour{})
 		})
@@ -49,7 +49,7 @@
 		f.during(700, 35, 71, func() {
 			time.Sleep(4 * time.Second)
 			for _, tenant := range f.Options.Tenants {
-				f.behave(fake.Behaviour{Tenant: tenant, IsRefusing: true})
+				f.behave(fake.Behaviour{Tenant: tenant, Refusing: true})
 			}
 			time.Sleep(4 * time.Second)
 			for _, tenant := range f.Options.Tenants {
@@ -73,7 +73,7 @@
 func TestHoldSpreadsThoughItsOwnerDies(t *testing.T) {
 	t.Parallel()
 	inBubble(t, options(72), func(is *is.I, f *Fleet) {
-		f.behave(fake.Behaviour{Tenant: "a", IsRefusing: true, RetryAfter: "20"})
+		f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "20"})
 		owner := register.Pick("hold/a", []string{"core-1", "core-2", "core-3", "core-4"})
 		var i int
 		_, _ = fmt.Sscanf(owner, "core-%d", &i)
@@ -149,7 +149,7 @@
 		})
 		is.True(whole(all) >= len(all)*92/100) // callers do not look for another proxy: what goes to a stopped one is lost
 		for _, a := range all {
-			is.True(a.Status == 0 || a.Status == 200 && a.IsEnded || a.Code > 0) // no stream was broken off
+			is.True(a.Status == 0 || a.Status == 200 && a.Ended || a.Code > 0) // no stream was broken off
 		}
 		noBreach(is, f)
 	})
@@ -185,9 +185,9 @@
 			{"sim", "/nowhere", `{}`},
 		} {
 			q := must(http.NewRequest(http.MethodPost, "http://"+At(CoreIP(0))+m.path, bytes.NewReader([]byte(m.body))))
-			fleet, version, isVersioned := strings.Cut(m.fleet, " of version ")
+			fleet, version, versioned := strings.Cut(m.fleet, " of version ")
 			q.Header.Set("X-Asterridge-Fleet", fleet)
-			if isVersioned {
+			if versioned {
 				q.Header.Set("X-Asterridge-Version", version)
 			}
 			answer := must(f.Client.Do(q))
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -86,7 +86,7 @@
 func (d *doubled) doubles(path string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if isNews := strings.HasSuffix(path, "/pull") || path == "/core/whole"; isNews && d.random.IntN(20) > 0 {
+	if news := strings.HasSuffix(path, "/pull") || path == "/core/whole"; news && d.random.IntN(20) > 0 {
 		return false
 	}
 	d.copies[path]++
@@ -133,8 +133,8 @@
 			must(f.merge(`{"tenants":[{"name":"a","weight":3}]}`))
 			must(f.Order(1, "keys", daemon.KeyOrder{Tenant: "b", Hash: config.HashKey("b-more")}))
 			time.Sleep(time.Second)
-			must(f.Order(2, "keys", daemon.KeyOrder{Tenant: "b", Hash: config.HashKey("b-more"), IsRevoked: true}))
-			f.behave(fake.Behaviour{Tenant: "a", IsRefusing: true, RetryAfter: "3"})
+			must(f.Order(2, "keys", daemon.KeyOrder{Tenant: "b", Hash: config.HashKey("b-more"), Revoked: true}))
+			f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "3"})
 			time.Sleep(2 * time.Second)
 			f.behave(fake.Behaviour{Tenant: "a"})
 			must(f.merge(`{"pools":[{"name":"pool","weights":"w2"}]}`))
@@ -170,11 +170,11 @@
 	o := b.options(320)
 	calls := newDoubled(320, 6*time.Second)
 	o.Wrap, o.Core.Lease = calls.wrap, loadLease
-	isLater := false
-	o.PlaceCore = func(_ int, p *daemon.Host) { p.IsFounded = isLater }
+	later := false
+	o.PlaceCore = func(_ int, p *daemon.Host) { p.Founded = later }
 	inNumbered(t, o, func(is *is.I, f *Fleet) {
 		f.untilMembership(10*time.Second, "core-1 core-2 core-3")
-		isLater = true
+		later = true
 		f.declare(0, pools(1, oneModel, config.Pool{Name: "web", Kind: "web"}))
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
