--- a/fail/fail.go
+++ b/apierror/fail.go
@@ -1,5 +1,5 @@
-// Package fail names and numbers every error of the fleet (docs/codes.md).
-package fail
+// Package apierror names and numbers every error of the fleet (docs/codes.md).
+package apierror
 
 import (
 	"errors"
--- a/fail/fail_test.go
+++ b/apierror/fail_test.go
@@ -1,4 +1,4 @@
-package fail
+package apierror
 
 import (
 	"errors"
--- a/cmd/fleet/orders.go
+++ b/cmd/fleet/orders.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/fake"
 	"asterridge/link"
 	"asterridge/router"
@@ -22,7 +22,7 @@
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
 		a, err := link.Call[daemon.Accepted](short, f.wire, core, "/op/"+name, q)
 		stop()
-		if err == nil || fail.Of(err).Code.Ran != fail.NotRun {
+		if err == nil || apierror.Of(err).Code.Ran != apierror.NotRun {
 			f.factLog.Order(name, q, a.Version, err != nil)
 		}
 		if err == nil {
--- a/cmd/shell/main.go
+++ b/cmd/shell/main.go
@@ -17,8 +17,8 @@
 	"text/tabwriter"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/link"
 	"asterridge/router"
 )
@@ -103,7 +103,7 @@
 	switch {
 	case err != nil:
 		fmt.Fprintln(os.Stderr, err)
-		if f := fail.Of(err); f.Code.Number == fail.Syntax.Number && f.At > 0 {
+		if f := apierror.Of(err); f.Code.Number == apierror.Syntax.Number && f.At > 0 {
 			fmt.Fprintf(os.Stderr, "  %s\n  %s^\n", text, strings.Repeat(" ", f.At-1))
 		}
 		return 2
@@ -135,10 +135,10 @@
 func readInto(c command) error {
 	text, err := os.ReadFile(c.file)
 	if err != nil {
-		return fail.Wrap(err, fail.Syntax, "read file")
+		return apierror.Wrap(err, apierror.Syntax, "read file")
 	}
 	if !json.Valid(text) {
-		return fail.New(fail.Malformed, "%s is not JSON", c.file)
+		return apierror.New(apierror.Malformed, "%s is not JSON", c.file)
 	}
 	c.body.(*daemon.ConfigOrder).Text = text
 	return nil
@@ -146,10 +146,10 @@
 
 func (s *shell) failed(err error) int {
 	if s.jSON {
-		_ = json.NewEncoder(s.out).Encode(fail.ToBody(err))
+		_ = json.NewEncoder(s.out).Encode(apierror.ToBody(err))
 	}
 	fmt.Fprintln(os.Stderr, err)
-	if fail.Is(err, fail.Unreachable) {
+	if apierror.Is(err, apierror.Unreachable) {
 		return 3
 	}
 	return 1
@@ -158,18 +158,18 @@
 // ask tries the cores in turn until one answers.
 func ask[A any](s *shell, path string, q any) (A, error) {
 	var none A
-	err := error(fail.New(fail.Unreachable, "no core given: use -cores"))
+	err := error(apierror.New(apierror.Unreachable, "no core given: use -cores"))
 	for _, core := range s.cores {
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		var a A
 		a, err = link.Call[A](ctx, s.wire, core, path, q)
 		stop()
-		if err == nil || !fail.Is(err, fail.Unreachable) {
+		if err == nil || !apierror.Is(err, apierror.Unreachable) {
 			return a, err
 		}
 		var dial *net.OpError
 		if order := strings.HasPrefix(path, "/op/"); order && !(errors.As(err, &dial) && dial.Op == "dial") {
-			return none, fail.New(fail.Undecided, "%v", err) // it may have been taken: not asked of another core
+			return none, apierror.New(apierror.Undecided, "%v", err) // it may have been taken: not asked of another core
 		}
 	}
 	return none, err
--- a/cmd/shell/parse.go
+++ b/cmd/shell/parse.go
@@ -6,9 +6,9 @@
 	"strings"
 	"unicode"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 )
 
 // command is a parsed line: a query, or an order to one of the cores' endpoints.
@@ -30,7 +30,7 @@
 }
 
 func syntaxError(at int, format string, args ...any) error {
-	f := fail.New(fail.Syntax, format, args...)
+	f := apierror.New(apierror.Syntax, format, args...)
 	f.At = at
 	return f
 }
--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 )
 
@@ -51,11 +51,11 @@
 		is.NoErr(err)
 		is.Equal(len(change), 0)
 		_, err = r.take(declaration(n, n-1, n == 1, "pool/p", "path/other")) // the same number, something else
-		is.True(fail.Is(err, fail.Conflict))
+		is.True(apierror.Is(err, apierror.Conflict))
 		otherKind := small(n)
 		otherKind.Full = !otherKind.Full // the same text as the other kind of change
 		_, err = r.take(otherKind)
-		is.True(fail.Is(err, fail.Conflict))
+		is.True(apierror.Is(err, apierror.Conflict))
 	}
 	is.Equal(r.texts(), before)
 	is.Equal(r.version, version)
@@ -85,19 +85,19 @@
 		change, err := r.take(small(n))
 		is.Equal(len(change), 0)
 		if n <= forgotten {
-			is.True(fail.Is(err, fail.Undecided))
+			is.True(apierror.Is(err, apierror.Undecided))
 		} else {
 			is.NoErr(err)
 		}
 	}
 	_, err := r.take(declaration(forgotten, forgotten-2, false, "pool/p")) // it may be that it was accepted
-	is.True(fail.Is(err, fail.Undecided))
+	is.True(apierror.Is(err, apierror.Undecided))
 	_, err = r.take(declaration(forgotten+1, forgotten-1, false, "pool/p")) // it was not: another one has that number
-	is.True(fail.Is(err, fail.Conflict))
+	is.True(apierror.Is(err, apierror.Conflict))
 	_, err = r.take(declaration(forgotten, forgotten, false, "pool/p")) // it never could be
-	is.True(fail.Is(err, fail.Conflict))
+	is.True(apierror.Is(err, apierror.Conflict))
 	_, err = r.take(declaration(room+3*segmentSize+11, forgotten, false, "pool/p")) // its number is above all that were accepted
-	is.True(fail.Is(err, fail.Conflict))
+	is.True(apierror.Is(err, apierror.Conflict))
 }
 
 // A state that was written in the former format, with the last 64 digests in one field, is read, and goes over with the next change.
@@ -126,9 +126,9 @@
 				case n > last-uint64(count):
 					is.NoErr(err)
 				case count == formerKept:
-					is.True(fail.Is(err, fail.Undecided)) // more may have been accepted than were remembered
+					is.True(apierror.Is(err, apierror.Undecided)) // more may have been accepted than were remembered
 				default:
-					is.True(fail.Is(err, fail.Conflict)) // as many as there were are all that there ever were
+					is.True(apierror.Is(err, apierror.Conflict)) // as many as there were are all that there ever were
 				}
 			}
 			_, err := r.take(small(next))
@@ -169,7 +169,7 @@
 			change, err := r.take(d)
 			verdict := "accepted"
 			switch {
-			case fail.Is(err, fail.Conflict), fail.Is(err, fail.OutOfRange):
+			case apierror.Is(err, apierror.Conflict), apierror.Is(err, apierror.OutOfRange):
 				verdict = "refused"
 			case err != nil:
 				t.Fatalf("seed %d: %v", seed, err)
--- a/config/adapter.go
+++ b/config/adapter.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 )
 
@@ -174,24 +174,24 @@
 			return err
 		})
 	}
-	return v.Refuse(fail.UnknownField, "not a field of an adapter")
+	return v.Refuse(apierror.UnknownField, "not a field of an adapter")
 }
 
 // checkAdapters looks for dangling references of adapters and to them.
 func (b *Config) checkAdapters() error {
-	refuse := func(c fail.Code, field, format string, args ...any) error {
-		f := fail.New(c, format, args...)
+	refuse := func(c apierror.Code, field, format string, args ...any) error {
+		f := apierror.New(c, format, args...)
 		f.Field = field
 		return f
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.Adapters)) {
 		a := b.Adapters[name]
 		if a.Base == "" {
-			return refuse(fail.Missing, "adapters."+name+".base", "an adapter needs a base model")
+			return refuse(apierror.Missing, "adapters."+name+".base", "an adapter needs a base model")
 		}
 		for _, tenant := range a.Tenants {
 			if _, ok := b.Tenants[tenant]; !ok {
-				return refuse(fail.Dangling, "adapters."+name+".tenants", "there is no tenant %q", tenant)
+				return refuse(apierror.Dangling, "adapters."+name+".tenants", "there is no tenant %q", tenant)
 			}
 		}
 	}
@@ -201,11 +201,11 @@
 			continue
 		}
 		if _, ok := b.Adapters[p.Adapter]; !ok {
-			return refuse(fail.Dangling, "paths."+name+".adapter", "there is no adapter %q", p.Adapter)
+			return refuse(apierror.Dangling, "paths."+name+".adapter", "there is no adapter %q", p.Adapter)
 		}
 		for _, target := range p.Pools() {
 			if kind := b.Pools[target.Pool].Kind; kind != "model" {
-				return refuse(fail.Dangling, "paths."+name+".adapter", "pool %q has no model for an adapter", target.Pool)
+				return refuse(apierror.Dangling, "paths."+name+".adapter", "pool %q has no model for an adapter", target.Pool)
 			}
 		}
 	}
@@ -217,7 +217,7 @@
 	for _, name := range slices.Sorted(maps.Keys(b.Adapters)) {
 		was, ok := before.Adapters[name]
 		if now := b.Adapters[name]; ok && (now.Base != was.Base || was.Builds[was.Base] != "" && now.Builds[was.Base] != was.Builds[was.Base]) {
-			f := fail.New(fail.Conflict, "adapter %q is on %s with build %q: a retirement moves it", name, was.Base, was.Builds[was.Base])
+			f := apierror.New(apierror.Conflict, "adapter %q is on %s with build %q: a retirement moves it", name, was.Base, was.Builds[was.Base])
 			f.Field = "adapters." + name
 			return f
 		}
--- a/config/adapter_test.go
+++ b/config/adapter_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 const withAdapters = `{"tenants":[{"name":"t"}],"pools":[{"name":"p","weights":"w1"},{"name":"web","kind":"web"}],
@@ -19,20 +19,20 @@
 	again, err := FromFields(present.Fields())
 	is.NoErr(err)
 	is.Equal(again, present)
-	for text, code := range map[string]fail.Code{
-		`{"adapters":[{"name":"c"}]}`:                                         fail.Missing,
-		`{"adapters":[{"name":"c","base":7}]}`:                                fail.WrongType,
-		`{"adapters":[{"name":"c","base":"m1","size":1}]}`:                    fail.UnknownField,
-		`{"adapters":[{"name":"c","base":"m1","builds":{"m1":1}}]}`:           fail.WrongType,
-		`{"adapters":[{"name":"c","base":"m1","tenants":["nobody"]}]}`:        fail.Dangling,
-		`{"paths":[{"name":"z","address":"/z","pool":"p","adapter":"none"}]}`: fail.Dangling,
-		`{"paths":[{"name":"z","address":"/z","pool":"web","adapter":"a"}]}`:  fail.Dangling,
-		`{"remove":{"adapters":["a"]}}`:                                       fail.Dangling, // path x asks for it
-		`{"remove":{"adapters":["none"]}}`:                                    fail.Dangling,
-		`{"adapters":[{"name":"c","base":"m1","base":"m2"}]}`:                 fail.RepeatField,
+	for text, code := range map[string]apierror.Code{
+		`{"adapters":[{"name":"c"}]}`:                                         apierror.Missing,
+		`{"adapters":[{"name":"c","base":7}]}`:                                apierror.WrongType,
+		`{"adapters":[{"name":"c","base":"m1","size":1}]}`:                    apierror.UnknownField,
+		`{"adapters":[{"name":"c","base":"m1","builds":{"m1":1}}]}`:           apierror.WrongType,
+		`{"adapters":[{"name":"c","base":"m1","tenants":["nobody"]}]}`:        apierror.Dangling,
+		`{"paths":[{"name":"z","address":"/z","pool":"p","adapter":"none"}]}`: apierror.Dangling,
+		`{"paths":[{"name":"z","address":"/z","pool":"web","adapter":"a"}]}`:  apierror.Dangling,
+		`{"remove":{"adapters":["a"]}}`:                                       apierror.Dangling, // path x asks for it
+		`{"remove":{"adapters":["none"]}}`:                                    apierror.Dangling,
+		`{"adapters":[{"name":"c","base":"m1","base":"m2"}]}`:                 apierror.RepeatField,
 	} {
 		_, err := Parse([]byte(text), present, true)
-		if !fail.Is(err, code) {
+		if !apierror.Is(err, code) {
 			t.Errorf("%s: %v, wanted %d", text, err, code.Number)
 		}
 	}
@@ -44,7 +44,7 @@
 	for _, text := range []string{`{"adapters":[{"name":"a","base":"m2"}]}`, `{"adapters":[{"name":"a","builds":{"m1":"a9"}}]}`} {
 		moved, err := Parse([]byte(text), present, true)
 		is.NoErr(err)
-		is.True(fail.Is(moved.KeepBases(present), fail.Conflict))
+		is.True(apierror.Is(moved.KeepBases(present), apierror.Conflict))
 	}
 }
 
--- a/config/config.go
+++ b/config/config.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 )
 
@@ -141,7 +141,7 @@
 			b.Open = true
 		}
 		if err != nil {
-			return nil, fail.Wrap(err, fail.Malformed, "register field "+name)
+			return nil, apierror.Wrap(err, apierror.Malformed, "register field "+name)
 		}
 	}
 	return b, nil
@@ -217,36 +217,36 @@
 	met := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(b.Paths)) {
 		p := b.Paths[name]
-		refuse := func(c fail.Code, field, format string, args ...any) error {
-			f := fail.New(c, format, args...)
+		refuse := func(c apierror.Code, field, format string, args ...any) error {
+			f := apierror.New(c, format, args...)
 			f.Field = "paths." + name + "." + field
 			return f
 		}
 		sum := 0
 		for _, target := range p.Pools() {
 			if _, ok := b.Pools[target.Pool]; !ok {
-				return refuse(fail.Dangling, "pool", "there is no pool %q", target.Pool)
+				return refuse(apierror.Dangling, "pool", "there is no pool %q", target.Pool)
 			}
 			if b.Pools[target.Pool].Kind == "store" {
-				return refuse(fail.Dangling, "pool", "pool %q is a store and serves no requests", target.Pool)
+				return refuse(apierror.Dangling, "pool", "pool %q is a store and serves no requests", target.Pool)
 			}
 			if target.Share < 0 {
-				return refuse(fail.OutOfRange, "targets", "pool %q has a share below 0", target.Pool)
+				return refuse(apierror.OutOfRange, "targets", "pool %q has a share below 0", target.Pool)
 			}
 			sum += target.Share
 		}
 		if sum == 0 {
-			return refuse(fail.OutOfRange, "targets", "the shares sum to 0")
+			return refuse(apierror.OutOfRange, "targets", "the shares sum to 0")
 		}
 		if p.DeadlineMs <= 0 {
-			return refuse(fail.OutOfRange, "deadline_ms", "%d ms are no deadline", p.DeadlineMs)
+			return refuse(apierror.OutOfRange, "deadline_ms", "%d ms are no deadline", p.DeadlineMs)
 		}
 		if p.Address == "" {
-			return refuse(fail.Missing, "address", "a path needs an address")
+			return refuse(apierror.Missing, "address", "a path needs an address")
 		}
 		at := p.Host + " " + p.Address + " " + p.Model
 		if other, taken := met[at]; taken {
-			return refuse(fail.RepeatField, "address", "path %q has the same host, address and model", other)
+			return refuse(apierror.RepeatField, "address", "path %q has the same host, address and model", other)
 		}
 		met[at] = name
 	}
@@ -254,7 +254,7 @@
 	for _, name := range slices.Sorted(maps.Keys(b.Tenants)) {
 		for _, key := range b.Tenants[name].Keys {
 			if other, taken := owners[key]; taken && other != name {
-				f := fail.New(fail.RepeatField, "tenant %q has the same key", other)
+				f := apierror.New(apierror.RepeatField, "tenant %q has the same key", other)
 				f.Field = "tenants." + name + ".keys"
 				return f
 			}
--- a/config/declaration.go
+++ b/config/declaration.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 )
 
@@ -81,11 +81,11 @@
 	case d.BasedOn != was.Number && was.has(d):
 		return nil, nil
 	case d.BasedOn != was.Number && was.mayHave(d):
-		return nil, fail.New(fail.Undecided, "number %d may have been accepted once: only those above %d are remembered", d.Number, was.Forgotten)
+		return nil, apierror.New(apierror.Undecided, "number %d may have been accepted once: only those above %d are remembered", d.Number, was.Forgotten)
 	case d.BasedOn != was.Number:
-		return nil, fail.New(fail.Conflict, "built on %d, present is %d", d.BasedOn, was.Number)
+		return nil, apierror.New(apierror.Conflict, "built on %d, present is %d", d.BasedOn, was.Number)
 	case d.Number <= was.Number:
-		return nil, fail.New(fail.OutOfRange, "number %d is not above %d", d.Number, was.Number)
+		return nil, apierror.New(apierror.OutOfRange, "number %d is not above %d", d.Number, was.Number)
 	}
 	made := register.Fields{}
 	next := 0
--- a/config/declaration_test.go
+++ b/config/declaration_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 )
 
@@ -160,17 +160,17 @@
 		is.NoErr(err)
 		before := r.texts()
 		_, err = r.take(other)
-		is.True(fail.Is(err, fail.Conflict))
+		is.True(apierror.Is(err, apierror.Conflict))
 		same := declaration(9, 5, full, "pool/p", "path/other") // the same number, something else
 		_, err = r.take(same)
-		is.True(fail.Is(err, fail.Conflict))
+		is.True(apierror.Is(err, apierror.Conflict))
 		for _, number := range []uint64{0, 1, 8, 9} {
 			_, err = r.take(declaration(number, 9, full, "pool/p"))
-			is.True(fail.Is(err, fail.OutOfRange))
+			is.True(apierror.Is(err, apierror.OutOfRange))
 		}
 		for _, base := range []uint64{0, 5, 8, 10} {
 			_, err = r.take(declaration(11, base, full, "pool/p"))
-			is.True(fail.Is(err, fail.Conflict))
+			is.True(apierror.Is(err, apierror.Conflict))
 		}
 		is.Equal(r.texts(), before)
 		is.Equal(Number(r.fields), uint64(9))
@@ -183,7 +183,7 @@
 	is := is.New(t)
 	r := &declared{fields: register.Fields{}}
 	_, err := r.take(declaration(1, 0, true, "path/a")) // its pool is not there
-	is.True(fail.Is(err, fail.Dangling))
+	is.True(apierror.Is(err, apierror.Dangling))
 	is.Equal(len(r.fields), 0)
 	_, err = r.take(declaration(1, 0, true, "pool/p", "path/a", "tenant/t"))
 	is.NoErr(err)
@@ -197,13 +197,13 @@
 	put := func(name string, item any) func(*Declaration) {
 		return func(d *Declaration) { d.Items = Field(name, item) }
 	}
-	is.True(fail.Is(changed(func(d *Declaration) { d.Removed = []string{"pool/p"} }), fail.Dangling))
-	is.True(fail.Is(changed(put("path/b", Path{Name: "b", Address: "/a/", Pool: "p", DeadlineMs: 5})), fail.RepeatField))
-	is.True(fail.Is(changed(put("path/b", Path{Name: "b", Address: "/b/", Pool: "p"})), fail.OutOfRange))
-	is.True(fail.Is(changed(put("path/b", Path{Name: "b", Pool: "p", DeadlineMs: 5})), fail.Missing))
-	is.True(fail.Is(changed(put("path/b", Path{Name: "b", Address: "/b/", DeadlineMs: 5, Targets: []Target{{"p", 0}}})), fail.OutOfRange))
-	is.True(fail.Is(changed(put("path/b", Path{Name: "b", Address: "/b/", DeadlineMs: 5, Targets: []Target{{"p", 2}, {"p", -1}}})), fail.OutOfRange))
-	is.True(fail.Is(changed(put("tenant/u", Tenant{Name: "u", Keys: []string{"u-key", "t-key"}})), fail.RepeatField)) // another tenant's key
+	is.True(apierror.Is(changed(func(d *Declaration) { d.Removed = []string{"pool/p"} }), apierror.Dangling))
+	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Address: "/a/", Pool: "p", DeadlineMs: 5})), apierror.RepeatField))
+	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Address: "/b/", Pool: "p"})), apierror.OutOfRange))
+	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Pool: "p", DeadlineMs: 5})), apierror.Missing))
+	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Address: "/b/", DeadlineMs: 5, Targets: []Target{{"p", 0}}})), apierror.OutOfRange))
+	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Address: "/b/", DeadlineMs: 5, Targets: []Target{{"p", 2}, {"p", -1}}})), apierror.OutOfRange))
+	is.True(apierror.Is(changed(put("tenant/u", Tenant{Name: "u", Keys: []string{"u-key", "t-key"}})), apierror.RepeatField)) // another tenant's key
 	is.Equal(r.texts(), before)
 	is.Equal(Number(r.fields), uint64(1))
 	is.NoErr(changed(func(d *Declaration) { // the key goes over to another tenant in one step, and one tenant may name a key twice
--- a/config/parse.go
+++ b/config/parse.go
@@ -4,13 +4,13 @@
 	"maps"
 	"strings"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 // Parse takes an operator's text: whole, or partial upon the present configuration. Nothing of a bad text is used.
 func Parse(text []byte, base *Config, partial bool) (*Config, error) {
 	if len(text) > MaxText {
-		return nil, fail.New(fail.Oversize, "%d bytes, at most %d", len(text), MaxText)
+		return nil, apierror.New(apierror.Oversize, "%d bytes, at most %d", len(text), MaxText)
 	}
 	doc, err := Document(text)
 	if err != nil {
@@ -49,13 +49,13 @@
 				return remove(v, b)
 			}
 		}
-		return v.Refuse(fail.UnknownField, "not a field of a configuration")
+		return v.Refuse(apierror.UnknownField, "not a field of a configuration")
 	})
 	if err == nil {
 		err = b.Check()
 	}
 	if err != nil {
-		return nil, fail.Wrap(err, fail.Malformed, "configuration")
+		return nil, apierror.Wrap(err, apierror.Malformed, "configuration")
 	}
 	return b, nil
 }
@@ -69,7 +69,7 @@
 			if field == "name" {
 				name, err = v.Name()
 				if err == nil && met[name] {
-					err = v.Refuse(fail.RepeatField, "%q stands twice in the list", name)
+					err = v.Refuse(apierror.RepeatField, "%q stands twice in the list", name)
 				}
 			}
 			return err
@@ -78,7 +78,7 @@
 			return err
 		}
 		if name == "" {
-			return entry.Refuse(fail.Missing, "needs a name")
+			return entry.Refuse(apierror.Missing, "needs a name")
 		}
 		met[name] = true
 		item, ok := into[name]
@@ -115,10 +115,10 @@
 				_, ok = b.Adapters[name]
 				delete(b.Adapters, name)
 			default:
-				return list.Refuse(fail.UnknownField, "nothing of this kind can be removed")
+				return list.Refuse(apierror.UnknownField, "nothing of this kind can be removed")
 			}
 			if !ok {
-				return item.Refuse(fail.Dangling, "there is no %q to remove", name)
+				return item.Refuse(apierror.Dangling, "there is no %q to remove", name)
 			}
 			return nil
 		})
@@ -157,7 +157,7 @@
 		t.Urgency = new(int)
 		return set(t.Urgency, between(v, 0, 9))
 	}
-	return v.Refuse(fail.UnknownField, "not a field of a tenant")
+	return v.Refuse(apierror.UnknownField, "not a field of a tenant")
 }
 
 func readPool(p *Pool, field string, v Value) error {
@@ -178,7 +178,7 @@
 	case "max_conns":
 		return set(&p.MaxConns, between(v, 0, 1000000))
 	}
-	return v.Refuse(fail.UnknownField, "not a field of a pool")
+	return v.Refuse(apierror.UnknownField, "not a field of a pool")
 }
 
 func readPath(p *Path, field string, v Value) error {
@@ -190,7 +190,7 @@
 			return err
 		}
 		if !strings.HasPrefix(p.Address, "/") || len(p.Address) > 256 {
-			return v.Refuse(fail.OutOfRange, "an address starts with / and has at most 256 bytes")
+			return v.Refuse(apierror.OutOfRange, "an address starts with / and has at most 256 bytes")
 		}
 		return nil
 	case "model":
@@ -218,7 +218,7 @@
 				case "share":
 					return set(&t.Share, between(v, 0, 1000000))
 				}
-				return v.Refuse(fail.UnknownField, "not a field of a target")
+				return v.Refuse(apierror.UnknownField, "not a field of a target")
 			})
 			p.Targets = append(p.Targets, t)
 			return err
@@ -238,7 +238,7 @@
 	case "adapter":
 		return set(&p.Adapter, v.Name)
 	}
-	return v.Refuse(fail.UnknownField, "not a field of a path")
+	return v.Refuse(apierror.UnknownField, "not a field of a path")
 }
 
 func readHold(v Value, h *Hold) error {
@@ -255,7 +255,7 @@
 		case "slow_ratio":
 			return set(&h.SlowRatio, func() (float64, error) { return v.Figure(1.5, 100) })
 		}
-		return v.Refuse(fail.UnknownField, "not a field of the hold")
+		return v.Refuse(apierror.UnknownField, "not a field of the hold")
 	})
 }
 
@@ -271,6 +271,6 @@
 		case "idle_ms":
 			return set(&l.IdleMs, between(v, 0, 3600000))
 		}
-		return v.Refuse(fail.UnknownField, "not a field of the limits")
+		return v.Refuse(apierror.UnknownField, "not a field of the limits")
 	})
 }
--- a/config/state.go
+++ b/config/state.go
@@ -5,7 +5,7 @@
 	"encoding/hex"
 	"encoding/json"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 )
 
@@ -68,7 +68,7 @@
 	all := make(map[string]T, len(fields))
 	for name, raw := range fields {
 		if err := load(all, name, raw); err != nil {
-			return nil, fail.Wrap(err, fail.Malformed, "register field "+name)
+			return nil, apierror.Wrap(err, apierror.Malformed, "register field "+name)
 		}
 	}
 	return all, nil
@@ -89,7 +89,7 @@
 	var all []Replica
 	err = doc.Object(func(field string, v Value) error {
 		if field != "replicas" {
-			return v.Refuse(fail.UnknownField, "not a field of the platform's news")
+			return v.Refuse(apierror.UnknownField, "not a field of the platform's news")
 		}
 		return v.List(func(item Value) error {
 			r := Replica{State: "present", Limit: 4}
@@ -108,20 +108,20 @@
 				case "limit":
 					return set(&r.Limit, between(v, 1, 10000))
 				}
-				return v.Refuse(fail.UnknownField, "not a field of a replica")
+				return v.Refuse(apierror.UnknownField, "not a field of a replica")
 			})
 			if err == nil && r.Name == "" {
-				err = item.Refuse(fail.Missing, "needs a name")
+				err = item.Refuse(apierror.Missing, "needs a name")
 			}
 			if err == nil && r.State != "gone" && r.State != "leaving" && (r.Address == "" || r.Pool == "") {
-				err = item.Refuse(fail.Missing, "needs address and pool")
+				err = item.Refuse(apierror.Missing, "needs address and pool")
 			}
 			all = append(all, r)
 			return err
 		})
 	})
 	if err != nil {
-		return nil, fail.Wrap(err, fail.Malformed, "platform")
+		return nil, apierror.Wrap(err, apierror.Malformed, "platform")
 	}
 	return all, nil
 }
--- a/config/value.go
+++ b/config/value.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-faster/jx"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 // Value is one JSON value with its place in the operator's text.
@@ -17,8 +17,8 @@
 	at   int // byte position, from 1
 }
 
-func (v Value) Refuse(c fail.Code, format string, args ...any) error {
-	f := fail.New(c, format, args...)
+func (v Value) Refuse(c apierror.Code, format string, args ...any) error {
+	f := apierror.New(c, format, args...)
 	f.Field, f.At = v.path, v.at
 	return f
 }
@@ -27,7 +27,7 @@
 func Document(text []byte) (Value, error) {
 	d := jx.DecodeBytes(text)
 	if err := d.Validate(); err != nil {
-		return Value{}, fail.Wrap(err, fail.Malformed, "read JSON")
+		return Value{}, apierror.Wrap(err, apierror.Malformed, "read JSON")
 	}
 	return nested(text, jx.DecodeBytes(text), "", 1)
 }
@@ -36,7 +36,7 @@
 func nested(text []byte, d *jx.Decoder, path string, base int) (Value, error) {
 	raw, err := d.Raw()
 	if err != nil {
-		return Value{}, fail.Wrap(err, fail.Malformed, "read "+path)
+		return Value{}, apierror.Wrap(err, apierror.Malformed, "read "+path)
 	}
 	return Value{raw: raw, path: path, at: base + cap(text) - cap(raw)}, nil
 }
@@ -46,7 +46,7 @@
 
 func (v Value) need(t jx.Type, name string) error {
 	if v.raw.Type() != t {
-		return v.Refuse(fail.WrongType, "needs %s, has %s", name, v.raw.Type())
+		return v.Refuse(apierror.WrongType, "needs %s, has %s", name, v.raw.Type())
 	}
 	return nil
 }
@@ -62,7 +62,7 @@
 			return err
 		}
 		if met[name] {
-			return field.Refuse(fail.RepeatField, "given twice")
+			return field.Refuse(apierror.RepeatField, "given twice")
 		}
 		met[name] = true
 		return read(name, field)
@@ -96,7 +96,7 @@
 		return "", err
 	}
 	s, err := jx.DecodeBytes(v.raw).Str()
-	return s, fail.Wrap(err, fail.Malformed, "read "+v.path)
+	return s, apierror.Wrap(err, apierror.Malformed, "read "+v.path)
 }
 
 var plainName = regexp.MustCompile(`^[\pL\pN][\pL\pN._-]{0,63}$`)
@@ -105,7 +105,7 @@
 func (v Value) Name() (string, error) {
 	s, err := v.Text()
 	if err == nil && !plainName.MatchString(s) {
-		err = v.Refuse(fail.OutOfRange, "%q is no name: letters, digits, dot, dash, underscore; at most 64", s)
+		err = v.Refuse(apierror.OutOfRange, "%q is no name: letters, digits, dot, dash, underscore; at most 64", s)
 	}
 	return s, err
 }
@@ -120,7 +120,7 @@
 			return s, nil
 		}
 	}
-	return "", v.Refuse(fail.OutOfRange, "%q is not one of %v", s, words)
+	return "", v.Refuse(apierror.OutOfRange, "%q is not one of %v", s, words)
 }
 
 func (v Value) Flag() (bool, error) {
@@ -128,7 +128,7 @@
 		return false, err
 	}
 	b, err := jx.DecodeBytes(v.raw).Bool()
-	return b, fail.Wrap(err, fail.Malformed, "read "+v.path)
+	return b, apierror.Wrap(err, apierror.Malformed, "read "+v.path)
 }
 
 func (v Value) Integer(least, most int) (int, error) {
@@ -137,10 +137,10 @@
 	}
 	n, err := jx.DecodeBytes(v.raw).Int()
 	if err != nil {
-		return 0, v.Refuse(fail.WrongType, "%s is not a whole number", v.raw)
+		return 0, v.Refuse(apierror.WrongType, "%s is not a whole number", v.raw)
 	}
 	if n < least || n > most {
-		return 0, v.Refuse(fail.OutOfRange, "%d is not within %d to %d", n, least, most)
+		return 0, v.Refuse(apierror.OutOfRange, "%d is not within %d to %d", n, least, most)
 	}
 	return n, nil
 }
@@ -151,7 +151,7 @@
 	}
 	n, err := jx.DecodeBytes(v.raw).Float64()
 	if err != nil || n < least || n > most {
-		return 0, v.Refuse(fail.OutOfRange, "%s is not within %g to %g", v.raw, least, most)
+		return 0, v.Refuse(apierror.OutOfRange, "%s is not within %g to %g", v.raw, least, most)
 	}
 	return n, nil
 }
--- a/daemon/acceptors.go
+++ b/daemon/acceptors.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/link"
 	"asterridge/register"
 )
@@ -77,11 +77,11 @@
 func (c *Core) checkPeer(m RegisterMessage, key string) error {
 	now := c.membership()
 	if now.self == nil {
-		return fail.New(fail.NoMember, "%s is no member", c.host.Name)
+		return apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
 	}
 	if !now.hasIncarnation(m.From) {
 		c.host.Log.Warn().Str("event", "unknown_peer").Str("from", m.From).Msg("")
-		return fail.New(fail.NoMember, "the asker is no member")
+		return apierror.New(apierror.NoMember, "the asker is no member")
 	}
 	if m.Members > now.version {
 		now = c.awaitList(m.Members) // the asker has heard a moment sooner that a list is settled
@@ -93,10 +93,10 @@
 		}()
 	}
 	if m.Members != now.version {
-		return fail.New(fail.OtherMembers, "the asker's list of members is %d, ours %d", m.Members, now.version)
+		return apierror.New(apierror.OtherMembers, "the asker's list of members is %d, ours %d", m.Members, now.version)
 	}
 	if key != config.MembersKey && c.acceptor.Revision(config.MembersKey).Version > now.version {
-		return fail.New(fail.OtherMembers, "a newer list of members is being settled")
+		return apierror.New(apierror.OtherMembers, "a newer list of members is being settled")
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 
 func (c *Core) accept(_ context.Context, m RegisterMessage) (struct{}, error) {
 	if m.Change == nil || m.Change.Key == "" {
-		return struct{}{}, fail.New(fail.Malformed, "no change")
+		return struct{}{}, apierror.New(apierror.Malformed, "no change")
 	}
 	if err := c.checkPeer(m, m.Change.Key); err != nil {
 		return struct{}{}, err
--- a/daemon/agent_calls.go
+++ b/daemon/agent_calls.go
@@ -7,8 +7,8 @@
 	"sort"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/hold"
 	"asterridge/link"
 	"asterridge/register"
@@ -20,7 +20,7 @@
 	a.table.Merge(n, hold.Longest)
 	cores := a.liveCores(holdPrefix + n.Scope)
 	if len(cores) == 0 {
-		return struct{}{}, fail.New(fail.Unreachable, "no core answers")
+		return struct{}{}, apierror.New(apierror.Unreachable, "no core answers")
 	}
 	told := make(chan error, len(cores))
 	for i, m := range cores {
@@ -68,7 +68,7 @@
 		}
 	}
 	return callCores[struct{}](ctx, a, claimGroup(o), "/op/claim", o, func(err error) bool {
-		return fail.Is(err, fail.Unreachable) || fail.Is(err, fail.NoMajority) || fail.Is(err, fail.Undecided) || fail.Is(err, fail.Superseded)
+		return apierror.Is(err, apierror.Unreachable) || apierror.Is(err, apierror.NoMajority) || apierror.Is(err, apierror.Undecided) || apierror.Is(err, apierror.Superseded)
 	})
 }
 
@@ -76,7 +76,7 @@
 func callCores[A any](ctx context.Context, a *Agent, key, path string, q any, mayPass func(error) bool) (A, error) {
 	cores := a.liveCores(key)
 	var answer A
-	err := error(fail.New(fail.Unreachable, "no core answers"))
+	err := error(apierror.New(apierror.Unreachable, "no core answers"))
 	for _, m := range cores[:min(2, len(cores))] {
 		short, stop := context.WithTimeout(ctx, 2*majorityWait)
 		answer, err = link.Call[A](short, a.wire, m.Address, path, q)
@@ -96,5 +96,5 @@
 			return link.Call[[]router.Row](ctx, a.wire, p.Admin, "/proxy/query", q)
 		}
 	}
-	return nil, fail.New(fail.Unreachable, "no proxy beside %s", a.host.Name)
+	return nil, apierror.New(apierror.Unreachable, "no proxy beside %s", a.host.Name)
 }
--- a/daemon/carry.go
+++ b/daemon/carry.go
@@ -4,8 +4,8 @@
 	"context"
 	"strings"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
@@ -34,7 +34,7 @@
 		}
 		revision, err := c.owner.Change(ctx, config.MembersKey, func(now register.Fields, version uint64) (register.Fields, error) {
 			if now[carryField] == nil || version != record.Revision.Version {
-				return nil, fail.New(fail.Conflict, "the list has changed meanwhile")
+				return nil, apierror.New(apierror.Conflict, "the list has changed meanwhile")
 			}
 			return register.Fields{carryField: nil}, nil
 		})
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/register"
 	"asterridge/router"
 )
@@ -68,7 +68,7 @@
 	record := claimRecord{Nonce: o.Nonce, State: o.State, Proxy: o.Proxy, Freed: before.Freed}
 	switch {
 	case freed && o.State == claimRunning:
-		return nil, fail.New(fail.NoClaim, "this request has given the key back")
+		return nil, apierror.New(apierror.NoClaim, "this request has given the key back")
 	case own && before.State != claimRunning, own && o.State == claimRunning:
 		return nil, before.stands(o, running)
 	case free && ok: // another request gave it back
@@ -88,11 +88,11 @@
 	case o.State != claimRunning, own && r.State == claimRunning:
 		return nil
 	case r.State == claimRan:
-		return fail.New(fail.KeyRan, "an earlier request with this key ran")
+		return apierror.New(apierror.KeyRan, "an earlier request with this key ran")
 	case r.State == claimRunning && running(r.Proxy):
-		return fail.New(fail.InProgress, "another request with this key is in progress")
+		return apierror.New(apierror.InProgress, "another request with this key is in progress")
 	}
-	return fail.New(fail.KeyUnknown, "an earlier request with this key has an unknown outcome")
+	return apierror.New(apierror.KeyUnknown, "an earlier request with this key has an unknown outcome")
 }
 
 // isRunning says whether a proxy was heard of lately.
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/disk"
-	"asterridge/fail"
 	"asterridge/hold"
 	"asterridge/link"
 	"asterridge/register"
@@ -145,19 +145,19 @@
 func (c *Core) identify() error {
 	raw, err := c.disk.Get(selfFolder, incarnFile)
 	switch {
-	case fail.Is(err, fail.NotFound):
+	case apierror.Is(err, apierror.NotFound):
 		raw, err = c.newIncarnation()
 	case err == nil:
 		err = c.disk.Sync(selfFolder) // a process before this one may have died while it wrote it
 	}
 	if err != nil {
-		return fail.Wrap(err, fail.DiskFailed, "incarnation")
+		return apierror.Wrap(err, apierror.DiskFailed, "incarnation")
 	}
 	c.incarnation = string(raw)
 	_, err = c.disk.Get(selfFolder, founderFile)
 	c.mayFound = err == nil || !c.host.Founded
-	if err != nil && !fail.Is(err, fail.NotFound) && !fail.Is(err, fail.Torn) {
-		return fail.Wrap(err, fail.DiskFailed, "founder")
+	if err != nil && !apierror.Is(err, apierror.NotFound) && !apierror.Is(err, apierror.Torn) {
+		return apierror.Wrap(err, apierror.DiskFailed, "founder")
 	}
 	return nil
 }
@@ -299,9 +299,9 @@
 	anywhere := func(ctx context.Context, q Q) (A, error) {
 		var none A
 		if now := c.membership(); now.self == nil && len(now.members) == 0 {
-			return none, fail.New(fail.NotFounded, "the founders have not all met")
+			return none, apierror.New(apierror.NotFounded, "the founders have not all met")
 		} else if now.self == nil {
-			return none, fail.New(fail.NoMember, "%s is no member", c.host.Name)
+			return none, apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
 		}
 		owner := register.Pick(keyOf(q), c.live())
 		if owner == c.host.Name {
@@ -313,18 +313,18 @@
 		var dial *net.OpError
 		unasked := errors.As(err, &dial) && dial.Op == "dial"
 		switch {
-		case err == nil || !fail.Is(err, fail.Unreachable):
+		case err == nil || !apierror.Is(err, apierror.Unreachable):
 			return answer, err
 		case unasked:
 			return do(ctx, q)
 		case idempotent:
 			again, failure := do(ctx, q)
-			if failure != nil && fail.Of(failure).Code.Ran == fail.NotRun {
-				failure = fail.New(fail.Undecided, "the owner %s did not answer: %v; then here: %v", owner, err, failure) // it may have taken it
+			if failure != nil && apierror.Of(failure).Code.Ran == apierror.NotRun {
+				failure = apierror.New(apierror.Undecided, "the owner %s did not answer: %v; then here: %v", owner, err, failure) // it may have taken it
 			}
 			return again, failure
 		}
-		return none, fail.New(fail.Undecided, "the owner %s did not answer: %v", owner, err)
+		return none, apierror.New(apierror.Undecided, "the owner %s did not answer: %v", owner, err)
 	}
 	mux.Handle("POST /own/"+name, link.Serve(c.host.Fleet, do))
 	mux.Handle("POST /op/"+name, link.Serve(c.host.Fleet, anywhere))
--- a/daemon/declare.go
+++ b/daemon/declare.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/link"
 	"asterridge/register"
 )
@@ -55,7 +55,7 @@
 			return record, nil
 		}
 		if err := link.Pause(short, beatTime/10); err != nil {
-			return record, fail.Wrap(err, fail.Behind, key)
+			return record, apierror.Wrap(err, apierror.Behind, key)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 
 func (c *Core) orderModel(ctx context.Context, o ModelOrder) (Accepted, error) {
 	if o.Model == "" || o.Version == 0 {
-		return Accepted{}, fail.New(fail.Missing, "a model's version needs the model and a number from 1")
+		return Accepted{}, apierror.New(apierror.Missing, "a model's version needs the model and a number from 1")
 	}
 	revision, err := c.owner.Change(ctx, config.ModelsKey, func(now register.Fields, _ uint64) (register.Fields, error) {
 		var before config.Model
--- a/daemon/found.go
+++ b/daemon/found.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/link"
 	"asterridge/register"
 )
@@ -126,7 +126,7 @@
 	}
 	err := c.acceptor.Adopt(config.MembersKey, firstRevision, fields)
 	if err != nil {
-		c.host.Log.Error().Str("event", "founding_failed").Err(fail.Wrap(err, fail.DiskFailed, "members")).Msg("")
+		c.host.Log.Error().Str("event", "founding_failed").Err(apierror.Wrap(err, apierror.DiskFailed, "members")).Msg("")
 		return
 	}
 	c.learnMembers()
--- a/daemon/leave.go
+++ b/daemon/leave.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/link"
 )
 
@@ -37,16 +37,16 @@
 // bears losses less well without this core than with a member that is silent for a while; the core is then a member still.
 func (c *Core) Leave(ctx context.Context) error {
 	if !c.options.SelfAdmitting {
-		return fail.New(fail.OutOfRange, "operators change the members here")
+		return apierror.New(apierror.OutOfRange, "operators change the members here")
 	}
 	c.isLeaving.Store(true) // it does not ask to be admitted again
 	for {
 		hasLeft, err := c.leaveStep(ctx)
-		if hasLeft || err != nil && !fail.Is(err, fail.Conflict) && !fail.Is(err, fail.Undecided) && !fail.Is(err, fail.Unreachable) && !fail.Is(err, fail.NotFound) {
+		if hasLeft || err != nil && !apierror.Is(err, apierror.Conflict) && !apierror.Is(err, apierror.Undecided) && !apierror.Is(err, apierror.Unreachable) && !apierror.Is(err, apierror.NotFound) {
 			return err
 		}
 		if link.Pause(ctx, leaveStep) != nil {
-			return fail.New(fail.Undecided, "no time is left to leave the members")
+			return apierror.New(apierror.Undecided, "no time is left to leave the members")
 		}
 	}
 }
@@ -62,7 +62,7 @@
 	case !listed:
 		return true, nil
 	case !c.doesWellWithout(members, c.host.Name):
-		return false, fail.New(fail.OutOfRange, "%d members would be left", len(members)-1)
+		return false, apierror.New(apierror.OutOfRange, "%d members would be left", len(members)-1)
 	}
 	_, err = c.changeMembers(ctx, MembersOrder{Do: doLeave, Name: c.host.Name})
 	return false, err
--- a/daemon/listing.go
+++ b/daemon/listing.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/link"
 	"asterridge/register"
 )
@@ -65,7 +65,7 @@
 	listed, err := c.options.Backend.List(ctx)
 	if err != nil {
 		c.host.Log.Warn().Str("event", "list_failed").Err(err).Msg("")
-		return fail.Wrap(err, fail.Unreachable, "platform's list")
+		return apierror.Wrap(err, apierror.Unreachable, "platform's list")
 	}
 	fields := register.Fields{}
 	for _, r := range listed {
@@ -76,7 +76,7 @@
 	}
 	revision, err := c.owner.Change(ctx, config.ReplicasKey, func(now register.Fields, _ uint64) (register.Fields, error) {
 		if age := time.Since(asked); age > listLimit {
-			return nil, fail.New(fail.Behind, "the platform's list was asked for %v ago", age)
+			return nil, apierror.New(apierror.Behind, "the platform's list was asked for %v ago", age)
 		}
 		return config.Delta(now, fields), nil
 	})
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/register"
 )
 
@@ -174,7 +174,7 @@
 func (c *Core) acceptors() (register.Membership, error) {
 	now := c.membership()
 	if now.self == nil {
-		return nil, fail.New(fail.NoMember, "%s is no member", c.host.Name)
+		return nil, apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
 	}
 	var all register.Membership
 	for _, m := range now.members {
@@ -226,7 +226,7 @@
 	revision, err := c.owner.Change(ctx, config.MembersKey, func(now register.Fields, _ uint64) (register.Fields, error) {
 		members, prior, highest := readMembers(now)
 		if prior != nil {
-			return nil, fail.New(fail.Conflict, "the change of members before is not carried through yet")
+			return nil, apierror.New(apierror.Conflict, "the change of members before is not carried through yet")
 		}
 		change := register.Fields{}
 		switch o.Do {
@@ -239,7 +239,7 @@
 			change[nextField] = json.RawMessage(strconv.Itoa(int(made.ID)))
 		case doRetire:
 			if now[o.Name] == nil {
-				return nil, fail.New(fail.NotFound, "no member %q", o.Name)
+				return nil, apierror.New(apierror.NotFound, "no member %q", o.Name)
 			}
 			live := 0
 			for _, name := range c.live() {
@@ -252,21 +252,21 @@
 				least = fewestLost
 			}
 			if left := len(members) - 1; left < least || live < majorityOf(left) {
-				return nil, fail.New(fail.OutOfRange, "%d members would be left, %d of them live: too few", left, live)
+				return nil, apierror.New(apierror.OutOfRange, "%d members would be left, %d of them live: too few", left, live)
 			}
 			change[o.Name] = nil
 			change[nextField] = json.RawMessage(strconv.Itoa(int(highest)))
 		case doLeave:
 			if now[o.Name] == nil {
-				return nil, fail.New(fail.NotFound, "no member %q", o.Name)
+				return nil, apierror.New(apierror.NotFound, "no member %q", o.Name)
 			}
 			if !c.doesWellWithout(members, o.Name) {
-				return nil, fail.New(fail.OutOfRange, "%d members would be left: too few", len(members)-1)
+				return nil, apierror.New(apierror.OutOfRange, "%d members would be left: too few", len(members)-1)
 			}
 			change[o.Name] = nil
 			change[nextField] = json.RawMessage(strconv.Itoa(int(highest)))
 		default:
-			return nil, fail.New(fail.OutOfRange, "%q is none of admit, retire and leave", o.Do)
+			return nil, apierror.New(apierror.OutOfRange, "%q is none of admit, retire and leave", o.Do)
 		}
 		change[carryField], _ = json.Marshal(members) // plain structs always encode
 		return change, nil
@@ -282,15 +282,15 @@
 	c.mu.Unlock()
 	switch {
 	case !ok || time.Since(s.at) > joinerTime:
-		return config.Member{}, fail.New(fail.NotFound, "no core %q calls on us to be admitted", name)
+		return config.Member{}, apierror.New(apierror.NotFound, "no core %q calls on us to be admitted", name)
 	case !s.HasSnapshot:
-		return config.Member{}, fail.New(fail.Behind, "%s has no full snapshot of the keys yet", name)
+		return config.Member{}, apierror.New(apierror.Behind, "%s has no full snapshot of the keys yet", name)
 	case len(members) >= most || highest == mostNumber:
-		return config.Member{}, fail.New(fail.OutOfRange, "there are %d members", len(members))
+		return config.Member{}, apierror.New(apierror.OutOfRange, "there are %d members", len(members))
 	}
 	for _, m := range members {
 		if m.Name == name || m.Address == s.Address {
-			return config.Member{}, fail.New(fail.Exists, "member %s has this name or address: retire it first", m.Name)
+			return config.Member{}, apierror.New(apierror.Exists, "member %s has this name or address: retire it first", m.Name)
 		}
 	}
 	return config.Member{ID: highest + 1, Name: name, Address: s.Address, Zone: s.Zone, Incarnation: s.Incarnation}, nil
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/golden"
 	"asterridge/hold"
 	"asterridge/lease"
@@ -46,7 +46,7 @@
 		{Name: "POST /op/retirement", Type: RetirementOrder{}},
 		{Name: "POST /op/advance", Type: AdvanceOrder{}},
 		{Name: "answer to an accepted change", Type: Accepted{}},
-		{Name: "answer to a rejected call", Type: fail.Body{}},
+		{Name: "answer to a rejected call", Type: apierror.Body{}},
 		{Name: "POST /query, /agent/query", Type: Query{}},
 		{Name: "POST /query: answer", Type: QueryAnswer{}},
 		{Name: "question for rows of a proxy", Type: router.Query{}},
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -4,8 +4,8 @@
 	"context"
 	"encoding/json"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/hold"
 	"asterridge/register"
 )
@@ -26,7 +26,7 @@
 func (c *Core) orderConfig(ctx context.Context, o ConfigOrder) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.Key, func(now register.Fields, version uint64) (register.Fields, error) {
 		if number := config.Number(now); number > 0 {
-			return nil, fail.New(fail.Conflict, "this fleet is declared by numbered configurations, present is %d", number)
+			return nil, apierror.New(apierror.Conflict, "this fleet is declared by numbered configurations, present is %d", number)
 		}
 		base, err := config.FromFields(now)
 		if err != nil {
@@ -44,13 +44,13 @@
 		change := config.Delta(now, fields)
 		switch created := len(fields) > len(now); {
 		case o.Named == "new" && !created && len(now) > 0:
-			return nil, fail.New(fail.Exists, "a thing of this name is there already")
+			return nil, apierror.New(apierror.Exists, "a thing of this name is there already")
 		case len(change) == 0:
 			return nil, nil // it stands: the order came again, or another one asked for the same
 		case o.Expect != nil && *o.Expect != version:
-			return nil, fail.New(fail.Conflict, "expected version %d, present is %d", *o.Expect, version)
+			return nil, apierror.New(apierror.Conflict, "expected version %d, present is %d", *o.Expect, version)
 		case o.Named == "known" && created:
-			return nil, fail.New(fail.NotFound, "nothing has this name")
+			return nil, apierror.New(apierror.NotFound, "nothing has this name")
 		}
 		return change, nil
 	})
@@ -75,7 +75,7 @@
 
 func (c *Core) orderKey(ctx context.Context, o KeyOrder) (Accepted, error) {
 	if o.Tenant == "" || len(o.Hash) != 32 {
-		return Accepted{}, fail.New(fail.Missing, "a key order needs a tenant and a key's hash of 32 hex digits")
+		return Accepted{}, apierror.New(apierror.Missing, "a key order needs a tenant and a key's hash of 32 hex digits")
 	}
 	born, err := c.bornOf(ctx, o.Tenant)
 	if err != nil && !o.Revoked {
@@ -87,12 +87,12 @@
 		ok := now[o.Hash] != nil && json.Unmarshal(now[o.Hash], &before) == nil
 		switch {
 		case o.Revoked && !ok:
-			return nil, fail.New(fail.NotFound, "tenant %s has no such key", o.Tenant)
+			return nil, apierror.New(apierror.NotFound, "tenant %s has no such key", o.Tenant)
 		case o.Revoked:
 			before.Revoked = true
 			return config.Field(o.Hash, before), nil
 		case before.Revoked:
-			return nil, fail.New(fail.Conflict, "the key was revoked: it does not come back")
+			return nil, apierror.New(apierror.Conflict, "the key was revoked: it does not come back")
 		}
 		return config.Field(o.Hash, config.Access{Born: born}), nil
 	})
@@ -108,7 +108,7 @@
 	}
 	t, ok := plan.Tenants[tenant]
 	if !ok {
-		return 0, fail.New(fail.NotFound, "no tenant %q", tenant)
+		return 0, apierror.New(apierror.NotFound, "no tenant %q", tenant)
 	}
 	return t.Born, nil
 }
@@ -133,7 +133,7 @@
 			if r.State == "leaving" && r.Address == "" {
 				var before config.Replica
 				if now[r.Name] == nil || json.Unmarshal(now[r.Name], &before) != nil {
-					return nil, fail.New(fail.NotFound, "no replica %q", r.Name)
+					return nil, apierror.New(apierror.NotFound, "no replica %q", r.Name)
 				}
 				r = before
 				r.State = "leaving"
@@ -154,7 +154,7 @@
 
 func (c *Core) mergeHold(n hold.Notice) (created bool, err error) {
 	if n.Scope == "" || n.ID == "" {
-		return false, fail.New(fail.Missing, "a hold needs a scope and a mark")
+		return false, apierror.New(apierror.Missing, "a hold needs a scope and a mark")
 	}
 	return c.table.Merge(n, hold.Longest), nil
 }
--- a/daemon/outside.go
+++ b/daemon/outside.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/link"
 	"asterridge/router"
 )
@@ -25,38 +25,38 @@
 	address := "http://" + r.Address + dialect.ReportPath() + "?run=" + last.Run + "&from=" + strconv.FormatUint(last.Number, 10)
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return body, fail.Wrap(err, fail.Settings, "replica address")
+		return body, apierror.Wrap(err, apierror.Settings, "replica address")
 	}
 	answer, err := client.Do(q)
 	if err != nil {
-		return body, fail.Wrap(err, fail.Unreachable, "report")
+		return body, apierror.Wrap(err, apierror.Unreachable, "report")
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		return body, fail.New(fail.Unreachable, "report: %s", answer.Status)
+		return body, apierror.New(apierror.Unreachable, "report: %s", answer.Status)
 	}
-	return body, fail.Wrap(json.NewDecoder(answer.Body).Decode(&body), fail.Malformed, "report")
+	return body, apierror.Wrap(json.NewDecoder(answer.Body).Decode(&body), apierror.Malformed, "report")
 }
 
 // postJSON sends a small order to a replica.
 func postJSON(ctx context.Context, client *http.Client, address string, order any) error {
 	raw, err := json.Marshal(order)
 	if err != nil {
-		return fail.Wrap(err, fail.Internal, "encode order")
+		return apierror.Wrap(err, apierror.Internal, "encode order")
 	}
 	short, stop := context.WithTimeout(ctx, reportLimit)
 	defer stop()
 	q, err := http.NewRequestWithContext(short, http.MethodPost, "http://"+address, bytes.NewReader(raw))
 	if err != nil {
-		return fail.Wrap(err, fail.Settings, "replica address")
+		return apierror.Wrap(err, apierror.Settings, "replica address")
 	}
 	answer, err := client.Do(q)
 	if err != nil {
-		return fail.Wrap(err, fail.Unreachable, "order")
+		return apierror.Wrap(err, apierror.Unreachable, "order")
 	}
 	_ = answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		return fail.New(fail.Unreachable, "order: %s", answer.Status)
+		return apierror.New(apierror.Unreachable, "order: %s", answer.Status)
 	}
 	return nil
 }
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
@@ -121,7 +121,7 @@
 			a.Rows = append(a.Rows, rows...)
 		}
 	default:
-		return a, fail.New(fail.NotFound, "no query %q", q.What)
+		return a, apierror.New(apierror.NotFound, "no query %q", q.What)
 	}
 	a.Rows = filter(a.Rows, q.Where)
 	return a, nil
--- a/daemon/retire.go
+++ b/daemon/retire.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
@@ -55,7 +55,7 @@
 			}
 			t = t.With(config.Undoing, "", config.Move{Since: c.wall()})
 		default:
-			return nil, fail.New(fail.OutOfRange, "%q is neither retire nor undo", o.Do)
+			return nil, apierror.New(apierror.OutOfRange, "%q is neither retire nor undo", o.Do)
 		}
 		return config.Field(t.Old, t), nil
 	})
@@ -66,14 +66,14 @@
 // mayRetire checks a retirement before anything is moved.
 func mayRetire(plan *config.Config, all config.Retirements, o RetirementOrder) error {
 	if o.Old == "" || o.New == "" || o.Old == o.New {
-		return fail.New(fail.Missing, "a retirement needs an old model and another one in its place")
+		return apierror.New(apierror.Missing, "a retirement needs an old model and another one in its place")
 	}
 	if t, crossed := all.Crossing(o.Old, o.New); crossed {
-		return fail.New(fail.Crossed, "retirement %d of %s for %s is %s", t.Number, t.Old, t.New, t.Phase)
+		return apierror.New(apierror.Crossed, "retirement %d of %s for %s is %s", t.Number, t.Old, t.New, t.Phase)
 	}
 	for _, model := range []string{o.Old, o.New} {
 		if t, gone := all[model]; gone {
-			return fail.New(fail.Crossed, "%s was retired for %s", model, t.New)
+			return apierror.New(apierror.Crossed, "%s was retired for %s", model, t.New)
 		}
 	}
 	var lacking []string
@@ -85,9 +85,9 @@
 	}
 	switch {
 	case len(moved) == 0:
-		return fail.New(fail.NotFound, "no adapter is on %s", o.Old)
+		return apierror.New(apierror.NotFound, "no adapter is on %s", o.Old)
 	case len(lacking) > 0:
-		return fail.New(fail.NoBuild, "no build for %s: %s", o.New, strings.Join(lacking, ", "))
+		return apierror.New(apierror.NoBuild, "no build for %s: %s", o.New, strings.Join(lacking, ", "))
 	}
 	return nil
 }
@@ -112,13 +112,13 @@
 	}
 	switch {
 	case len(found) == 0 && old == "" && len(all) > 0:
-		return config.Retirement{}, fail.New(fail.PastUndo, "every retirement is carried out")
+		return config.Retirement{}, apierror.New(apierror.PastUndo, "every retirement is carried out")
 	case len(found) == 0:
-		return config.Retirement{}, fail.New(fail.NotFound, "no retirement runs")
+		return config.Retirement{}, apierror.New(apierror.NotFound, "no retirement runs")
 	case len(found) > 1:
-		return config.Retirement{}, fail.New(fail.Missing, "%d retirements run: say of which model", len(found))
+		return config.Retirement{}, apierror.New(apierror.Missing, "%d retirements run: say of which model", len(found))
 	case found[0].IsPast():
-		return found[0], fail.New(fail.PastUndo, "%s is %s since %s", found[0].Old, found[0].Phase, found[0].Since.UTC().Format(time.RFC3339))
+		return found[0], apierror.New(apierror.PastUndo, "%s is %s since %s", found[0].Old, found[0].Phase, found[0].Since.UTC().Format(time.RFC3339))
 	}
 	return found[0], nil
 }
@@ -139,9 +139,9 @@
 		case err != nil:
 			return nil, err
 		case o.Duty.Lease < duty.Lease:
-			return nil, fail.New(fail.Superseded, "lease %d of %s has taken this up, yours is %d", duty.Lease, duty.Holder, o.Duty.Lease)
+			return nil, apierror.New(apierror.Superseded, "lease %d of %s has taken this up, yours is %d", duty.Lease, duty.Holder, o.Duty.Lease)
 		case o.Expect != version:
-			return nil, fail.New(fail.Conflict, "expected version %d, present is %d", o.Expect, version)
+			return nil, apierror.New(apierror.Conflict, "expected version %d, present is %d", o.Expect, version)
 		}
 		change := config.Field(config.DutyField, o.Duty)
 		if _, ok := all[o.Old]; ok {
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -17,7 +17,7 @@
 	"github.com/go-faster/jx"
 	"github.com/rs/zerolog"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/link"
 )
 
@@ -86,7 +86,7 @@
 }
 
 func bad(name, format string, args ...any) error {
-	f := fail.New(fail.Settings, format, args...)
+	f := apierror.New(apierror.Settings, format, args...)
 	f.Field = name
 	return f
 }
@@ -115,7 +115,7 @@
 		return err
 	}
 	if err != nil {
-		return fail.Wrap(err, fail.Settings, "flags")
+		return apierror.Wrap(err, apierror.Settings, "flags")
 	}
 	if s.set.NArg() > 0 {
 		return bad(s.set.Arg(0), "is no flag")
@@ -206,7 +206,7 @@
 		}
 		return nil
 	})
-	return fail.Wrap(err, fail.Settings, filepath.Base(*s.file))
+	return apierror.Wrap(err, apierror.Settings, filepath.Base(*s.file))
 }
 
 // Logger writes one key=value line an event.
--- a/daemon/twice_test.go
+++ b/daemon/twice_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 	"asterridge/router"
 )
@@ -22,7 +22,7 @@
 		fields.Apply(change)
 		word := "yes"
 		if err != nil {
-			word = fail.Of(err).Code.Name
+			word = apierror.Of(err).Code.Name
 		}
 		answers = append(answers, word)
 	}
--- a/disk/disk.go
+++ b/disk/disk.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"hash/crc32"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 // Disk is a flat set of folders with files. When Put returns nil, the file and all names of its folder survive a loss of power. When it
@@ -33,16 +33,16 @@
 func Open(sealed []byte) ([]byte, error) {
 	end := bytes.IndexByte(sealed, '\n')
 	if end < 0 {
-		return nil, fail.New(fail.Torn, "no first line")
+		return nil, apierror.New(apierror.Torn, "no first line")
 	}
 	var sum uint32
 	var size int
 	if _, err := fmt.Sscanf(string(sealed[:end]), "asterridge1 %x %d", &sum, &size); err != nil {
-		return nil, fail.New(fail.Torn, "foreign first line")
+		return nil, apierror.New(apierror.Torn, "foreign first line")
 	}
 	data := sealed[end+1:]
 	if len(data) != size || crc32.Checksum(data, castagnoli) != sum {
-		return nil, fail.New(fail.Torn, "checksum does not fit")
+		return nil, apierror.New(apierror.Torn, "checksum does not fit")
 	}
 	return data, nil
 }
--- a/disk/disk_test.go
+++ b/disk/disk_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 func TestFolderKeepsSealedFilesAndNamesTornOnes(t *testing.T) {
@@ -23,13 +23,13 @@
 	is.NoErr(err)
 	is.Equal(len(got), 0)
 	_, err = d.Get("k", "v.2")
-	is.True(fail.Is(err, fail.NotFound))
+	is.True(apierror.Is(err, apierror.NotFound))
 	path := filepath.Join(d.Root, "k", "v.3")
 	sealed := Seal([]byte(`{"a":1}`))
 	for _, torn := range [][]byte{nil, sealed[:5], sealed[:len(sealed)-1], append([]byte("other"), sealed...), append(sealed[:len(sealed)-1:len(sealed)-1], '?')} {
 		is.NoErr(os.WriteFile(path, torn, 0o644))
 		_, err = d.Get("k", "v.3")
-		is.True(fail.Is(err, fail.Torn))
+		is.True(apierror.Is(err, apierror.Torn))
 	}
 	is.NoErr(os.WriteFile(filepath.Join(d.Root, "k", ".aside-7"), sealed, 0o644))
 	names, err := d.List("k")
@@ -40,5 +40,5 @@
 	is.Equal(folders, []string{"k"})
 	is.NoErr(os.RemoveAll(d.Root))
 	is.NoErr(os.WriteFile(d.Root, nil, 0o644)) // no folder any more: every write fails, none is a false yes
-	is.True(fail.Is(d.Put("k", "v.1", nil), fail.DiskFailed))
+	is.True(apierror.Is(d.Put("k", "v.1", nil), apierror.DiskFailed))
 }
--- a/disk/folder.go
+++ b/disk/folder.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"sync"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 const tempPrefix = ".aside-"
@@ -27,11 +27,11 @@
 func NewFolderOn(files Files, root string) (*Folder, error) {
 	d := &Folder{Root: root, files: files, durable: map[string]bool{}}
 	if err := files.MkdirAll(root); err != nil {
-		return nil, fail.Wrap(err, fail.DiskFailed, "make data folder")
+		return nil, apierror.Wrap(err, apierror.DiskFailed, "make data folder")
 	}
 	entries, err := files.ReadDir(root)
 	if err != nil {
-		return nil, fail.Wrap(err, fail.DiskFailed, "list data folder")
+		return nil, apierror.Wrap(err, apierror.DiskFailed, "list data folder")
 	}
 	// A process before this one may have made folders and died before they were synced.
 	for _, path := range []string{root, filepath.Dir(root)} {
@@ -53,7 +53,7 @@
 	path := filepath.Join(d.Root, folder)
 	temp, err := d.files.CreateTemp(path, tempPrefix)
 	if err != nil {
-		return fail.Wrap(err, fail.DiskFailed, "create file")
+		return apierror.Wrap(err, apierror.DiskFailed, "create file")
 	}
 	_, err = temp.Write(Seal(data))
 	if err == nil {
@@ -67,7 +67,7 @@
 	}
 	if err != nil {
 		_ = d.files.Remove(temp.Name()) // else the next process does it
-		return fail.Wrap(err, fail.DiskFailed, "write "+name)
+		return apierror.Wrap(err, apierror.DiskFailed, "write "+name)
 	}
 	return d.syncDir(path)
 }
@@ -81,7 +81,7 @@
 		return nil
 	}
 	if err := d.files.MkdirAll(filepath.Join(d.Root, folder)); err != nil {
-		return fail.Wrap(err, fail.DiskFailed, "make folder")
+		return apierror.Wrap(err, apierror.DiskFailed, "make folder")
 	}
 	if err := d.syncDir(d.Root); err != nil {
 		return err
@@ -93,7 +93,7 @@
 }
 
 func (d *Folder) syncDir(path string) error {
-	return fail.Wrap(d.files.SyncDir(path), fail.DiskFailed, "sync folder")
+	return apierror.Wrap(d.files.SyncDir(path), apierror.DiskFailed, "sync folder")
 }
 
 // Sync syncs a folder's names.
@@ -103,10 +103,10 @@
 func (d *Folder) Get(folder, name string) ([]byte, error) {
 	sealed, err := d.files.ReadFile(filepath.Join(d.Root, folder, name))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fail.New(fail.NotFound, "no file %s/%s", folder, name)
+		return nil, apierror.New(apierror.NotFound, "no file %s/%s", folder, name)
 	}
 	if err != nil {
-		return nil, fail.Wrap(err, fail.DiskFailed, "read "+name)
+		return nil, apierror.Wrap(err, apierror.DiskFailed, "read "+name)
 	}
 	return Open(sealed)
 }
@@ -118,7 +118,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fail.Wrap(err, fail.DiskFailed, "list folder")
+		return nil, apierror.Wrap(err, apierror.DiskFailed, "list folder")
 	}
 	var names []string
 	for _, entry := range entries {
@@ -140,5 +140,5 @@
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
 	}
-	return fail.Wrap(err, fail.DiskFailed, "drop "+name)
+	return apierror.Wrap(err, apierror.DiskFailed, "drop "+name)
 }
--- a/history/config.go
+++ b/history/config.go
@@ -3,8 +3,8 @@
 import (
 	"strings"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 )
 
 // Of gives a declaration as the checker sees it: its items are the texts that a read shows.
@@ -30,9 +30,9 @@
 	switch {
 	case err == nil:
 		return Acknowledged
-	case fail.Is(err, fail.Conflict), fail.Is(err, fail.OutOfRange):
+	case apierror.Is(err, apierror.Conflict), apierror.Is(err, apierror.OutOfRange):
 		return Refused
-	case fail.Of(err).Code.Ran == fail.NotRun:
+	case apierror.Of(err).Code.Ran == apierror.NotRun:
 		return Rejected
 	}
 	return Unclear
--- a/lease/grant.go
+++ b/lease/grant.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 )
 
@@ -32,13 +32,13 @@
 func (g Grant) Over(met Grant) register.Op {
 	return func(now register.Fields, version uint64) (register.Fields, error) {
 		if present := ReadGrant(now, version); present.Version != met.Version || present.Nonce != met.Nonce {
-			return nil, fail.New(fail.Conflict, "expected version %d of %s, present is %d of %s", met.Version, met.Holder, version, present.Holder)
+			return nil, apierror.New(apierror.Conflict, "expected version %d of %s, present is %d of %s", met.Version, met.Holder, version, present.Holder)
 		}
 		holder, err := json.Marshal(g.Holder)
 		if err != nil {
-			return nil, fail.Wrap(err, fail.Internal, "holder")
+			return nil, apierror.Wrap(err, apierror.Internal, "holder")
 		}
 		nonce, err := json.Marshal(g.Nonce)
-		return register.Fields{holderField: holder, nonceField: nonce}, fail.Wrap(err, fail.Internal, "mark")
+		return register.Fields{holderField: holder, nonceField: nonce}, apierror.Wrap(err, apierror.Internal, "mark")
 	}
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 	"github.com/rs/zerolog"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 )
 
@@ -120,7 +120,7 @@
 		is.True(step(2 * time.Millisecond))
 
 		_, err := lost.Over(stands)(register.Fields{"holder": []byte(`"a"`), "mark": []byte(`"lost"`)}, 7)
-		is.True(fail.Is(err, fail.Conflict))
+		is.True(apierror.Is(err, apierror.Conflict))
 		_, err = lost.Over(stands)(register.Fields{"holder": []byte(`"b"`), "mark": []byte(`"stands"`)}, 7)
 		is.NoErr(err)
 	})
--- a/link/follower.go
+++ b/link/follower.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 )
 
@@ -91,7 +91,7 @@
 	f.mu.Lock()
 	f.failure = err
 	if err != nil {
-		if fail.Is(err, fail.Unreachable) && ctx.Err() != nil {
+		if apierror.Is(err, apierror.Unreachable) && ctx.Err() != nil {
 			f.Options.Wire.Client.CloseIdleConnections()
 		}
 		f.mu.Unlock()
--- a/link/wire.go
+++ b/link/wire.go
@@ -16,7 +16,7 @@
 	kithttp "github.com/go-kit/kit/transport/http"
 	"golang.org/x/sys/unix"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 // Net is what a daemon needs of the network; the simulator has its own.
@@ -53,16 +53,16 @@
 func control(c net.Conn, level, option, value int) error {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
-		return fail.Wrap(err, fail.Internal, "socket")
+		return apierror.Wrap(err, apierror.Internal, "socket")
 	}
 	failed := raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), level, option, value) })
-	return fail.Wrap(errors.Join(failed, err), fail.Internal, "socket option")
+	return apierror.Wrap(errors.Join(failed, err), apierror.Internal, "socket option")
 }
 
 // Listen opens a TCP port.
 func (*TCP) Listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
-	return l, fail.Wrap(err, fail.Settings, "listen on "+address)
+	return l, apierror.Wrap(err, apierror.Settings, "listen on "+address)
 }
 
 // Bound limits how long the kernel tries to deliver what it has taken, and how much it takes. Connections that are no sockets of this
@@ -74,10 +74,10 @@
 	}
 	socket, isSocket := c.(*net.TCPConn)
 	if !isSocket {
-		return fail.New(fail.Internal, "a connection of type %T", c)
+		return apierror.New(apierror.Internal, "a connection of type %T", c)
 	}
 	if err := socket.SetWriteBuffer(buffer); err != nil {
-		return fail.Wrap(err, fail.Internal, "send buffer")
+		return apierror.Wrap(err, apierror.Internal, "send buffer")
 	}
 	return control(socket, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
 }
@@ -115,21 +115,21 @@
 	decode := func(_ context.Context, r *http.Request) (any, error) {
 		var q Q
 		if said := r.Header.Get(fleetHeader); said != "" && said != fleet {
-			return nil, fail.New(fail.WrongFleet, "fleet %q is not ours", said)
+			return nil, apierror.New(apierror.WrongFleet, "fleet %q is not ours", said)
 		}
 		if said := r.Header.Get(versionHeader); said != "" && said != version {
-			return nil, fail.New(fail.OtherVersion, "messages of version %q, ours are %s", said, version)
+			return nil, apierror.New(apierror.OtherVersion, "messages of version %q, ours are %s", said, version)
 		}
 		raw, err := io.ReadAll(io.LimitReader(r.Body, maxMessage+1))
 		if err != nil {
-			return nil, fail.Wrap(err, fail.Malformed, "read body")
+			return nil, apierror.Wrap(err, apierror.Malformed, "read body")
 		}
 		if len(raw) > maxMessage {
-			return nil, fail.New(fail.Oversize, "message over %d bytes", maxMessage)
+			return nil, apierror.New(apierror.Oversize, "message over %d bytes", maxMessage)
 		}
 		if len(raw) > 0 {
 			if err := json.Unmarshal(raw, &q); err != nil {
-				return nil, fail.Wrap(err, fail.Malformed, "read message")
+				return nil, apierror.Wrap(err, apierror.Malformed, "read message")
 			}
 		}
 		return q, nil
@@ -141,7 +141,7 @@
 func encodeAnswer(_ context.Context, w http.ResponseWriter, answer any) error {
 	raw, err := json.Marshal(answer)
 	if err != nil {
-		return fail.Wrap(err, fail.Internal, "encode answer")
+		return apierror.Wrap(err, apierror.Internal, "encode answer")
 	}
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	_, _ = w.Write(raw)
@@ -159,13 +159,13 @@
 
 // EncodeError writes an error as its code's status and body.
 func EncodeError(_ context.Context, err error, w http.ResponseWriter) {
-	f := fail.Of(err)
+	f := apierror.Of(err)
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	if f.Again > 0 && w.Header().Get("Retry-After") == "" {
 		w.Header().Set("Retry-After", RetryAfter(f.Again))
 	}
 	w.WriteHeader(f.Code.Status)
-	_ = json.NewEncoder(w).Encode(fail.ToBody(err))
+	_ = json.NewEncoder(w).Encode(apierror.ToBody(err))
 }
 
 // Call asks another daemon and reads its answer.
@@ -173,12 +173,12 @@
 	var none A
 	target, err := url.Parse("http://" + address + path)
 	if err != nil {
-		return none, fail.Wrap(err, fail.Settings, "address")
+		return none, apierror.Wrap(err, apierror.Settings, "address")
 	}
 	encode := func(_ context.Context, r *http.Request, q any) error {
 		raw, err := json.Marshal(q)
 		if err != nil {
-			return fail.Wrap(err, fail.Internal, "encode message")
+			return apierror.Wrap(err, apierror.Internal, "encode message")
 		}
 		r.Header.Set(fleetHeader, wire.Fleet)
 		r.Header.Set(versionHeader, version)
@@ -189,25 +189,25 @@
 	decode := func(_ context.Context, r *http.Response) (any, error) {
 		var a A
 		if r.StatusCode != http.StatusOK {
-			var body fail.Body
+			var body apierror.Body
 			if err := json.NewDecoder(io.LimitReader(r.Body, 1<<16)).Decode(&body); err != nil {
-				return nil, fail.New(fail.Unreachable, "%s answered %s", address, r.Status)
+				return nil, apierror.New(apierror.Unreachable, "%s answered %s", address, r.Status)
 			}
-			return nil, fail.FromBody(body, r.StatusCode)
+			return nil, apierror.FromBody(body, r.StatusCode)
 		}
 		if err := json.NewDecoder(r.Body).Decode(&a); err != nil {
-			return nil, fail.Wrap(err, fail.Unreachable, "read answer")
+			return nil, apierror.Wrap(err, apierror.Unreachable, "read answer")
 		}
 		return a, nil
 	}
 	ask := kithttp.NewClient(http.MethodPost, target, encode, decode, kithttp.SetClient(wire.Client)).Endpoint()
 	answer, err := ask(ctx, q)
 	if err != nil {
-		var known *fail.Error
+		var known *apierror.Error
 		if errors.As(err, &known) {
 			return none, err
 		}
-		return none, fail.Wrap(err, fail.Unreachable, "call "+address+path)
+		return none, apierror.Wrap(err, apierror.Unreachable, "call "+address+path)
 	}
 	return answer.(A), nil
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 // Item is a waiting request. Place is set on first entry and kept when it comes again.
@@ -111,7 +111,7 @@
 	again := item.place != 0
 	if !again {
 		if waiting := len(f.items); waiting >= item.Limit {
-			full := fail.New(fail.QueueFull, "%d requests wait", waiting)
+			full := apierror.New(apierror.QueueFull, "%d requests wait", waiting)
 			full.Again = f.drain(waiting, b.options.HeldUntil(item.Scope))
 			b.mu.Unlock()
 			return none, full
@@ -139,15 +139,15 @@
 		}
 		b.options.Return(credit)
 		b.pump(item.Pool)
-		return none, fail.Wrap(ctx.Err(), fail.Stale, "left in the moment of its turn")
+		return none, apierror.Wrap(ctx.Err(), apierror.Stale, "left in the moment of its turn")
 	}
 	if item.heldFor > 0 {
-		f := fail.New(fail.Held, "%s is held for longer than the request may wait", item.Scope)
+		f := apierror.New(apierror.Held, "%s is held for longer than the request may wait", item.Scope)
 		f.Again, item.heldFor = item.heldFor, 0
 		return none, f
 	}
 	b.remove(item)
-	return none, fail.Wrap(ctx.Err(), fail.Stale, "waited in the backlog")
+	return none, apierror.Wrap(ctx.Err(), apierror.Stale, "waited in the backlog")
 }
 
 func (b *Queue[G]) flow(item *Item) *flow {
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 // desk has a number of credits, and counts how often it is asked.
@@ -107,7 +107,7 @@
 				short, stop := context.WithTimeout(t.Context(), time.Minute)
 				defer stop()
 				_, err := b.Take(short, it)
-				is.True(fail.Is(err, fail.Stale))
+				is.True(apierror.Is(err, apierror.Stale))
 			}()
 		}
 		synctest.Wait()
@@ -120,7 +120,7 @@
 		full := item(1, 1, 1, "")
 		full.Limit = 3
 		_, err := b.Take(t.Context(), full)
-		is.True(fail.Is(err, fail.QueueFull))
+		is.True(apierror.Is(err, apierror.QueueFull))
 		is.Equal(time.Since(began), time.Duration(0))
 		time.Sleep(2 * time.Minute)
 		is.Equal(asked(), before) // nobody asked for a credit in all that time
@@ -186,9 +186,9 @@
 					is.NoErr(err)
 					return
 				}
-				is.True(fail.Is(err, fail.Held))
+				is.True(apierror.Is(err, apierror.Held))
 				is.Equal(time.Since(began), time.Second) // when the hold grew, not at the deadline
-				is.Equal(fail.Of(err).Again, 9*time.Second)
+				is.Equal(apierror.Of(err).Again, 9*time.Second)
 			})
 		}
 		time.Sleep(time.Second)
@@ -224,8 +224,8 @@
 		}
 		full := func() time.Duration {
 			_, err := b.Take(ctx, &Item{Weight: 1, Limit: 40, Cost: 1})
-			is.True(fail.Is(err, fail.QueueFull))
-			return fail.Of(err).Again.Round(time.Second)
+			is.True(apierror.Is(err, apierror.QueueFull))
+			return apierror.Of(err).Again.Round(time.Second)
 		}
 		is.Equal(full(), 20*time.Second) // 40 wait, two go in a second
 		heldUntil = time.Now().Add(30 * time.Second)
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/disk"
-	"asterridge/fail"
 )
 
 const (
@@ -60,7 +60,7 @@
 	case e.writeLock <- struct{}{}:
 		return nil
 	case <-timer.C:
-		return fail.New(fail.DiskFailed, "an earlier write stalls")
+		return apierror.New(apierror.DiskFailed, "an earlier write stalls")
 	}
 }
 
@@ -179,7 +179,7 @@
 	}
 	defer e.unlockWrites()
 	if e.isDamaged() {
-		return Record{}, fail.New(fail.Torn, "what was accepted for %s is lost here until it is caught up", key)
+		return Record{}, apierror.New(apierror.Torn, "what was accepted for %s is lost here until it is caught up", key)
 	}
 	now := e.read()
 	if epoch <= now.Promised {
@@ -205,7 +205,7 @@
 func (k *Acceptor) Confirm(key string, epoch uint64) error {
 	e := k.entry(key)
 	if e.isDamaged() {
-		return fail.New(fail.Torn, "what was accepted for %s is lost here until it is caught up", key)
+		return apierror.New(apierror.Torn, "what was accepted for %s is lost here until it is caught up", key)
 	}
 	if now := e.read(); epoch < now.Promised {
 		return superseded(epoch, now)
@@ -215,7 +215,7 @@
 
 // superseded tells the asker, in At, which epoch it has to exceed.
 func superseded(epoch uint64, now Record) error {
-	f := fail.New(fail.Superseded, "epoch %d, promised %d", epoch, now.Promised)
+	f := apierror.New(apierror.Superseded, "epoch %d, promised %d", epoch, now.Promised)
 	f.At = int(now.Promised)
 	return f
 }
@@ -236,7 +236,7 @@
 	case !now.Revision.Less(change.Next):
 		return superseded(change.Next.Epoch, now)
 	case !change.Full && (change.Base != now.Revision || e.isDamaged()):
-		return fail.New(fail.Behind, "has %v, base %v", now.Revision, change.Base)
+		return apierror.New(apierror.Behind, "has %v, base %v", now.Revision, change.Base)
 	}
 	return k.store(e, change)
 }
@@ -265,7 +265,7 @@
 	}
 	data, err := json.Marshal(written)
 	if err != nil {
-		return fail.Wrap(err, fail.Internal, "encode change")
+		return apierror.Wrap(err, apierror.Internal, "encode change")
 	}
 	folder := folderOf(change.Key)
 	if err := k.put(e, folder, nameOf(change.Next), data); err != nil {
--- a/register/acceptor_test.go
+++ b/register/acceptor_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 	"asterridge/sim"
 )
@@ -42,14 +42,14 @@
 	is.Equal(record.Promised, uint64(514)) // the promise stands
 	is.True(k.IsDamaged())
 	_, err = k.Promise("a/b c", 771, register.Revision{}) // it does not know what it said yes to: no vote
-	is.True(fail.Is(err, fail.Torn))
+	is.True(apierror.Is(err, apierror.Torn))
 	err = k.Accept(register.Change{Key: "a/b c", Base: record.Revision, Next: register.Revision{Epoch: 257, Version: 5}})
-	is.True(fail.Is(err, fail.Superseded))
+	is.True(apierror.Is(err, apierror.Superseded))
 	err = k.Accept(register.Change{Key: "a/b c", Base: base, Next: register.Revision{Epoch: 514, Version: 5}})
-	is.True(fail.Is(err, fail.Behind))
+	is.True(apierror.Is(err, apierror.Behind))
 	d.Fill(true)
 	full := register.Change{Key: "a/b c", Next: register.Revision{Epoch: 514, Version: 5}, Full: true, Fields: register.Fields{"x": []byte(`1`)}}
-	is.True(fail.Is(k.Accept(full), fail.DiskFailed))
+	is.True(apierror.Is(k.Accept(full), apierror.DiskFailed))
 	is.Equal(k.Revision("a/b c"), record.Revision) // no false yes
 	d.Fill(false)
 	is.NoErr(k.Accept(full))
--- a/register/confirm_test.go
+++ b/register/confirm_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 	"asterridge/sim"
 )
@@ -91,7 +91,7 @@
 		l.cluster.mu.Unlock()
 		if cut {
 			<-ctx.Done()
-			return fail.New(fail.Unreachable, "lost from %d to %d", from, to)
+			return apierror.New(apierror.Unreachable, "lost from %d to %d", from, to)
 		}
 		time.Sleep(time.Millisecond)
 		return nil
@@ -134,7 +134,7 @@
 		case present == number:
 			return nil, nil
 		case present != basedOn:
-			return nil, fail.New(fail.Conflict, "built on %d, present is %d", basedOn, present)
+			return nil, apierror.New(apierror.Conflict, "built on %d, present is %d", basedOn, present)
 		}
 		return register.Fields{"number": json.RawMessage(fmt.Sprint(number))}, nil
 	}
@@ -157,16 +157,16 @@
 					number = 1
 				} else {
 					_, err := c.owners[0].Change(ctx, "k", raise(7, 8)) // it takes the key, and refuses this one
-					is.True(fail.Is(err, fail.Conflict))
+					is.True(apierror.Is(err, apierror.Conflict))
 				}
 				c.isolate(0, cut[0], cut[1])
 				_, err := c.owners[1].Change(ctx, "k", raise(number, 5))
 				is.NoErr(err)
 				for since := time.Now(); time.Since(since) < 20*time.Second; time.Sleep(time.Second) {
 					_, err = c.owners[0].Change(ctx, "k", raise(5, 6)) // built on what stands
-					is.True(!fail.Is(err, fail.Conflict) && err != nil)
+					is.True(!apierror.Is(err, apierror.Conflict) && err != nil)
 					_, err = c.owners[0].Change(ctx, "k", raise(0, number)) // a yes without a write, if it were asked of memory
-					is.True(!fail.Is(err, fail.Conflict) && err != nil)
+					is.True(!apierror.Is(err, apierror.Conflict) && err != nil)
 					_, err = c.owners[0].Settle(ctx, "k", false)
 					is.True(err != nil)
 					_, err = c.owners[0].Settle(ctx, "k", true)
@@ -174,7 +174,7 @@
 				}
 				c.isolate(0, false, false)
 				_, err = c.owners[0].Change(ctx, "k", raise(number, 9))
-				is.True(fail.Is(err, fail.Conflict)) // another one stands
+				is.True(apierror.Is(err, apierror.Conflict)) // another one stands
 				_, err = c.owners[0].Change(ctx, "k", raise(number, 5))
 				is.NoErr(err) // this one does
 				_, err = c.owners[0].Change(ctx, "k", raise(5, 6))
@@ -231,7 +231,7 @@
 		all.Wait()
 		is.True(errs[1] != nil)
 		is.True(errs[2] != nil)
-		is.True(!fail.Is(errs[2], fail.Conflict))
+		is.True(!apierror.Is(errs[2], apierror.Conflict))
 	})
 }
 
@@ -254,7 +254,7 @@
 		for range 50 {
 			all.Go(func() {
 				_, err := c.owners[0].Change(ctx, "k", raise(0, 9))
-				is.True(fail.Is(err, fail.Conflict))
+				is.True(apierror.Is(err, apierror.Conflict))
 				_, err = c.owners[0].Settle(ctx, "k", false)
 				is.NoErr(err)
 			})
--- a/register/load.go
+++ b/register/load.go
@@ -6,8 +6,8 @@
 	"net/url"
 	"slices"
 
+	"asterridge/apierror"
 	"asterridge/disk"
-	"asterridge/fail"
 )
 
 // folderOf is a key's folder.
@@ -53,7 +53,7 @@
 		if chain = chainTo(content.changes, revision); chain != nil {
 			break
 		}
-		note(folder, nameOf(revision), fail.New(fail.Torn, "its base is not there"))
+		note(folder, nameOf(revision), apierror.New(apierror.Torn, "its base is not there"))
 		content.torn = append(content.torn, revision)
 	}
 	for _, change := range chain {
@@ -100,10 +100,10 @@
 		return change, err
 	}
 	if err := json.Unmarshal(data, &change); err != nil {
-		return change, fail.Wrap(err, fail.Torn, "decode change")
+		return change, apierror.Wrap(err, apierror.Torn, "decode change")
 	}
 	if name != nameOf(change.Next) {
-		return change, fail.New(fail.Torn, "name and content differ")
+		return change, apierror.New(apierror.Torn, "name and content differ")
 	}
 	return change, nil
 }
--- a/register/model_test.go
+++ b/register/model_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/history"
 	"asterridge/register"
 	"asterridge/sim"
@@ -90,7 +90,7 @@
 
 func (a answered) String() string {
 	if a.err != nil {
-		return fmt.Sprint(fail.Of(a.err).Code.Name, fail.Of(a.err).At)
+		return fmt.Sprint(apierror.Of(a.err).Code.Name, apierror.Of(a.err).At)
 	}
 	if record, isRecord := a.value.(register.Record); isRecord {
 		return fmt.Sprint(describe(record), len(record.Fields))
--- a/register/orders_test.go
+++ b/register/orders_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/register"
 	"asterridge/sim"
 )
@@ -43,7 +43,7 @@
 	switch {
 	case err == nil:
 		verdict = "accepted"
-	case fail.Is(err, fail.Conflict), fail.Is(err, fail.OutOfRange):
+	case apierror.Is(err, apierror.Conflict), apierror.Is(err, apierror.OutOfRange):
 		verdict = "refused"
 	}
 	if w.isLost() {
--- a/register/owner.go
+++ b/register/owner.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 // Peer is an acceptor elsewhere, or this core's own.
@@ -97,7 +97,7 @@
 	case r := <-p.result:
 		return r.revision, r.err
 	case <-ctx.Done():
-		return Revision{}, fail.Wrap(ctx.Err(), fail.Undecided, "change "+key)
+		return Revision{}, apierror.Wrap(ctx.Err(), apierror.Undecided, "change "+key)
 	}
 }
 
@@ -135,13 +135,13 @@
 	e := k.evaluate(batch)
 	if !e.touched && !taken {
 		err := o.confirm(ctx, membership, key, k)
-		if fail.Is(err, fail.Superseded) { // another owner may have changed the key: what was answered here is void, and nothing was written
+		if apierror.Is(err, apierror.Superseded) { // another owner may have changed the key: what was answered here is void, and nothing was written
 			if _, err = o.hold(ctx, membership, key, k); err == nil {
 				e = k.evaluate(batch)
 			}
 		}
 		if err != nil {
-			refuseAll(batch, fail.New(fail.Undecided, "not confirmed for %s: %v", key, err))
+			refuseAll(batch, apierror.New(apierror.Undecided, "not confirmed for %s: %v", key, err))
 			return
 		}
 	}
@@ -179,7 +179,7 @@
 			continue
 		}
 		if err := p.ctx.Err(); err != nil { // the caller may have gone to another core, and changed the key since
-			e.refusals[i] = fail.Wrap(err, fail.Undecided, "the caller has gone")
+			e.refusals[i] = apierror.Wrap(err, apierror.Undecided, "the caller has gone")
 			continue
 		}
 		delta, err := p.op(e.working, k.revision.Version)
@@ -205,7 +205,7 @@
 		return false, nil
 	}
 	err = o.take(ctx, membership, key, k)
-	for again := 0; again < 2 && fail.Is(err, fail.Superseded); again++ {
+	for again := 0; again < 2 && apierror.Is(err, apierror.Superseded); again++ {
 		err = o.take(ctx, membership, key, k)
 	}
 	return err == nil, err
@@ -227,8 +227,8 @@
 		case a.err == nil:
 			confirmed++
 			continue
-		case fail.Is(a.err, fail.Superseded):
-			k.seen = max(k.seen, uint64(fail.Of(a.err).At))
+		case apierror.Is(a.err, apierror.Superseded):
+			k.seen = max(k.seen, uint64(apierror.Of(a.err).At))
 			refusal = a.err
 		case refusal == nil:
 			refusal = a.err
@@ -253,8 +253,8 @@
 			break
 		}
 		if a.err != nil {
-			if fail.Is(a.err, fail.Superseded) {
-				k.seen = max(k.seen, uint64(fail.Of(a.err).At))
+			if apierror.Is(a.err, apierror.Superseded) {
+				k.seen = max(k.seen, uint64(apierror.Of(a.err).At))
 				refusal = a.err
 			}
 			continue
@@ -271,7 +271,7 @@
 		if refusal != nil {
 			return refusal
 		}
-		return fail.New(fail.NoMajority, "%d of %d promises for %s", count, membership.majority(), key)
+		return apierror.New(apierror.NoMajority, "%d of %d promises for %s", count, membership.majority(), key)
 	}
 	k.epoch, k.revision, k.fields, k.settled = epoch, best.Revision, best.Fields.Clone(), settled
 	k.shaken = !IsSettled(best.Revision, settled)
@@ -287,7 +287,7 @@
 	delta := Change{Key: key, Base: k.revision, Next: next, Fields: change, Settled: k.settled}
 	ask := func(p Peer) (struct{}, error) {
 		err := p.Accept(ctx, delta)
-		if fail.Is(err, fail.Behind) {
+		if apierror.Is(err, apierror.Behind) {
 			full := delta
 			full.Full, full.Fields = true, content
 			err = p.Accept(ctx, full)
@@ -305,8 +305,8 @@
 		switch {
 		case a.err == nil:
 			count++
-		case fail.Is(a.err, fail.Superseded):
-			k.seen = max(k.seen, uint64(fail.Of(a.err).At))
+		case apierror.Is(a.err, apierror.Superseded):
+			k.seen = max(k.seen, uint64(apierror.Of(a.err).At))
 			refusal = a.err
 		case refusal == nil:
 			refusal = a.err
@@ -314,7 +314,7 @@
 	}
 	if count < membership.majority() {
 		k.epoch = 0
-		return fail.New(fail.Undecided, "%d of %d disks have %s version %d: %v", count, membership.majority(), key, next.Version, refusal)
+		return apierror.New(apierror.Undecided, "%d of %d disks have %s version %d: %v", count, membership.majority(), key, next.Version, refusal)
 	}
 	k.revision, k.fields, k.settled, k.shaken = next, content, next, false
 	o.options.Acceptor.Settle(key, next)
--- a/register/power_test.go
+++ b/register/power_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
+	"asterridge/apierror"
 	"asterridge/disk"
-	"asterridge/fail"
 	"asterridge/register"
 	"asterridge/sim"
 )
@@ -127,7 +127,7 @@
 	}
 	said.offered = change.Next
 	err := r.acceptor.Accept(change)
-	if fail.Is(err, fail.Behind) {
+	if apierror.Is(err, apierror.Behind) {
 		change.Full, change.Fields = true, said.fields.Clone()
 		err = r.acceptor.Accept(change)
 	}
@@ -406,7 +406,7 @@
 			for key, said := range r.keys {
 				lost := r.acceptor.Revision(key).Less(said.known)
 				_, err := r.acceptor.Promise(key, said.epoch+255, register.Revision{})
-				if lost != fail.Is(err, fail.Torn) {
+				if lost != apierror.Is(err, apierror.Torn) {
 					t.Fatalf("after %d steps, with read %d failing, %s of %v: promise %v", end, fault, key, r.acceptor.Revision(key), err)
 				}
 				if err == nil {
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/register"
 	"asterridge/sim"
 )
@@ -96,7 +96,7 @@
 	j int
 }
 
-var errLost = fail.New(fail.Unreachable, "lost")
+var errLost = apierror.New(apierror.Unreachable, "lost")
 
 func over[T any](f flaky, ctx context.Context, do func(*register.Acceptor) (T, error)) (T, error) {
 	var none T
@@ -176,7 +176,7 @@
 						switch {
 						case err == nil:
 							yes[id] = revision.Version
-						case fail.Is(err, fail.NoMajority), fail.Is(err, fail.Superseded):
+						case apierror.Is(err, apierror.NoMajority), apierror.Is(err, apierror.Superseded):
 							no[id] = true
 						}
 						mu.Unlock()
--- a/router/adapter.go
+++ b/router/adapter.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"slices"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/register"
 )
 
@@ -61,7 +61,7 @@
 // mayUse refuses a tenant that may not use the path's adapter.
 func (v *View) mayUse(t *tenant, p *path) error {
 	if a := v.adapters[p.Adapter]; len(a.tenants) > 0 && !slices.Contains(a.tenants, t.Name) {
-		return fail.New(fail.NoAdapter, "adapter %s is not for %s", p.Adapter, t.Name)
+		return apierror.New(apierror.NoAdapter, "adapter %s is not for %s", p.Adapter, t.Name)
 	}
 	return nil
 }
--- a/router/adapter_test.go
+++ b/router/adapter_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/prompt"
 	"asterridge/register"
 )
@@ -69,7 +69,7 @@
 	is.True(fit) // of the other base it said nothing
 
 	is.NoErr(before.mayUse(&tenant{Tenant: plan.Tenants["a"]}, huts))
-	is.True(fail.Is(before.mayUse(&tenant{Tenant: plan.Tenants["b"]}, huts), fail.NoAdapter))
+	is.True(apierror.Is(before.mayUse(&tenant{Tenant: plan.Tenants["b"]}, huts), apierror.NoAdapter))
 	is.NoErr(before.mayUse(&tenant{Tenant: plan.Tenants["b"]}, plain))
 }
 
--- a/router/claim.go
+++ b/router/claim.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/link"
 )
 
@@ -29,17 +29,17 @@
 	case err == nil:
 		x.claimed = true
 		return onward(ctx, x)
-	case fail.Is(err, fail.InProgress), fail.Is(err, fail.KeyUnknown), fail.Is(err, fail.KeyRan):
+	case apierror.Is(err, apierror.InProgress), apierror.Is(err, apierror.KeyUnknown), apierror.Is(err, apierror.KeyRan):
 		return err
 	}
 	x.claimed = true // it may stand: give it back
-	return again(fail.New(fail.NoClaim, "%v", err), time.Second)
+	return again(apierror.New(apierror.NoClaim, "%v", err), time.Second)
 }
 
 // unclaim gives the key back if the request is rejected as not run, or else notes that its outcome is unknown.
 func (r *Router) unclaim(x *Exchange, err error) {
 	state := "free"
-	if fail.Of(err).Code.Ran != fail.NotRun {
+	if apierror.Of(err).Code.Ran != apierror.NotRun {
 		state = "unknown"
 	}
 	r.settleClaim(x, state)
--- a/router/counts.go
+++ b/router/counts.go
@@ -4,7 +4,7 @@
 	"maps"
 	"sync"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 // counts are this router's figures, by name.
@@ -23,7 +23,7 @@
 
 func (c *counts) step(to State) { c.add("state_"+string(to), 1) }
 
-func (c *counts) reject(code fail.Code) { c.add("bounce_"+code.Name, 1) }
+func (c *counts) reject(code apierror.Code) { c.add("bounce_"+code.Name, 1) }
 
 func (c *counts) all() map[string]int64 {
 	c.mu.Lock()
--- a/router/dialect.go
+++ b/router/dialect.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/link"
 	"asterridge/prompt"
 )
@@ -119,13 +119,13 @@
 func (ChatDialect) Open(q *http.Request) (o Opening, err error) {
 	word, bearer := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
 	if !bearer {
-		return o, fail.New(fail.BadKey, "no bearer key")
+		return o, apierror.New(apierror.BadKey, "no bearer key")
 	}
 	o = Opening{Secret: word, Key: q.Header.Get("Idempotency-Key"), Repeat: q.Header.Get("X-Repeatable")}
 	if text := q.Header.Get("X-Deadline-Ms"); text != "" {
 		ms, err := strconv.Atoi(text)
 		if err != nil || ms < 1 {
-			return o, fail.New(fail.OutOfRange, "X-Deadline-Ms %q", text)
+			return o, apierror.New(apierror.OutOfRange, "X-Deadline-Ms %q", text)
 		}
 		o.Wait = time.Duration(ms) * time.Millisecond
 	}
@@ -139,10 +139,10 @@
 	}
 	var b chatBody
 	if err := json.Unmarshal(body, &b); err != nil {
-		return Prompt{}, fail.Wrap(err, fail.Malformed, "read chat body")
+		return Prompt{}, apierror.Wrap(err, apierror.Malformed, "read chat body")
 	}
 	if b.Model == "" || len(b.Messages) == 0 {
-		return Prompt{}, fail.New(fail.Missing, "a chat needs model and messages")
+		return Prompt{}, apierror.New(apierror.Missing, "a chat needs model and messages")
 	}
 	parts := make([]string, 0, 2*len(b.Messages))
 	for _, m := range b.Messages {
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/rs/zerolog"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/link"
 	"asterridge/router"
 )
@@ -19,7 +19,7 @@
 
 func (n nightly) Handle(ctx context.Context, x *router.Exchange, onward func(context.Context, *router.Exchange) error) error {
 	if len(x.Body) > n.most {
-		return fail.New(fail.Oversize, "%d bytes at night, at most %d", len(x.Body), n.most)
+		return apierror.New(apierror.Oversize, "%d bytes at night, at most %d", len(x.Body), n.most)
 	}
 	return onward(ctx, x)
 }
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/prompt"
 	"asterridge/queue"
 )
@@ -165,12 +165,12 @@
 // end closes a request that was not answered.
 func (r *Router) end(x *Exchange, err error) {
 	to := Failed
-	if fail.Is(err, fail.Stale) || fail.Is(err, fail.Held) {
+	if apierror.Is(err, apierror.Stale) || apierror.Is(err, apierror.Held) {
 		to = Stale
 	}
 	if x.State == Submitted {
 		to = Failed
 	}
-	r.counts.reject(fail.Of(err).Code)
+	r.counts.reject(apierror.Of(err).Code)
 	r.step(x, to, err.Error())
 }
--- a/router/filters.go
+++ b/router/filters.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/hold"
 )
 
@@ -54,7 +54,7 @@
 		most = v.limits.HeaderBytes
 	}
 	if size := headerSize(q); size > most {
-		return fail.New(fail.HeaderOversize, "a header of %d bytes, at most %d", size, most)
+		return apierror.New(apierror.HeaderOversize, "a header of %d bytes, at most %d", size, most)
 	}
 	return nil
 }
@@ -75,15 +75,15 @@
 
 func (r *Router) admits() error {
 	if r.stopping.Load() {
-		return again(fail.New(fail.Stopping, "this proxy is stopping"), time.Second)
+		return again(apierror.New(apierror.Stopping, "this proxy is stopping"), time.Second)
 	}
 	if !r.IsCurrent() {
-		return again(fail.New(fail.NotCurrent, "no word from a majority of cores"), time.Second)
+		return again(apierror.New(apierror.NotCurrent, "no word from a majority of cores"), time.Second)
 	}
 	return nil
 }
 
-func again(f *fail.Error, after time.Duration) error {
+func again(f *apierror.Error, after time.Duration) error {
 	f.Again = after
 	return f
 }
@@ -96,15 +96,15 @@
 	}
 	x.Tenant = x.View.tenantOf(x)
 	switch {
-	case x.Tenant != nil && (x.door.failure == nil || x.Tenant == x.View.public && fail.Is(x.door.failure, fail.BadKey)):
+	case x.Tenant != nil && (x.door.failure == nil || x.Tenant == x.View.public && apierror.Is(x.door.failure, apierror.BadKey)):
 		return onward(ctx, x)
 	case x.door.failure != nil:
 		return x.door.failure
 	}
 	if x.Access == noSecret && x.View.find(x.Request.Host, x.Request.URL.Path, x.Prompt.Model) == nil {
-		return fail.New(fail.NoPath, "no path for %s", x.Request.URL.Path)
+		return apierror.New(apierror.NoPath, "no path for %s", x.Request.URL.Path)
 	}
-	return fail.New(fail.BadKey, "unknown or revoked key")
+	return apierror.New(apierror.BadKey, "unknown or revoked key")
 }
 
 var noSecret = config.HashKey("")
@@ -139,11 +139,11 @@
 		most = bound
 	}
 	if len(body) > most {
-		return fail.New(fail.Oversize, "%d bytes, at most %d", len(body), most)
+		return apierror.New(apierror.Oversize, "%d bytes, at most %d", len(body), most)
 	}
 	x.Key = x.door.opening.Key
 	if len(x.Key) > 256 {
-		return fail.New(fail.Oversize, "an idempotency key of %d bytes", len(x.Key))
+		return apierror.New(apierror.Oversize, "an idempotency key of %d bytes", len(x.Key))
 	}
 	wait := time.Duration(x.Path.DeadlineMs) * time.Millisecond
 	if given := x.door.opening.Wait; given > 0 {
@@ -161,11 +161,11 @@
 func (x *Exchange) lead(v *View) error {
 	t := v.tenantOf(x)
 	if t == nil || x.Tenant != nil && (t.Name != x.Tenant.Name || t.Born != x.Tenant.Born) {
-		return fail.New(fail.BadKey, "the key was revoked while the request waited")
+		return apierror.New(apierror.BadKey, "the key was revoked while the request waited")
 	}
 	p := v.find(x.Request.Host, x.Request.URL.Path, x.Prompt.Model)
 	if p == nil {
-		return fail.New(fail.NoPath, "no path for %s and model %q", x.Request.URL.Path, x.Prompt.Model)
+		return apierror.New(apierror.NoPath, "no path for %s and model %q", x.Request.URL.Path, x.Prompt.Model)
 	}
 	if err := v.mayUse(t, p); err != nil {
 		return err
@@ -202,8 +202,8 @@
 	defer stop()
 	r.step(x, Eligible, "")
 	err := r.shoot(waiting, x, onward)
-	if err != nil && x.sent && fail.Of(err).Code.Ran == fail.NotRun {
-		err = fail.New(fail.OutcomeLost, "an earlier attempt was sent; then: %v", err)
+	if err != nil && x.sent && apierror.Of(err).Code.Ran == apierror.NotRun {
+		err = apierror.New(apierror.OutcomeLost, "an earlier attempt was sent; then: %v", err)
 	}
 	if err != nil {
 		r.unclaim(x, err)
@@ -220,7 +220,7 @@
 			return err
 		}
 		if !x.Pool.isStaffed() {
-			return again(fail.New(fail.NoReplica, "pool %s has no replica that stays", x.Pool.Name), time.Second)
+			return again(apierror.New(apierror.NoReplica, "pool %s has no replica that stays", x.Pool.Name), time.Second)
 		}
 		err := onward(ctx, x)
 		if err == nil {
@@ -284,12 +284,12 @@
 	if until.IsZero() || until.Before(x.Deadline) {
 		return nil
 	}
-	return again(fail.New(fail.Held, "%s is held", x.item.Scope), time.Until(until))
+	return again(apierror.New(apierror.Held, "%s is held", x.item.Scope), time.Until(until))
 }
 
 // givenUp is the final answer of a request that has no attempt left; it says when to come back.
 func (r *Router) givenUp(x *Exchange, cause error) error {
-	f := fail.New(fail.SpentAttempts, "%v", cause)
+	f := apierror.New(apierror.SpentAttempts, "%v", cause)
 	if until := r.table.Until(x.item.Scope); !until.IsZero() {
 		f.Again = time.Until(until)
 	} else {
@@ -317,13 +317,13 @@
 	if err != nil {
 		switch {
 		case r.stopping.Load():
-			return again(fail.New(fail.Stopping, "stopped while waiting"), time.Second)
-		case fail.Is(err, fail.Held), fail.Is(err, fail.QueueFull):
+			return again(apierror.New(apierror.Stopping, "stopped while waiting"), time.Second)
+		case apierror.Is(err, apierror.Held), apierror.Is(err, apierror.QueueFull):
 			return err
 		case ctx.Err() == context.Canceled:
-			return fail.New(fail.CallerGone, "left while waiting")
+			return apierror.New(apierror.CallerGone, "left while waiting")
 		}
-		return again(fail.Of(err), time.Second)
+		return again(apierror.Of(err), time.Second)
 	}
 	x.replica, x.weights, x.source, x.sink, x.reading = c.replica, c.weights, c.source, c.sink, c
 	x.placement = c.placement
--- a/router/guard.go
+++ b/router/guard.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/link"
 )
 
@@ -56,7 +56,7 @@
 	}
 	if err := link.Bound(c, ackLimit, sendBuffer); err != nil {
 		_ = c.Close()
-		return nil, fail.Wrap(err, fail.Internal, "bound the connection")
+		return nil, apierror.Wrap(err, apierror.Internal, "bound the connection")
 	}
 	return &guard{Conn: c}, nil
 }
--- a/router/limits_test.go
+++ b/router/limits_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 	"github.com/rs/zerolog"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/router"
 	"asterridge/sim"
 )
@@ -54,14 +54,14 @@
 		status       int
 	}{
 		{config.Limits{HeaderBytes: 16 << 10}, 16<<10 - others, 1, http.StatusOK},
-		{config.Limits{HeaderBytes: 16 << 10}, 16 << 10, 1, fail.HeaderOversize.Status},
+		{config.Limits{HeaderBytes: 16 << 10}, 16 << 10, 1, apierror.HeaderOversize.Status},
 		{config.Limits{HeaderBytes: 200 << 10}, 200<<10 - others, 1, http.StatusOK},
 		{config.Limits{}, 64<<10 - others, 1, http.StatusOK},
-		{config.Limits{}, 64 << 10, 1, fail.HeaderOversize.Status},
+		{config.Limits{}, 64 << 10, 1, apierror.HeaderOversize.Status},
 		{config.Limits{BodyBytes: 20 << 20}, 1, 20 << 20, http.StatusOK},
-		{config.Limits{BodyBytes: 20 << 20}, 1, 20<<20 + 1, fail.Oversize.Status},
-		{config.Limits{BodyBytes: 500}, 1, 501, fail.Oversize.Status},
-		{config.Limits{}, 1, 1001, fail.Oversize.Status},
+		{config.Limits{BodyBytes: 20 << 20}, 1, 20<<20 + 1, apierror.Oversize.Status},
+		{config.Limits{BodyBytes: 500}, 1, 501, apierror.Oversize.Status},
+		{config.Limits{}, 1, 1001, apierror.Oversize.Status},
 	} {
 		if status := limited(t, c.limits, c.header, c.body); status != c.status {
 			t.Errorf("%+v: a header of %d and a body of %d bytes got %d, not %d", c.limits, c.header, c.body, status, c.status)
--- a/router/query.go
+++ b/router/query.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/link"
 	"asterridge/queue"
 	"asterridge/register"
@@ -156,7 +156,7 @@
 		}
 		rows = append(rows, row)
 	default:
-		return nil, fail.New(fail.NotFound, "no query %q", q.What)
+		return nil, apierror.New(apierror.NotFound, "no query %q", q.What)
 	}
 	sort.SliceStable(rows, func(i, j int) bool {
 		a, _ := rows[i]["replica"].(string)
--- a/router/relay.go
+++ b/router/relay.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 const (
@@ -48,12 +48,12 @@
 		return nil
 	}
 	if x.Request.Context().Err() != nil {
-		err = fail.New(fail.CallerGone, "left during the answer")
+		err = apierror.New(apierror.CallerGone, "left during the answer")
 	} else {
-		err = fail.Wrap(err, fail.StreamCut, "relay")
+		err = apierror.Wrap(err, apierror.StreamCut, "relay")
 		r.log.Warn().Str("event", "stream_cut").Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("")
 	}
-	r.counts.reject(fail.Of(err).Code)
+	r.counts.reject(apierror.Of(err).Code)
 	r.step(x, Failed, err.Error())
 	r.settleClaim(x, "unknown")
 	panic(http.ErrAbortHandler)
@@ -88,7 +88,7 @@
 		x.Last = cut.last
 		cut.drop()
 		if failure := r.resume(x, err); failure != nil {
-			return fail.Wrap(err, fail.StreamCut, failure.Error())
+			return apierror.Wrap(err, apierror.StreamCut, failure.Error())
 		}
 	}
 }
@@ -108,7 +108,7 @@
 		return err
 	}
 	if x.Answer.Status != http.StatusOK || x.Answer.buffer == nil {
-		return fail.New(fail.StreamCut, "the other replica answered %d", x.Answer.Status)
+		return apierror.New(apierror.StreamCut, "the other replica answered %d", x.Answer.Status)
 	}
 	return nil
 }
@@ -163,7 +163,7 @@
 		}
 		if errors.Is(err, io.EOF) {
 			if a.IsEnd != nil && !a.IsEnd(tail) {
-				return errBroken{fail.New(fail.StreamCut, "no end mark")}
+				return errBroken{apierror.New(apierror.StreamCut, "no end mark")}
 			}
 			if rest := cut.drop(); len(rest) > 0 {
 				_, err := w.Write(rest)
--- a/router/room.go
+++ b/router/room.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 )
 
 const (
@@ -68,13 +68,13 @@
 func (r *Router) readBody(x *Exchange) ([]byte, error) {
 	q, most := x.Request, max(defaultBodyBytes, x.View.limits.BodyBytes)
 	if q.ContentLength > int64(most) {
-		return nil, fail.New(fail.Oversize, "a body of %d bytes", q.ContentLength)
+		return nil, apierror.New(apierror.Oversize, "a body of %d bytes", q.ContentLength)
 	}
 	taken, tenant := int64(0), x.Tenant.index
 	x.door.leave = append(x.door.leave, func() { r.room.give(tenant, taken) })
 	grow := func(n int64) error {
 		if !r.room.take(tenant, n) {
-			return again(fail.New(fail.NoRoom, "no room for %d more bytes", n), time.Second)
+			return again(apierror.New(apierror.NoRoom, "no room for %d more bytes", n), time.Second)
 		}
 		taken += n
 		return nil
@@ -96,14 +96,14 @@
 		n, err := io.CopyN(&body, q.Body, roomStep)
 		switch {
 		case body.Len() > most:
-			return nil, fail.New(fail.Oversize, "a body of over %d bytes", most)
+			return nil, apierror.New(apierror.Oversize, "a body of over %d bytes", most)
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return nil, fail.New(fail.TooSlow, "%d bytes came in time", body.Len())
+			return nil, apierror.New(apierror.TooSlow, "%d bytes came in time", body.Len())
 		case err == io.EOF || err == nil && n == 0:
 			_ = x.door.control.SetReadDeadline(time.Time{}) // streams are as long as they are
 			return body.Bytes(), nil
 		case err != nil:
-			return nil, fail.Wrap(err, fail.Malformed, "read body")
+			return nil, apierror.Wrap(err, apierror.Malformed, "read body")
 		}
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -18,8 +18,8 @@
 	kithttp "github.com/go-kit/kit/transport/http"
 	"github.com/rs/zerolog"
 
+	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/fail"
 	"asterridge/hold"
 	"asterridge/link"
 	"asterridge/prompt"
@@ -171,7 +171,7 @@
 	filters = append(filters, options.Filters...)
 	filters = append(filters, attemptsFilter{r}, queueFilter{r}, claimFilter{r}, sendFilter{r})
 	r.chain = func(context.Context, *Exchange) error {
-		return fail.New(fail.Internal, "no filter answered")
+		return apierror.New(apierror.Internal, "no filter answered")
 	}
 	for i := len(filters) - 1; i >= 0; i-- {
 		filter, onward := filters[i], r.chain
@@ -380,7 +380,7 @@
 
 // encodeRefusal also says whether the request ran.
 func (r *Router) encodeRefusal(ctx context.Context, err error, w http.ResponseWriter) {
-	f := fail.Of(err)
+	f := apierror.Of(err)
 	if f.Again > 0 {
 		w.Header().Set("Retry-After", r.options.Dialect.RetryAfter(f.Again))
 	}
--- a/router/send.go
+++ b/router/send.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"asterridge/fail"
+	"asterridge/apierror"
 	"asterridge/hold"
 	"asterridge/prompt"
 )
@@ -101,11 +101,11 @@
 // recognise refuses an answer that is none, or another request's: whatever it says, it says nothing of this request, which may have run.
 func (r *Router) recognise(x *Exchange, answer *http.Response) error {
 	if answer.StatusCode < http.StatusOK || answer.StatusCode > highestStatus {
-		return r.lost(x, fail.New(fail.ReplicaSaid, "status %d", answer.StatusCode))
+		return r.lost(x, apierror.New(apierror.ReplicaSaid, "status %d", answer.StatusCode))
 	}
 	if id := r.options.Dialect.AnswerID(answer); id != x.ID {
 		r.log.Error().Str("event", "foreign_answer").Str("request", x.ID).Str("answer", id).Str("replica", x.replica.Name).Msg("")
-		foreign, again := fail.New(fail.ForeignAnswer, "answer %q", id), errAgain{}
+		foreign, again := apierror.New(apierror.ForeignAnswer, "answer %q", id), errAgain{}
 		if err := r.lost(x, foreign); errors.As(err, &again) {
 			return again
 		}
@@ -134,7 +134,7 @@
 func (r *Router) dress(ctx context.Context, x *Exchange, domain string) (*http.Request, error) {
 	q, err := http.NewRequestWithContext(ctx, x.Request.Method, "http://"+x.replica.Address+x.Request.URL.RequestURI(), nil)
 	if err != nil {
-		return nil, fail.Wrap(err, fail.Internal, "make request")
+		return nil, apierror.Wrap(err, apierror.Internal, "make request")
 	}
 	if target := x.Request.RequestURI; strings.HasPrefix(target, "/") && !strings.HasPrefix(target, "//") {
 		q.URL = &url.URL{Scheme: "http", Host: x.replica.Address, Opaque: target} // as it came, and not escaped anew
@@ -194,7 +194,7 @@
 		case failure != errUnwritten:
 			return nil, failure
 		case x.Request.Context().Err() != nil:
-			return nil, fail.New(fail.CallerGone, "left before the request was written")
+			return nil, apierror.New(apierror.CallerGone, "left before the request was written")
 		}
 		r.cool(x.replica)
 		return nil, errUnsent{unwritten(answer, err)}
@@ -214,9 +214,9 @@
 func unwritten(answer *http.Response, err error) error {
 	if answer != nil {
 		_ = answer.Body.Close()
-		return fail.New(fail.ReplicaSaid, "an answer came before the request was written")
+		return apierror.New(apierror.ReplicaSaid, "an answer came before the request was written")
 	}
-	return fail.Wrap(err, fail.ReplicaSaid, "no connection, or none that was written to")
+	return apierror.Wrap(err, apierror.ReplicaSaid, "no connection, or none that was written to")
 }
 
 // firstPiece reads the first piece of a stream, or a short answer whole.
@@ -253,27 +253,27 @@
 const maxWhole = 1 << 20
 
 // errUnframed is an answer that only the connection's end would end: one that was cut off looks just like it.
-var errUnframed = fail.New(fail.StreamCut, "an answer without an end of its own")
+var errUnframed = apierror.New(apierror.StreamCut, "an answer without an end of its own")
 
 // lost ends an attempt that may have run.
 func (r *Router) lost(x *Exchange, err error) error {
 	x.sent = true
 	if x.Request.Context().Err() != nil {
-		return fail.Wrap(err, fail.OutcomeLost, "the caller left")
+		return apierror.Wrap(err, apierror.OutcomeLost, "the caller left")
 	}
 	r.cool(x.replica)
 	r.log.Warn().Str("event", "lost").Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("")
-	lost := fail.Wrap(err, fail.OutcomeLost, "no whole answer from "+x.replica.Name)
+	lost := apierror.Wrap(err, apierror.OutcomeLost, "no whole answer from "+x.replica.Name)
 	if x.Repeatable && time.Now().Before(x.Deadline) {
 		return errAgain{lost}
 	}
-	return fail.New(fail.OutcomeLost, "%v", lost)
+	return apierror.New(apierror.OutcomeLost, "%v", lost)
 }
 
 // refused reads a refusal: a throttle holds the tenant's scope; all that the dialect defines as not run may be tried again.
 func (r *Router) refused(x *Exchange, answer *http.Response, v Verdict) error {
 	r.counts.add("refusals", 1)
-	cause := fail.New(fail.ReplicaSaid, "%s refused: %s", x.replica.Name, v.Reason)
+	cause := apierror.New(apierror.ReplicaSaid, "%s refused: %s", x.replica.Name, v.Reason)
 	if v.Pushed {
 		r.counts.add("refusals_pushed", 1)
 		rule := r.view.Load().hold
--- a/sim/codes_test.go
+++ b/sim/codes_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/fake"
 	"asterridge/link"
 	"asterridge/register"
@@ -29,15 +29,15 @@
 		defer f.Stop()
 		weight := daemon.ConfigOrder{Partial: true, Text: json.RawMessage(`{"tenants":[{"name":"a","weight":7}]}`)}
 		_, err := f.Order(0, config.Key, weight)
-		is.True(fail.Is(err, fail.NotFounded))
+		is.True(apierror.Is(err, apierror.NotFounded))
 		f.Declare()
 
 		// Two disks stall: a change is on two of four, and may or may not stand. Afterwards it is settled one way.
 		release := []func(){f.Disks[0].Stall(), f.Disks[1].Stall()}
 		_, err = f.Order(2, config.Key, weight)
-		is.True(fail.Is(err, fail.Undecided) || fail.Is(err, fail.NoMajority))
+		is.True(apierror.Is(err, apierror.Undecided) || apierror.Is(err, apierror.NoMajority))
 		_, err = f.Order(3, config.Key, weight)
-		is.True(fail.Is(err, fail.Undecided) || fail.Is(err, fail.NoMajority))
+		is.True(apierror.Is(err, apierror.Undecided) || apierror.Is(err, apierror.NoMajority))
 		for _, let := range release {
 			let()
 		}
@@ -51,14 +51,14 @@
 		f.StartCore(1) // the look at its disk has ended the process before
 		_, err = link.Call[register.Record](context.Background(), f.Wire, At(CoreIP(0)), "/register/promise",
 			daemon.RegisterMessage{From: asker, Members: 77, Key: config.Key, Epoch: 1 << 40})
-		is.True(fail.Is(err, fail.OtherMembers))
+		is.True(apierror.Is(err, apierror.OtherMembers))
 		time.Sleep(2 * time.Second)
 
 		// A stream that breaks off has ended for the caller; its code is counted.
 		f.behave(fake.Behaviour{Tenant: "c", CutAfter: 1})
 		_, _, text := f.Ask(0, "c", "", chat("light"))
 		is.True(strings.Contains(text, "broken off"))
-		is.Equal(f.sum("bounce_"+fail.StreamCut.Name), int64(1))
+		is.Equal(f.sum("bounce_"+apierror.StreamCut.Name), int64(1))
 
 		// A caller that leaves while it waits did not run.
 		f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "8"})
@@ -74,7 +74,7 @@
 		leave()
 		asking.Wait()
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(f.sum("bounce_"+fail.CallerGone.Name), int64(1))
+		is.Equal(f.sum("bounce_"+apierror.CallerGone.Name), int64(1))
 
 		// Refused with nothing left for a retry: the answer names the refusal.
 		f.behave(fake.Behaviour{Refusing: true})
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/register"
 	"asterridge/router"
 )
@@ -44,7 +44,7 @@
 
 // isRefusal says whether operators' tools would take an answer for a refusal, after which they give up.
 func isRefusal(err error) bool {
-	return fail.Is(err, fail.Conflict) || err != nil && fail.Of(err).Code.Number < 200
+	return apierror.Is(err, apierror.Conflict) || err != nil && apierror.Of(err).Code.Number < 200
 }
 
 // untilRefused has a core refuse a configuration that lost its race; until it does, it says nothing clear, and never yes.
@@ -53,7 +53,7 @@
 	f.Until(6*time.Second, fmt.Sprintf("%d is refused", d.Number), func() bool {
 		err := f.core(core).Declare(context.Background(), d)
 		is.True(err != nil)
-		return fail.Is(err, fail.Conflict)
+		return apierror.Is(err, apierror.Conflict)
 	})
 }
 
@@ -126,7 +126,7 @@
 		owner, other := ownerOf(key)
 		hash := config.HashKey("another")
 		_, err := f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, Revoked: true}) // the owner holds the key from here on
-		is.True(fail.Is(err, fail.NotFound))
+		is.True(apierror.Is(err, apierror.NotFound))
 		f.isolate(owner, true, true, true)
 		f.Until(6*time.Second, "the others take the key", func() bool {
 			_, err := f.Order(other, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash})
@@ -134,7 +134,7 @@
 		})
 		for since := time.Now(); time.Since(since) < longCut; time.Sleep(time.Second) {
 			_, err = f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, Revoked: true})
-			is.True(err != nil && !fail.Is(err, fail.NotFound))
+			is.True(err != nil && !apierror.Is(err, apierror.NotFound))
 		}
 		f.isolate(owner, true, true, false)
 		f.Until(6*time.Second, "the key is revoked", func() bool {
@@ -174,7 +174,7 @@
 			for i, d := range taken {
 				f.declare(core, d)
 				err := f.core((core+i)%4).Declare(context.Background(), lost[i])
-				is.True(fail.Is(err, fail.Conflict))
+				is.True(apierror.Is(err, apierror.Conflict))
 			}
 			number, _, err := f.declared(core)
 			is.NoErr(err)
@@ -198,7 +198,7 @@
 			_, err = f.Order(core, config.Key, order(7))
 			is.NoErr(err)
 			_, err = f.Order(core, config.Key, order(8))
-			is.True(fail.Is(err, fail.Conflict))
+			is.True(apierror.Is(err, apierror.Conflict))
 		}
 	})
 }
@@ -219,7 +219,7 @@
 		is.NoErr(claim("two", "running"))
 		for range 18 {
 			time.Sleep(time.Second)
-			is.True(fail.Is(claim("three", "running"), fail.KeyUnknown))
+			is.True(apierror.Is(claim("three", "running"), apierror.KeyUnknown))
 		}
 		f.Until(10*time.Second, "it is forgotten in the end", func() bool { return claim("three", "running") == nil })
 	})
--- a/sim/declare_test.go
+++ b/sim/declare_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 )
 
 // Right after a yes all cores stop at once, and one of them loses its disk: when they are back, the newest configuration is read from each,
@@ -70,7 +70,7 @@
 			time.Sleep(time.Duration(random.IntN(12000)) * time.Microsecond)
 			f.Kill(CoreIP(killed))
 			err := <-said
-			is.True(err == nil || !fail.Is(err, fail.Conflict) && !fail.Is(err, fail.OutOfRange)) // nobody else declares
+			is.True(err == nil || !apierror.Is(err, apierror.Conflict) && !apierror.Is(err, apierror.OutOfRange)) // nobody else declares
 			other := (killed + 1 + random.IntN(3)) % 4
 			f.declare(other, d)
 			number, names, err := f.declared(other)
@@ -107,7 +107,7 @@
 				for i := range f.Proxies {
 					for _, key := range []string{"a", "b", "c"} {
 						_, code, _ := f.Ask(i, key, "", chat("light"))
-						if (code == fmt.Sprint(fail.NoReplica.Number)) != slices.Contains(keys, key) {
+						if (code == fmt.Sprint(apierror.NoReplica.Number)) != slices.Contains(keys, key) {
 							return false
 						}
 					}
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"asterridge/apierror"
 	"asterridge/disk"
-	"asterridge/fail"
 )
 
 // Disk is a machine's disk: it outlives the processes that use it.
@@ -107,7 +107,7 @@
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	if h.life != h.disk.life {
-		return fail.Wrap(errDead, fail.DiskFailed, "disk")
+		return apierror.Wrap(errDead, apierror.DiskFailed, "disk")
 	}
 	return do()
 }
@@ -124,7 +124,7 @@
 	}
 	return h.locked(func() error {
 		if h.disk.full {
-			return fail.New(fail.DiskFailed, "no space left")
+			return apierror.New(apierror.DiskFailed, "no space left")
 		}
 		if h.disk.folders[folder] == nil {
 			h.disk.folders[folder] = map[string][]byte{}
@@ -140,7 +140,7 @@
 	err = h.locked(func() error {
 		sealed, ok := h.disk.folders[folder][name]
 		if !ok {
-			return fail.New(fail.NotFound, "no file %s/%s", folder, name)
+			return apierror.New(apierror.NotFound, "no file %s/%s", folder, name)
 		}
 		data, err = disk.Open(sealed)
 		return err
--- a/sim/exchange_test.go
+++ b/sim/exchange_test.go
@@ -17,9 +17,9 @@
 	"github.com/matryer/is"
 	"github.com/rs/zerolog"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/fake"
 	"asterridge/golden"
 	"asterridge/router"
@@ -172,7 +172,7 @@
 
 func (s small) Handle(ctx context.Context, x *router.Exchange, onward func(context.Context, *router.Exchange) error) error {
 	if len(x.Body) > s.most {
-		return fail.New(fail.Oversize, "%d bytes, at most %d here", len(x.Body), s.most)
+		return apierror.New(apierror.Oversize, "%d bytes, at most %d here", len(x.Body), s.most)
 	}
 	return onward(ctx, x)
 }
--- a/sim/faults_test.go
+++ b/sim/faults_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/fake"
 	"asterridge/register"
 	"asterridge/router"
@@ -445,7 +445,7 @@
 		ordering.Go(func() {
 			_, err := f.Order(asked, "replicas", daemon.ReplicasOrder{Text: json.RawMessage(`{"replicas":[{"name":"pool-1","state":"leaving"}]}`)})
 			is.True(err != nil)
-			is.Equal(fail.Of(err).Code, fail.Undecided)
+			is.Equal(apierror.Of(err).Code, apierror.Undecided)
 		})
 		time.Sleep(time.Second)
 		for i := range 4 {
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -13,9 +13,9 @@
 
 	"github.com/rs/zerolog"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/fake"
 	"asterridge/link"
 )
@@ -300,7 +300,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	a, err := link.Call[daemon.Accepted](ctx, f.Wire, At(CoreIP(core)), "/op/"+name, q)
-	if err == nil || fail.Of(err).Code.Ran != fail.NotRun {
+	if err == nil || apierror.Of(err).Code.Ran != apierror.NotRun {
 		f.FactLog.Order(name, q, a.Version, err != nil)
 	}
 	return a, err
--- a/sim/members_test.go
+++ b/sim/members_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/register"
 	"asterridge/router"
 )
@@ -34,7 +34,7 @@
 			if _, last[core] = f.Order(core, "members", daemon.MembersOrder{Do: do, Name: name}); last[core] == nil {
 				return true
 			}
-			if do == "retire" && fail.Is(last[core], fail.NotFound) || do == "admit" && fail.Is(last[core], fail.Exists) {
+			if do == "retire" && apierror.Is(last[core], apierror.NotFound) || do == "admit" && apierror.Is(last[core], apierror.Exists) {
 				return true // an undecided one stands
 			}
 		}
@@ -79,7 +79,7 @@
 			f.StartCore(3)
 			time.Sleep(2 * time.Second)
 			_, err = f.Order(0, "members", daemon.MembersOrder{Do: "admit", Name: "core-3"})
-			is.Equal(fail.Of(err).Code, fail.Exists) // its old self stands in the list
+			is.Equal(apierror.Of(err).Code, apierror.Exists) // its old self stands in the list
 			f.members("retire", "core-3")
 			f.members("admit", "core-3")
 			f.Kill(CoreIP(0))
@@ -130,7 +130,7 @@
 		is.NoErr(err)
 		time.Sleep(5 * time.Second)
 		_, err = f.Order(6, "members", daemon.MembersOrder{Do: "retire", Name: "core-7"})
-		is.True(fail.Is(err, fail.OutOfRange)) // too few would be left
+		is.True(apierror.Is(err, apierror.OutOfRange)) // too few would be left
 		noBreach(is, f)
 	})
 }
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -14,9 +14,9 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/register"
 )
 
@@ -148,7 +148,7 @@
 				return false
 			}
 			_ = answer.Body.Close()
-			if (answer.Header.Get("X-Result-Code") == fmt.Sprint(fail.NoReplica.Number)) != slices.Contains(served, name) {
+			if (answer.Header.Get("X-Result-Code") == fmt.Sprint(apierror.NoReplica.Number)) != slices.Contains(served, name) {
 				return false
 			}
 		}
@@ -306,7 +306,7 @@
 		time.Sleep(30 * time.Second)
 		for i := range 3 {
 			is.True(!isReady(f, i))
-			is.True(fail.Is(f.core(i).Declare(context.Background(), numbered(1, 0, true, "a")), fail.NotFounded))
+			is.True(apierror.Is(f.core(i).Declare(context.Background(), numbered(1, 0, true, "a")), apierror.NotFounded))
 		}
 	})
 	founded = false
@@ -394,7 +394,7 @@
 			both.Wait()
 			is.True((said[0] == nil) != (said[1] == nil))
 			for n := range calls {
-				is.True(said[n] == nil || fail.Is(said[n], fail.Conflict))
+				is.True(said[n] == nil || apierror.Is(said[n], apierror.Conflict))
 				for i := range 4 {
 					again := f.core(i).Declare(context.Background(), calls[n])
 					is.Equal(again == nil, said[n] == nil)
--- a/sim/retire_test.go
+++ b/sim/retire_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/fake"
 	"asterridge/router"
 )
@@ -110,7 +110,7 @@
 // order has a change taken by whichever core takes it.
 func (f *Fleet) retirement(o daemon.RetirementOrder) (a daemon.Accepted, err error) {
 	for _, core := range f.cores() {
-		if a, err = f.Order(core, "retirement", o); err == nil || fail.Of(err).Code.Ran == fail.NotRun && fail.Of(err).Code.Number >= 300 && !fail.Is(err, fail.NoMajority) {
+		if a, err = f.Order(core, "retirement", o); err == nil || apierror.Of(err).Code.Ran == apierror.NotRun && apierror.Of(err).Code.Number >= 300 && !apierror.Is(err, apierror.NoMajority) {
 			return a, err
 		}
 	}
@@ -195,18 +195,18 @@
 	t.Parallel()
 	inBubble(t, adapterOptions(710), func(is *is.I, f *Fleet) {
 		f.adaptersReady()
-		refused := func(o daemon.RetirementOrder, code fail.Code) {
+		refused := func(o daemon.RetirementOrder, code apierror.Code) {
 			is.Helper()
 			_, err := f.retirement(o)
-			is.Equal(fail.Of(err).Code, code)
+			is.Equal(apierror.Of(err).Code, code)
 		}
-		refused(retire("ridge-1", "ridge-2"), fail.NoBuild) // of notes
-		refused(retire("ridge-0", "ridge-2"), fail.NotFound)
-		refused(undo, fail.NotFound)
+		refused(retire("ridge-1", "ridge-2"), apierror.NoBuild) // of notes
+		refused(retire("ridge-0", "ridge-2"), apierror.NotFound)
+		refused(undo, apierror.NotFound)
 		_, err := f.merge(`{"adapters":[{"name":"huts","base":"ridge-2"}]}`)
-		is.Equal(fail.Of(err).Code, fail.Conflict) // a retirement moves it
+		is.Equal(apierror.Of(err).Code, apierror.Conflict) // a retirement moves it
 		_, err = f.merge(`{"adapters":[{"name":"huts","builds":{"ridge-1":"h9"}}]}`)
-		is.Equal(fail.Of(err).Code, fail.Conflict)
+		is.Equal(apierror.Of(err).Code, apierror.Conflict)
 		_, code, _ := f.Ask(0, "c", "", chat("notes"))
 		is.Equal(code, "230") // not for this tenant
 
@@ -216,8 +216,8 @@
 		number := f.retired()["retirement ridge-1"]["number"]
 		must(f.retirement(retire("ridge-1", "ridge-2"))) // an order whose answer was lost may be repeated
 		is.Equal(f.retired()["retirement ridge-1"]["number"], number)
-		refused(retire("ridge-1", "ridge-3"), fail.Crossed)
-		refused(retire("ridge-2", "ridge-3"), fail.Crossed)
+		refused(retire("ridge-1", "ridge-3"), apierror.Crossed)
+		refused(retire("ridge-2", "ridge-3"), apierror.Crossed)
 		f.Until(20*time.Second, "all routes have switched", func() bool {
 			rows, n := f.retired(), 0
 			for _, row := range rows {
@@ -261,9 +261,9 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
-		refused(undo, fail.PastUndo)
-		refused(daemon.RetirementOrder{Do: "undo", Old: "ridge-1"}, fail.PastUndo)
-		refused(retire("ridge-2", "ridge-1"), fail.Crossed) // it is gone
+		refused(undo, apierror.PastUndo)
+		refused(daemon.RetirementOrder{Do: "undo", Old: "ridge-1"}, apierror.PastUndo)
+		refused(retire("ridge-2", "ridge-1"), apierror.Crossed) // it is gone
 		noBreach(is, f)
 	})
 }
@@ -433,7 +433,7 @@
 		both.Wait()
 		is.True((errs[0] == nil) != (errs[1] == nil))
 		for _, err := range errs {
-			is.True(err == nil || fail.Is(err, fail.Crossed))
+			is.True(err == nil || apierror.Is(err, apierror.Crossed))
 		}
 		time.Sleep(2 * time.Second)
 		for i := range 2 { // one takes it back while the other begins it again
@@ -512,7 +512,7 @@
 		dropped := config.Retirement{Number: 1, Old: "ridge-1", New: "ridge-2", Phase: config.Dropping}
 		for version := range uint64(40) { // whatever version it saw
 			_, err := f.Order(0, "advance", daemon.AdvanceOrder{Old: "ridge-1", To: &dropped, Expect: version, Duty: config.Duty{Holder: "core-9", Lease: 0}})
-			is.True(fail.Is(err, fail.Superseded))
+			is.True(apierror.Is(err, apierror.Superseded))
 		}
 		is.Equal(f.phase("ridge-1"), "moving")
 	}, func(is *is.I, f *Fleet, _ []fake.Asked) { noBreach(is, f) })
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -18,9 +18,9 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/fail"
 	"asterridge/fake"
 	"asterridge/link"
 	"asterridge/router"
@@ -269,7 +269,7 @@
 			if err == nil {
 				return "yes"
 			}
-			return fail.Of(err).Code.Name
+			return apierror.Of(err).Code.Name
 		}
 		is.Equal(claim(0, "given back", "n1", "running"), "yes")
 		is.Equal(claim(1, "given back", "n1", "free"), "yes")
@@ -302,7 +302,7 @@
 		is.NoErr(claim("n2", "running"))
 		is.NoErr(claim("n2", "ran"))
 		time.Sleep(15 * time.Second) // n1's age is over, n2's is not
-		is.True(fail.Is(claim("n3", "running"), fail.KeyRan))
+		is.True(apierror.Is(claim("n3", "running"), apierror.KeyRan))
 		time.Sleep(10 * time.Second)
 		is.NoErr(claim("n4", "running")) // now it is
 	})
