--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -11,11 +11,11 @@
 
 	"asterridge/config"
 	"asterridge/disk"
-	"asterridge/hold"
 	"asterridge/link"
 	"asterridge/register"
 	"asterridge/ring"
 	"asterridge/router"
+	"asterridge/throttle"
 )
 
 // The limits of §3.2.
@@ -34,7 +34,7 @@
 	wire    *link.Wire
 	plain   *http.Client
 	source  *link.Source
-	table   *hold.Table
+	table   *throttle.Table
 	ring    *ring.Ring
 	disk    disk.Disk // may be nil: then what was learned of the cores is lost with the process
 
@@ -88,7 +88,7 @@
 	}
 	a.ring = newRing(host, "agent", a.wire)
 	a.source = link.NewSource(link.SourceOptions{Remaining: a.remaining})
-	a.table = hold.NewTable(func(e hold.Entry) {
+	a.table = throttle.NewTable(func(e throttle.Entry) {
 		raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
 		a.source.Put(router.HoldKey, register.Revision{}, register.Revision{}, register.Fields{e.Scope: raw}, false)
 	})
@@ -248,7 +248,7 @@
 }
 
 // takeHolds merges the running holds of a link's answer; cores take them from each other by it, too.
-func takeHolds(table *hold.Table) func(*link.Follower, link.Answer) {
+func takeHolds(table *throttle.Table) func(*link.Follower, link.Answer) {
 	return func(_ *link.Follower, answer link.Answer) {
 		for _, e := range answer.Entries {
 			if e.Key == router.HoldKey {
--- a/daemon/agent_calls.go
+++ b/daemon/agent_calls.go
@@ -9,15 +9,15 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/hold"
 	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/throttle"
 )
 
 // tellHold passes a throttle on to all cores at once, so that one that is gone delays nobody; the scope's owner also keeps it. One answer is enough.
-func (a *Agent) tellHold(ctx context.Context, n hold.Notice) (struct{}, error) {
-	a.table.Merge(n, hold.Longest)
+func (a *Agent) tellHold(ctx context.Context, n throttle.Notice) (struct{}, error) {
+	a.table.Merge(n, throttle.Longest)
 	cores := a.liveCores(holdPrefix + n.Scope)
 	if len(cores) == 0 {
 		return struct{}{}, apierror.New(apierror.Unreachable, "no core answers")
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -15,11 +15,11 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/disk"
-	"asterridge/hold"
 	"asterridge/link"
 	"asterridge/register"
 	"asterridge/ring"
 	"asterridge/router"
+	"asterridge/throttle"
 )
 
 const (
@@ -48,7 +48,7 @@
 	owner       *register.Owner
 	cores       *link.Source // for the other cores: every key
 	data        *link.Source // for the agents
-	table       *hold.Table
+	table       *throttle.Table
 	ring        *ring.Ring
 	isDamaged   atomic.Bool // a torn file: this core's word counts for nobody until it has caught up (§2.5)
 	learning    sync.Mutex
@@ -107,7 +107,7 @@
 		followers: map[string]*link.Follower{}, met: map[string]string{}, unsettled: map[string]time.Time{}, joiners: map[string]joiner{},
 		listNews: make(chan struct{}), nudges: make(chan struct{}, 1), noting: make(chan struct{}, 1),
 	}
-	c.table = hold.NewTable(c.holdNews)
+	c.table = throttle.NewTable(c.holdNews)
 	c.ring = newRing(host, "core", c.wire)
 	who := link.SourceOptions{Who: func() string {
 		if c.membership().self == nil || c.isDamaged.Load() {
@@ -224,7 +224,7 @@
 	return key == config.Key || key == config.ModelsKey || key == config.LoadsKey || key == config.RetirementKey || key == config.ReplicasKey || key == config.MembersKey || strings.HasPrefix(key, config.KeysPrefix)
 }
 
-func (c *Core) holdNews(e hold.Entry) {
+func (c *Core) holdNews(e throttle.Entry) {
 	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
 	fields := register.Fields{e.Scope: raw}
 	c.cores.Put(router.HoldKey, register.Revision{}, register.Revision{}, fields, false)
@@ -233,9 +233,9 @@
 
 // resumeHold counts what a hold on disk had left from the start again: later, never earlier (§4.2).
 func (c *Core) resumeHold(scope string) {
-	var n hold.Notice
+	var n throttle.Notice
 	if raw := c.acceptor.Read(holdPrefix + scope).Fields["hold"]; raw != nil && json.Unmarshal(raw, &n) == nil {
-		c.table.Merge(n, hold.Longest)
+		c.table.Merge(n, throttle.Longest)
 	}
 }
 
@@ -279,7 +279,7 @@
 	op(mux, c, "keys", func(o KeyOrder) string { return config.KeysPrefix + o.Tenant }, c.orderKey, true)
 	op(mux, c, "replicas", func(ReplicasOrder) string { return config.ReplicasKey }, c.orderReplicas, true)
 	op(mux, c, "claim", func(o ClaimOrder) string { return claimGroup(o) }, c.orderClaim, true)
-	op(mux, c, "hold", func(n hold.Notice) string { return holdPrefix + n.Scope }, c.orderHold, true)
+	op(mux, c, "hold", func(n throttle.Notice) string { return holdPrefix + n.Scope }, c.orderHold, true)
 	op(mux, c, "term", func(o LeaseOrder) string { return leasePrefix + o.Duty }, c.orderLease, false)
 	c.changeMembers = op(mux, c, "members", func(MembersOrder) string { return config.MembersKey }, c.orderMembers, false)
 	c.resolve = op(mux, c, "settle", func(o SettleOrder) string { return o.Key }, c.orderSettle, true)
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -8,12 +8,12 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/golden"
-	"asterridge/hold"
 	"asterridge/lease"
 	"asterridge/link"
 	"asterridge/register"
 	"asterridge/ring"
 	"asterridge/router"
+	"asterridge/throttle"
 )
 
 // What daemons of this build say to each other keeps the form that earlier builds read; so do the records that cores store.
@@ -24,7 +24,7 @@
 		{Name: "POST /core/pull, /core/whole, /agent/pull: answer", Type: link.Answer{}},
 		{Name: "status of an agent, within the question of its link", Type: AgentStatus{}},
 		{Name: "status of a proxy, within the question of its link", Type: router.Status{}},
-		{Name: "POST /core/hold, /agent/hold, /op/hold", Type: hold.Notice{}},
+		{Name: "POST /core/hold, /agent/hold, /op/hold", Type: throttle.Notice{}},
 		{Name: "POST /register/promise, /confirm, /accept, /settle: question", Type: RegisterMessage{}},
 		{Name: "POST /register/promise: answer", Type: register.Record{}},
 		{Name: "a version's file on disk, and the change in an accept", Type: register.Change{}},
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -6,8 +6,8 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/hold"
 	"asterridge/register"
+	"asterridge/throttle"
 )
 
 // ConfigOrder is a whole or partial configuration from an operator.
@@ -147,20 +147,20 @@
 }
 
 // shareHold merges a throttle that another core keeps, and so tells the agents of it.
-func (c *Core) shareHold(_ context.Context, n hold.Notice) (struct{}, error) {
+func (c *Core) shareHold(_ context.Context, n throttle.Notice) (struct{}, error) {
 	_, err := c.mergeHold(n)
 	return struct{}{}, err
 }
 
-func (c *Core) mergeHold(n hold.Notice) (created bool, err error) {
+func (c *Core) mergeHold(n throttle.Notice) (created bool, err error) {
 	if n.Scope == "" || n.ID == "" {
 		return false, apierror.New(apierror.Missing, "a hold needs a scope and a mark")
 	}
-	return c.table.Merge(n, hold.Longest), nil
+	return c.table.Merge(n, throttle.Longest), nil
 }
 
 // orderHold merges a proxy's throttle, tells all agents by doing so, and keeps it on a majority (§4.2).
-func (c *Core) orderHold(ctx context.Context, n hold.Notice) (struct{}, error) {
+func (c *Core) orderHold(ctx context.Context, n throttle.Notice) (struct{}, error) {
 	if created, err := c.mergeHold(n); err != nil || !created || n.Observed {
 		return struct{}{}, err
 	}
--- a/router/filters.go
+++ b/router/filters.go
@@ -8,7 +8,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/hold"
+	"asterridge/throttle"
 )
 
 // handle is the rest of the chain.
@@ -182,7 +182,7 @@
 	if p.AimMs > 0 {
 		x.item.Due = x.Received.Add(time.Duration(duePart * float64(p.AimMs) * float64(time.Millisecond)))
 	}
-	x.item.Scope = hold.Scope(t.Name, x.Pool.Name, t.Scope == "pool")
+	x.item.Scope = throttle.Scope(t.Name, x.Pool.Name, t.Scope == "pool")
 	return nil
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -20,11 +20,11 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/hold"
 	"asterridge/link"
 	"asterridge/prompt"
 	"asterridge/queue"
 	"asterridge/register"
+	"asterridge/throttle"
 )
 
 // Keys that an agent makes itself, besides the registers.
@@ -79,8 +79,8 @@
 	names       indices
 	view        atomic.Pointer[View]
 	current     atomic.Pointer[time.Time] // vouched for until then
-	table       *hold.Table
-	signals     *hold.Signals
+	table       *throttle.Table
+	signals     *throttle.Signals
 	index       *prompt.Index
 	queue       *queue.Queue[credit]
 	audit       *audit
@@ -98,7 +98,7 @@
 	random      *lockedRandom
 	run         string // this life of the process
 	noticesSent atomic.Uint64
-	reports     chan hold.Notice
+	reports     chan throttle.Notice
 	stopping    atomic.Bool
 	leaving     atomic.Bool
 	saidCurrent atomic.Bool // as the log has it
@@ -114,7 +114,7 @@
 func (l *lockedRandom) backoff(rule config.Hold, attempt int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return hold.Backoff(rule, attempt, l.r)
+	return throttle.Backoff(rule, attempt, l.r)
 }
 
 // New makes a router; Run has it follow its agent.
@@ -147,14 +147,14 @@
 		upstream: &http.Transport{
 			MaxIdleConnsPerHost: 64, IdleConnTimeout: options.KeepAlive, DisableCompression: true,
 		},
-		names: indices{map[string]int{}}, signals: hold.NewSignals(), index: prompt.NewIndex(options.Index),
+		names: indices{map[string]int{}}, signals: throttle.NewSignals(), index: prompt.NewIndex(options.Index),
 		audit: newAudit(options.Audit), counts: newCounts(), budget: budget{tokens: budgetAllowance, part: partOf(options.RetryRatio)}, room: room{most: options.Room, byTenant: map[int]int64{}},
 		run: rand.Text()[:8], streaks: streaks{byScope: map[string]int{}},
 		random:  &lockedRandom{r: mathrand.New(mathrand.NewPCG(options.Seed, h.Sum64()))},
-		reports: make(chan hold.Notice, 256), draining: make(chan struct{}),
+		reports: make(chan throttle.Notice, 256), draining: make(chan struct{}),
 	}
 	r.upstream.DialContext = r.dialGuarded
-	r.table = hold.NewTable(func(e hold.Entry) {
+	r.table = throttle.NewTable(func(e throttle.Entry) {
 		r.log.Info().Str("event", "hold").Str("scope", e.Scope).Str("mark", e.ID).Int64("remaining_ms", e.RemainingMs).Str("reason", e.Reason).Msg("")
 		r.queue.WakeAll()
 	})
@@ -269,7 +269,7 @@
 func (r *Router) throttle(x *Exchange, delay time.Duration, reason, raw string) {
 	rule := r.view.Load().hold
 	limit := time.Duration(rule.CapMs) * time.Millisecond
-	n := hold.Notice{
+	n := throttle.Notice{
 		Scope: x.item.Scope, ID: fmt.Sprintf("%s.%s.%d", r.options.Name, r.run, r.noticesSent.Add(1)), Raw: raw,
 		RemainingMs: min(delay, limit).Milliseconds(), Reason: reason, Attempt: x.Attempt, Observed: rule.Observe,
 	}
--- a/router/send.go
+++ b/router/send.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"asterridge/apierror"
-	"asterridge/hold"
 	"asterridge/prompt"
+	"asterridge/throttle"
 )
 
 // recheck looks again at everything, before a connection is sought and in the moment of the write (§3.2). It changes nothing.
@@ -283,7 +283,7 @@
 			r.cool(x.replica)
 		}
 		if own || len(values) > 0 {
-			delay, parsed := hold.RetryAfter(values, r.dateOf(answer), time.Duration(rule.CapMs)*time.Millisecond)
+			delay, parsed := throttle.RetryAfter(values, r.dateOf(answer), time.Duration(rule.CapMs)*time.Millisecond)
 			if !parsed {
 				delay = r.random.backoff(rule, x.Attempt+r.streak(x))
 			}
--- a/sim/stored_data_test.go
+++ b/sim/stored_data_test.go
@@ -19,9 +19,9 @@
 	"asterridge/daemon"
 	"asterridge/fake"
 	"asterridge/golden"
-	"asterridge/hold"
 	"asterridge/link"
 	"asterridge/register"
+	"asterridge/throttle"
 )
 
 // storedFolder has the disks of cores as a build before this one wrote them: one folder for each recorded day, one file for each core in it.
@@ -93,7 +93,7 @@
 			status, _, _ := f.Ask(i%3, "b", fmt.Sprintf("claim-%d", i), chat("light"))
 			is.Equal(status, 200)
 		}
-		must(f.Order(0, "hold", hold.Notice{Scope: "a", ID: "recorded", RemainingMs: 20000, Reason: "throttle", Attempt: 1}))
+		must(f.Order(0, "hold", throttle.Notice{Scope: "a", ID: "recorded", RemainingMs: 20000, Reason: "throttle", Attempt: 1}))
 		time.Sleep(time.Second)
 		recordDisks(t, f, "adapters")
 	})
--- a/hold/delay.go
+++ b/throttle/delay.go
@@ -1,4 +1,4 @@
-package hold
+package throttle
 
 import (
 	"math/rand/v2"
--- a/hold/table.go
+++ b/throttle/table.go
@@ -1,5 +1,5 @@
-// Package hold is the shared waiting rule: one not-before moment per scope, forward-only (docs/design.md §4).
-package hold
+// Package throttle is the shared waiting rule: one not-before moment per scope, forward-only (docs/design.md §4).
+package throttle
 
 import (
 	"encoding/json"
