--- a/cmd/hollow/measure.go
+++ b/cmd/hollow/measure.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"asterridge/link"
-	"asterridge/prompt"
+	"asterridge/prefixindex"
 )
 
 // figure is one measured thing; low and high are its least and most in the parts of the time that it was measured for.
@@ -277,7 +277,7 @@
 func measureIndex(entries int) []figure {
 	const chain, sources = 16, 18
 	before := heap()
-	x := prompt.NewIndex(entries)
+	x := prefixindex.NewIndex(entries)
 	key := func(n int) string { return "common@1/" + strconv.FormatUint(uint64(n)*0x9e3779b97f4a7c15, 16) }
 	began := time.Now()
 	for n := range entries {
@@ -289,9 +289,9 @@
 	began = time.Now()
 	for i := range looked {
 		first := int(uint64(i)*2654435761%uint64(entries)) / chain * chain
-		blocks := make([]prompt.Block, chain)
+		blocks := make([]prefixindex.Block, chain)
 		for j := range blocks {
-			blocks[j] = prompt.Block{Key: key(first + j), Size: 512}
+			blocks[j] = prefixindex.Block{Key: key(first + j), Size: 512}
 		}
 		x.Kept(blocks)
 	}
--- a/fake/kv.go
+++ b/fake/kv.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/prompt"
+	"asterridge/prefixindex"
 )
 
 // kvBlock is a block on its way between replicas and stores, with who made it and under which weights.
@@ -103,7 +103,7 @@
 	for i, b := range answer.Blocks { // the leading blocks of the chain
 		if r.cache[b.Hash] == nil {
 			lacking = append(lacking, b)
-			size += prompt.Covered(i+1) - prompt.Covered(i)
+			size += prefixindex.Covered(i+1) - prefixindex.Covered(i)
 		}
 	}
 	bytes := float64(size)
--- a/fake/replica_cache.go
+++ b/fake/replica_cache.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"asterridge/prompt"
+	"asterridge/prefixindex"
 )
 
 type change struct {
@@ -26,7 +26,7 @@
 		b := r.cache[hash]
 		hit = hit && b != nil
 		if hit {
-			run.Hit = prompt.Covered(i + 1)
+			run.Hit = prefixindex.Covered(i + 1)
 			if oldest, met := run.Met[b.Tenant]; !met || b.At.Before(oldest) {
 				run.Met[b.Tenant] = b.At
 			}
--- a/fake/replica_serve.go
+++ b/fake/replica_serve.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/prompt"
+	"asterridge/prefixindex"
 )
 
 // chat is what is read of a request in the published chat form.
@@ -32,7 +32,7 @@
 	for _, m := range c.Messages {
 		parts = append(parts, m.Role, m.Content)
 	}
-	return prompt.Text(parts...)
+	return prefixindex.Text(parts...)
 }
 
 // refusal is the answer to a request of which nothing ran.
@@ -151,7 +151,7 @@
 // readPrompt fetches what another has of the prompt, and reads it by the cache.
 func (r *Replica) readPrompt(q *http.Request, run *Run, text string) {
 	run.Size = len(text)
-	chain := prompt.Blocks(run.Domain, text)
+	chain := prefixindex.Blocks(run.Domain, text)
 	if source := q.Header.Get("X-Prefix-From"); source != "" {
 		run.Fetched = r.fetchBlocks(q, source, chain)
 	}
--- a/prompt/prompt.go
+++ b/prefixindex/prompt.go
@@ -1,6 +1,6 @@
-// Package prompt is the index of kept prompts: which replica is thought to keep which prefix, by cache domain. It is a
+// Package prefixindex is the index of kept prompts: which replica is thought to keep which prefix, by cache domain. It is a
 // hint; the replica alone decides what it reads from its cache (docs/design.md §6.1, §6.3).
-package prompt
+package prefixindex
 
 import (
 	"crypto/sha256"
--- a/prompt/prompt_test.go
+++ b/prefixindex/prompt_test.go
@@ -1,4 +1,4 @@
-package prompt
+package prefixindex
 
 import (
 	"fmt"
--- a/router/dialect.go
+++ b/router/dialect.go
@@ -11,7 +11,7 @@
 
 	"asterridge/apierror"
 	"asterridge/link"
-	"asterridge/prompt"
+	"asterridge/prefixindex"
 )
 
 // Opening is what a dialect reads of a caller's request before its body.
@@ -152,7 +152,7 @@
 		}
 		parts = append(parts, m.Role, text)
 	}
-	return Prompt{Model: b.Model, Text: prompt.Text(parts...), Stream: b.Stream}, nil
+	return Prompt{Model: b.Model, Text: prefixindex.Text(parts...), Stream: b.Stream}, nil
 }
 
 // Dress puts the router's words to the replica on a request.
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -8,7 +8,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/prompt"
+	"asterridge/prefixindex"
 	"asterridge/queue"
 )
 
@@ -102,7 +102,7 @@
 	Last       uint64 // of a stream that is taken up: the last event that the caller has
 
 	door      *door
-	chains    map[string][]prompt.Block
+	chains    map[string][]prefixindex.Block
 	item      queue.Item
 	replica   *replica
 	turn      *turn // of the last attempt, on its connection
--- a/router/pool.go
+++ b/router/pool.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/prompt"
+	"asterridge/prefixindex"
 	"asterridge/queue"
 	"asterridge/register"
 )
@@ -94,7 +94,7 @@
 		if !isFit || !ready || !r.hasRoom(rep, now) || now.Before(*rep.coolUntil.Load()) {
 			continue
 		}
-		domain := prompt.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.Walled, domainOf(weights, on))
+		domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.Walled, domainOf(weights, on))
 		if domains[domain] == nil {
 			domains[domain] = r.cacheStateOf(x, p, domain)
 		}
@@ -253,17 +253,17 @@
 }
 
 // chain gives the prompt's blocks in a cache domain, made once.
-func (x *Exchange) chain(domain string) []prompt.Block {
+func (x *Exchange) chain(domain string) []prefixindex.Block {
 	if x.chains == nil {
-		x.chains = map[string][]prompt.Block{}
+		x.chains = map[string][]prefixindex.Block{}
 	}
 	chain, made := x.chains[domain]
 	if !made {
 		if x.Prompt.Parts == nil {
-			chain = prompt.TextBlocks(domain, x.Prompt.Text)
+			chain = prefixindex.TextBlocks(domain, x.Prompt.Text)
 		}
 		for _, part := range x.Prompt.Parts {
-			chain = append(chain, prompt.Block{Key: domain + "/" + part.ID, Size: part.Size})
+			chain = append(chain, prefixindex.Block{Key: domain + "/" + part.ID, Size: part.Size})
 		}
 		x.chains[domain] = chain
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -21,7 +21,7 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/link"
-	"asterridge/prompt"
+	"asterridge/prefixindex"
 	"asterridge/queue"
 	"asterridge/register"
 	"asterridge/throttle"
@@ -81,7 +81,7 @@
 	current     atomic.Pointer[time.Time] // vouched for until then
 	table       *throttle.Table
 	signals     *throttle.Signals
-	index       *prompt.Index
+	index       *prefixindex.Index
 	queue       *queue.Queue[credit]
 	audit       *audit
 	counts      counts
@@ -147,7 +147,7 @@
 		upstream: &http.Transport{
 			MaxIdleConnsPerHost: 64, IdleConnTimeout: options.KeepAlive, DisableCompression: true,
 		},
-		names: indices{map[string]int{}}, signals: throttle.NewSignals(), index: prompt.NewIndex(options.Index),
+		names: indices{map[string]int{}}, signals: throttle.NewSignals(), index: prefixindex.NewIndex(options.Index),
 		audit: newAudit(options.Audit), counts: newCounts(), budget: budget{tokens: budgetAllowance, part: partOf(options.RetryRatio)}, room: room{most: options.Room, byTenant: map[int]int64{}},
 		run: rand.Text()[:8], streaks: streaks{byScope: map[string]int{}},
 		random:  &lockedRandom{r: mathrand.New(mathrand.NewPCG(options.Seed, h.Sum64()))},
--- a/router/send.go
+++ b/router/send.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"asterridge/apierror"
-	"asterridge/prompt"
+	"asterridge/prefixindex"
 	"asterridge/throttle"
 )
 
@@ -48,7 +48,7 @@
 // Handle sends the request to its replica and waits for the first piece of the answer.
 func (f sendFilter) Handle(_ context.Context, x *Exchange, _ func(context.Context, *Exchange) error) error {
 	r, rep := f.r, x.replica
-	domain := prompt.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.Walled, domainOf(x.weights, x.placement))
+	domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.Walled, domainOf(x.weights, x.placement))
 	x.left = 0 // nothing was told yet
 	v, err := r.recheck(x)
 	if err != nil {
