--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -11,9 +11,9 @@
 
 	"asterridge/config"
 	"asterridge/disk"
+	"asterridge/gossip"
 	"asterridge/link"
 	"asterridge/register"
-	"asterridge/ring"
 	"asterridge/router"
 	"asterridge/throttle"
 )
@@ -35,7 +35,7 @@
 	plain   *http.Client
 	source  *link.Source
 	table   *throttle.Table
-	ring    *ring.Ring
+	ring    *gossip.Ring
 	disk    disk.Disk // may be nil: then what was learned of the cores is lost with the process
 
 	mu           sync.Mutex
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -15,9 +15,9 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/disk"
+	"asterridge/gossip"
 	"asterridge/link"
 	"asterridge/register"
-	"asterridge/ring"
 	"asterridge/router"
 	"asterridge/throttle"
 )
@@ -49,7 +49,7 @@
 	cores       *link.Source // for the other cores: every key
 	data        *link.Source // for the agents
 	table       *throttle.Table
-	ring        *ring.Ring
+	ring        *gossip.Ring
 	isDamaged   atomic.Bool // a torn file: this core's word counts for nobody until it has caught up (§2.5)
 	learning    sync.Mutex
 	carrying    sync.Mutex
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -8,10 +8,10 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/golden"
+	"asterridge/gossip"
 	"asterridge/lease"
 	"asterridge/link"
 	"asterridge/register"
-	"asterridge/ring"
 	"asterridge/router"
 	"asterridge/throttle"
 )
@@ -28,10 +28,10 @@
 		{Name: "POST /register/promise, /confirm, /accept, /settle: question", Type: RegisterMessage{}},
 		{Name: "POST /register/promise: answer", Type: register.Record{}},
 		{Name: "a version's file on disk, and the change in an accept", Type: register.Change{}},
-		{Name: "POST /ring/beat: question", Type: ring.Beat{}},
-		{Name: "POST /ring/beat: answer", Type: ring.Answer{}},
-		{Name: "POST /ring/doubt: question", Type: ring.Doubt{}},
-		{Name: "POST /ring/doubt: answer", Type: ring.Silence{}},
+		{Name: "POST /ring/beat: question", Type: gossip.Beat{}},
+		{Name: "POST /ring/beat: answer", Type: gossip.Answer{}},
+		{Name: "POST /ring/doubt: question", Type: gossip.Doubt{}},
+		{Name: "POST /ring/doubt: answer", Type: gossip.Silence{}},
 		{Name: "POST /op/" + config.Key, Type: ConfigOrder{}},
 		{Name: "POST /op/keys", Type: KeyOrder{}},
 		{Name: "POST /op/replicas", Type: ReplicasOrder{}},
--- a/daemon/ring.go
+++ b/daemon/ring.go
@@ -5,9 +5,9 @@
 	"net/http"
 	"time"
 
+	"asterridge/gossip"
 	"asterridge/link"
 	"asterridge/register"
-	"asterridge/ring"
 	"asterridge/router"
 )
 
@@ -19,32 +19,32 @@
 // ringCalls are the ring's messages over the wire.
 type ringCalls struct{ wire *link.Wire }
 
-func (c ringCalls) Beat(ctx context.Context, address string, b ring.Beat) (ring.Answer, error) {
-	return link.Call[ring.Answer](ctx, c.wire, address, "/ring/beat", b)
+func (c ringCalls) Beat(ctx context.Context, address string, b gossip.Beat) (gossip.Answer, error) {
+	return link.Call[gossip.Answer](ctx, c.wire, address, "/ring/beat", b)
 }
 
-func (c ringCalls) Doubt(ctx context.Context, address string, d ring.Doubt) (ring.Silence, error) {
-	return link.Call[ring.Silence](ctx, c.wire, address, "/ring/doubt", d)
+func (c ringCalls) Doubt(ctx context.Context, address string, d gossip.Doubt) (gossip.Silence, error) {
+	return link.Call[gossip.Silence](ctx, c.wire, address, "/ring/doubt", d)
 }
 
 // newRing makes a daemon's place on the ring and opens its endpoints.
-func newRing(host Host, role string, wire *link.Wire) *ring.Ring {
+func newRing(host Host, role string, wire *link.Wire) *gossip.Ring {
 	step := host.RingStep
 	if step == 0 {
 		step = ringStep
 	}
-	return ring.New(ring.Options{
-		Self:  ring.Daemon{Name: host.Name, Role: role, Zone: host.Zone, Address: host.Address},
+	return gossip.New(gossip.Options{
+		Self:  gossip.Daemon{Name: host.Name, Role: role, Zone: host.Zone, Address: host.Address},
 		Seeds: host.Seeds, Calls: ringCalls{wire}, Step: step, Watchers: watchers, Log: host.Log, Seed: register.Weight("seed", host.Name),
 	})
 }
 
-func serveRing(mux *http.ServeMux, fleet string, r *ring.Ring) {
+func serveRing(mux *http.ServeMux, fleet string, r *gossip.Ring) {
 	mux.Handle("POST /ring/beat", link.Serve(fleet, r.Heard))
 	mux.Handle("POST /ring/doubt", link.Serve(fleet, r.Doubted))
 }
 
-func ringRows(r *ring.Ring) (rows []router.Row) {
+func ringRows(r *gossip.Ring) (rows []router.Row) {
 	for _, d := range r.All() {
 		rows = append(rows, router.Row{"name": d.Name, "role": d.Role, "zone": d.Zone, "address": d.Address, "live": !d.Down, "life": d.Life})
 	}
--- a/ring/ring.go
+++ b/gossip/ring.go
@@ -1,6 +1,6 @@
-// Package ring is how the daemons know each other: each sends heartbeats to a few watchers that its place on a ring names, and a daemon
+// Package gossip is how the daemons know each other: each sends heartbeats to a few watchers that its place on a ring names, and a daemon
 // counts as down only when its watchers agree (docs/design.md §3.4).
-package ring
+package gossip
 
 import (
 	"cmp"
--- a/ring/ring_test.go
+++ b/gossip/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package gossip
 
 import (
 	"cmp"
