--- a/history/history.go
+++ b/linearizability/history.go
@@ -1,6 +1,6 @@
-// Package history judges what operators were told. It records the declarations of numbered configurations and the reads, with the order
+// Package linearizability judges what operators were told. It records the declarations of numbered configurations and the reads, with the order
 // of their beginnings and ends, and decides whether one linearizable sequence of versions explains all of them.
-package history
+package linearizability
 
 import (
 	"fmt"
--- a/history/history_test.go
+++ b/linearizability/history_test.go
@@ -1,4 +1,4 @@
-package history
+package linearizability
 
 import (
 	"fmt"
--- a/register/model_test.go
+++ b/register/model_test.go
@@ -15,7 +15,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/history"
+	"asterridge/linearizability"
 	"asterridge/register"
 	"asterridge/sim"
 )
@@ -115,7 +115,7 @@
 	scenario scenario
 	left     budget
 	members  []*member
-	history  *history.Recorder
+	history  *linearizability.Recorder
 	steps    int
 
 	mu       sync.Mutex
@@ -134,7 +134,7 @@
 const modelKey = config.Key
 
 func newModel(t *testing.T, s scenario) *model {
-	c := &model{t: t, scenario: s, left: s.faults, history: &history.Recorder{}, contents: map[register.Revision]string{}, running: map[*call]int{}, cuts: map[route]bool{}}
+	c := &model{t: t, scenario: s, left: s.faults, history: &linearizability.Recorder{}, contents: map[register.Revision]string{}, running: map[*call]int{}, cuts: map[route]bool{}}
 	for i := range s.size {
 		c.members = append(c.members, &member{disk: sim.NewDisk()})
 		c.start(i)
@@ -440,13 +440,13 @@
 			now := acceptor.Read(modelKey)
 			shown := now.Revision == revision || revision.Less(now.Revision) && now.IsSettled() // as a core's read does; it would wait for the rest
 			if c.ends(o, life) && err == nil && shown {
-				done(config.Number(now.Fields), history.Items(config.Texts(now.Fields)))
+				done(config.Number(now.Fields), linearizability.Items(config.Texts(now.Fields)))
 				c.note(fmt.Sprint("shows ", config.Number(now.Fields), ": ", o))
 			}
 		}()
 		return
 	}
-	done := c.history.Declare(history.Of(*o.declaration))
+	done := c.history.Declare(linearizability.Of(*o.declaration))
 	go func() {
 		_, err := owner.Change(context.Background(), modelKey, func(now register.Fields, version uint64) (register.Fields, error) {
 			return config.Declare(now, version, *o.declaration)
@@ -454,8 +454,8 @@
 		if !c.ends(o, life) {
 			return
 		}
-		outcome := history.OutcomeOf(err)
-		if outcome == history.Acknowledged {
+		outcome := linearizability.OutcomeOf(err)
+		if outcome == linearizability.Acknowledged {
 			c.mu.Lock()
 			c.yes = append(c.yes, o.declaration.Order[0])
 			c.mu.Unlock()
--- a/register/random_test.go
+++ b/register/random_test.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"testing"
 
-	"asterridge/history"
+	"asterridge/linearizability"
 )
 
 var (
@@ -60,7 +60,7 @@
 	o := &operators{random: random}
 	s := scenario{size: 3 + random.IntN(3), orders: []call{declare(0, 1, 0, "a")}, plant: p,
 		faults: budget{losses: random.IntN(20), delays: random.IntN(20), doubles: random.IntN(10), restarts: random.IntN(20)}}
-	var told *history.Recorder
+	var told *linearizability.Recorder
 	path, fault = play(t, s, 0, func(c *model, open []choice) int {
 		told = c.history
 		ending := c.steps >= randomSteps
@@ -74,7 +74,7 @@
 		}
 		return pick(random, open, ending)
 	})
-	return path, told.Count(history.Acknowledged), fault
+	return path, told.Count(linearizability.Acknowledged), fault
 }
 
 // pick draws a kind of step first, so that many messages under way do not make other kinds rare; at the end no faults. Cuts are mended
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -17,7 +17,7 @@
 
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/history"
+	"asterridge/linearizability"
 )
 
 var (
@@ -28,7 +28,7 @@
 // operators declare, race, repeat and read at a fleet's cores, and record all of it.
 type operators struct {
 	*Fleet
-	history history.Recorder
+	history linearizability.Recorder
 	mu      sync.Mutex
 	random  *rand.Rand
 	newest  uint64 // the highest number that was acknowledged or read
@@ -62,14 +62,14 @@
 	if !serving {
 		return errDead
 	}
-	done := o.history.Declare(history.Of(d))
+	done := o.history.Declare(linearizability.Of(d))
 	short, stop := context.WithTimeout(context.Background(), patience)
 	defer stop()
 	err := core.Declare(short, d)
 	if now, isServing := o.serving(i); !isServing || now != core {
 		return errDead
 	}
-	done(history.OutcomeOf(err))
+	done(linearizability.OutcomeOf(err))
 	if err == nil {
 		o.saw(d.Number)
 	}
@@ -89,7 +89,7 @@
 		return 0, errDead
 	}
 	if err == nil {
-		done(number, history.Items(texts))
+		done(number, linearizability.Items(texts))
 		o.saw(number)
 	}
 	return number, err
@@ -347,12 +347,12 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			o, fault := playOperators(t, seed)
-			t.Logf("seed %d: %d acknowledged, %d refused, %d rejected, %d unclear", seed, o.history.Count(history.Acknowledged), o.history.Count(history.Refused),
-				o.history.Count(history.Rejected), o.history.Count(history.Unclear))
+			t.Logf("seed %d: %d acknowledged, %d refused, %d rejected, %d unclear", seed, o.history.Count(linearizability.Acknowledged), o.history.Count(linearizability.Refused),
+				o.history.Count(linearizability.Rejected), o.history.Count(linearizability.Unclear))
 			if fault != nil {
 				t.Errorf("seed %d (-operator-seeds 1 -operator-first %d): %v", seed, seed, fault)
 			}
-			is.New(t).True(o.history.Count(history.Acknowledged) > 20)
+			is.New(t).True(o.history.Count(linearizability.Acknowledged) > 20)
 		})
 	}
 }
