--- a/cmd/fleet/retire.go
+++ b/cmd/fleet/retire.go
@@ -34,12 +34,12 @@
 
 // retire moves three adapters to another base under their own callers, and has the old base dropped everywhere.
 func retire(ctx context.Context, f *fleet) error {
-	return move(ctx, f, func(*watch) error { return nil })
+	return move(ctx, f, func(*retirementWatcher) error { return nil })
 }
 
 // retireKill kills the core that has the duty as soon as the first route has switched, and the next one at the first drop.
 func retireKill(ctx context.Context, f *fleet) error {
-	return move(ctx, f, func(w *watch) error {
+	return move(ctx, f, func(w *retirementWatcher) error {
 		for _, step := range []struct{ kind, column, value string }{{"adapter", "phase", "switched"}, {"retirement", "phase", "dropping"}} {
 			holder := ""
 			err := eventually(ctx, 60*time.Second, "it is "+step.value, func() bool {
@@ -66,11 +66,11 @@
 	})
 }
 
-func move(ctx context.Context, f *fleet, disturb func(w *watch) error) error {
+func move(ctx context.Context, f *fleet, disturb func(w *retirementWatcher) error) error {
 	if _, err := f.order(ctx, config.Key, daemon.ConfigOrder{Text: []byte(adapters), Partial: true}); err != nil {
 		return err
 	}
-	w := &watch{fleet: f, began: time.Now(), shown: map[string]string{}}
+	w := &retirementWatcher{fleet: f, began: time.Now(), shown: map[string]string{}}
 	if err := eventually(ctx, 90*time.Second, "every replica has its adapters", func() bool { return w.count("replica", "waits_for", "") == f.options.replicas }); err != nil {
 		return err
 	}
@@ -112,8 +112,8 @@
 	f.probed = append(f.probed, a)
 }
 
-// watch prints a line whenever an adapter or the retirement goes on, and notes in the fact log where routes lead.
-type watch struct {
+// retirementWatcher prints a line whenever an adapter or the retirement goes on, and notes in the fact log where routes lead.
+type retirementWatcher struct {
 	fleet *fleet
 	began time.Time
 	shown map[string]string
@@ -121,12 +121,12 @@
 	holder string // of the duty, as last seen
 }
 
-func (w *watch) say(format string, args ...any) {
+func (w *retirementWatcher) say(format string, args ...any) {
 	fmt.Printf("%6.1f s  %s\n", time.Since(w.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // count looks at the retirement, and says how many rows of a kind have a value in a column.
-func (w *watch) count(kind, column, value string) (n int) {
+func (w *retirementWatcher) count(kind, column, value string) (n int) {
 	for _, row := range w.fleet.query("retirement") {
 		name, line := fmt.Sprint(row["name"]), fmt.Sprintf("%s %s: %s", row["kind"], row["name"], row["phase"])
 		waits := fmt.Sprint(row["waits_for"])
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -22,8 +22,8 @@
 	"asterridge/config"
 	"asterridge/daemon"
 	"asterridge/disk"
-	"asterridge/link"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // setup says which daemons a child has, and how they are set.
@@ -205,11 +205,11 @@
 }
 
 // hosts gives the network as a host sees it that has this IP number.
-type hosts func(ip string) link.Net
+type hosts func(ip string) watch.Net
 
 // onLoopback are hosts on this machine, at loopback addresses of their own.
-func onLoopback(ip string) link.Net {
-	network := &link.TCP{}
+func onLoopback(ip string) watch.Net {
+	network := &watch.TCP{}
 	network.LocalAddr = &net.TCPAddr{IP: net.ParseIP(ip)}
 	return network
 }
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -12,10 +12,10 @@
 	"asterridge/config"
 	"asterridge/disk"
 	"asterridge/gossip"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/throttle"
+	"asterridge/watch"
 )
 
 // The limits of §3.2.
@@ -31,17 +31,17 @@
 	host    Host
 	options AgentOptions
 	dialect router.Dialect
-	wire    *link.Wire
+	wire    *watch.Wire
 	plain   *http.Client
-	source  *link.Source
+	source  *watch.Source
 	table   *throttle.Table
 	ring    *gossip.Ring
 	disk    disk.Disk // may be nil: then what was learned of the cores is lost with the process
 
 	mu           sync.Mutex
 	members      []config.Member
-	prior        []config.Member           // the list before, while keys are carried over from it
-	links        map[string]*link.Follower // by core's address
+	prior        []config.Member            // the list before, while keys are carried over from it
+	links        map[string]*watch.Follower // by core's address
 	applied      map[string]register.Revision
 	undecided    map[string]doubt
 	until        time.Time // current until then, as last worked out
@@ -81,13 +81,13 @@
 	}
 	a := &Agent{
 		disk: d, options: options,
-		host: host, dialect: options.Dialect, wire: link.NewWire(host.Fleet, host.Net),
+		host: host, dialect: options.Dialect, wire: watch.NewWire(host.Fleet, host.Net),
 		plain: newPlain(host.Net),
-		links: map[string]*link.Follower{}, applied: map[string]register.Revision{}, undecided: map[string]doubt{},
+		links: map[string]*watch.Follower{}, applied: map[string]register.Revision{}, undecided: map[string]doubt{},
 		why: "no core found yet", proxies: register.Fields{}, silent: map[string]bool{}, readers: map[string]string{}, replicas: map[string]context.CancelFunc{}, watched: map[string]config.Replica{},
 	}
 	a.ring = newRing(host, "agent", a.wire)
-	a.source = link.NewSource(link.SourceOptions{Remaining: a.remaining})
+	a.source = watch.NewSource(watch.SourceOptions{Remaining: a.remaining})
 	a.table = throttle.NewTable(func(e throttle.Entry) {
 		raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
 		a.source.Put(router.HoldKey, register.Revision{}, register.Revision{}, register.Fields{e.Scope: raw}, false)
@@ -105,15 +105,15 @@
 		a.seeOff()
 	}()
 	mux, fleet := http.NewServeMux(), a.host.Fleet
-	mux.Handle("POST /agent/pull", link.Serve(fleet, a.source.Pull))
-	mux.Handle("POST /agent/hold", link.Serve(fleet, a.tellHold))
-	mux.Handle("POST /agent/claim", link.Serve(fleet, a.claim))
+	mux.Handle("POST /agent/pull", watch.Serve(fleet, a.source.Pull))
+	mux.Handle("POST /agent/hold", watch.Serve(fleet, a.tellHold))
+	mux.Handle("POST /agent/claim", watch.Serve(fleet, a.claim))
 	outer := http.NewServeMux()
 	serveRing(outer, fleet, a.ring)
 	serveMetrics(outer, a.figures)
-	outer.Handle("POST /agent/query", link.Serve(fleet, a.query))
-	outer.Handle("POST /core/hello", link.Serve(fleet, a.hello))
-	link.ServeReady(outer, func() bool { return a.remaining() > 0 })
+	outer.Handle("POST /agent/query", watch.Serve(fleet, a.query))
+	outer.Handle("POST /core/hello", watch.Serve(fleet, a.hello))
+	watch.ServeReady(outer, func() bool { return a.remaining() > 0 })
 	go every(ctx, helloTime, func() { a.discover(ctx) })
 	go every(ctx, keptStep, a.changeReaders)
 	go a.ring.Run(ctx)
@@ -130,7 +130,7 @@
 		for _, s := range a.source.FollowerStates(liveTime) {
 			ok = ok || s.Role == "proxy"
 		}
-		if !ok || link.Pause(context.Background(), helloTime) != nil {
+		if !ok || watch.Pause(context.Background(), helloTime) != nil {
 			return
 		}
 	}
@@ -153,7 +153,7 @@
 	}
 	for _, seed := range a.asked() {
 		short, stop := context.WithTimeout(ctx, time.Second)
-		h, err := link.Call[Hello](short, a.wire, seed, "/core/hello", Hello{})
+		h, err := watch.Call[Hello](short, a.wire, seed, "/core/hello", Hello{})
 		stop()
 		if err == nil && len(h.Members) > 0 {
 			a.connect(ctx, h.Members)
@@ -211,15 +211,15 @@
 	}
 	for _, m := range slices.Concat(a.members, a.prior) {
 		if a.links[m.Address] == nil {
-			f := link.NewFollower(link.FollowerOptions{
+			f := watch.NewFollower(watch.FollowerOptions{
 				Wire: a.wire, Address: m.Address, Path: "/core/pull", Wait: a.options.LinkWait, Ask: a.ask,
-				News: func(f *link.Follower, answer link.Answer) { // the rest is looked at in digest, which follows each answer
+				News: func(f *watch.Follower, answer watch.Answer) { // the rest is looked at in digest, which follows each answer
 					takeHolds(a.table)(f, answer)
 					a.takeKept(f, answer)
 					a.takeNamed(answer)
 					a.takeOccupancy(answer)
 				},
-				Fresh: func(*link.Follower, time.Time, time.Duration) { a.digest(ctx) },
+				Fresh: func(*watch.Follower, time.Time, time.Duration) { a.digest(ctx) },
 			})
 			a.links[m.Address] = f
 			go f.Run(ctx)
@@ -231,9 +231,9 @@
 	return slices.ContainsFunc(members, func(m config.Member) bool { return m.Address == address })
 }
 
-func (a *Agent) ask() link.Ask {
+func (a *Agent) ask() watch.Ask {
 	status := AgentStatus{Address: a.host.Address, Zone: a.host.Zone, Current: a.remaining() > 0}
-	ask := link.Ask{Name: a.host.Name, Role: "agent"}
+	ask := watch.Ask{Name: a.host.Name, Role: "agent"}
 	for _, s := range a.source.FollowerStates(liveTime) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
@@ -248,8 +248,8 @@
 }
 
 // takeHolds merges the running holds of a link's answer; cores take them from each other by it, too.
-func takeHolds(table *throttle.Table) func(*link.Follower, link.Answer) {
-	return func(_ *link.Follower, answer link.Answer) {
+func takeHolds(table *throttle.Table) func(*watch.Follower, watch.Answer) {
+	return func(_ *watch.Follower, answer watch.Answer) {
 		for _, e := range answer.Entries {
 			if e.Key == router.HoldKey {
 				table.Learn(e.Fields, e.AgesMs)
@@ -282,7 +282,7 @@
 }
 
 // takeOccupancy passes on the load of replicas; an older word than was had does no harm for long.
-func (a *Agent) takeOccupancy(answer link.Answer) {
+func (a *Agent) takeOccupancy(answer watch.Answer) {
 	for _, e := range answer.Entries {
 		if e.Key == router.OccupancyKey && len(e.Fields) > 0 && !answer.Snapshot {
 			a.source.PutSoon(e.Key, e.Fields, false)
@@ -291,7 +291,7 @@
 }
 
 // takeNamed passes on since when versions are named, as the core knows it that has known it for longest.
-func (a *Agent) takeNamed(answer link.Answer) {
+func (a *Agent) takeNamed(answer watch.Answer) {
 	for _, e := range answer.Entries {
 		if e.Key != router.NamedKey {
 			continue
--- a/daemon/agent_calls.go
+++ b/daemon/agent_calls.go
@@ -9,10 +9,10 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/throttle"
+	"asterridge/watch"
 )
 
 // tellHold passes a throttle on to all cores at once, so that one that is gone delays nobody; the scope's owner also keeps it. One answer is enough.
@@ -31,7 +31,7 @@
 		go func() {
 			short, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*majorityWait)
 			defer stop()
-			_, err := link.Call[struct{}](short, a.wire, m.Address, path, n)
+			_, err := watch.Call[struct{}](short, a.wire, m.Address, path, n)
 			told <- err
 		}()
 	}
@@ -46,7 +46,7 @@
 
 // liveCores lists the members that answer, the one that would own the key first. Who answers in this moment counts, however long ago its
 // ask was sent.
-func (a *Agent) liveCores(key string, answering ...*link.Follower) (live []config.Member) {
+func (a *Agent) liveCores(key string, answering ...*watch.Follower) (live []config.Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.members {
@@ -79,7 +79,7 @@
 	err := error(apierror.New(apierror.Unreachable, "no core answers"))
 	for _, m := range cores[:min(2, len(cores))] {
 		short, stop := context.WithTimeout(ctx, 2*majorityWait)
-		answer, err = link.Call[A](short, a.wire, m.Address, path, q)
+		answer, err = watch.Call[A](short, a.wire, m.Address, path, q)
 		stop()
 		if err == nil || !mayPass(err) {
 			return answer, err
@@ -93,7 +93,7 @@
 	for _, s := range a.source.FollowerStates(proxyTime) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil && p.Admin != "" {
-			return link.Call[[]router.Row](ctx, a.wire, p.Admin, "/proxy/query", q)
+			return watch.Call[[]router.Row](ctx, a.wire, p.Admin, "/proxy/query", q)
 		}
 	}
 	return nil, apierror.New(apierror.Unreachable, "no proxy beside %s", a.host.Name)
--- a/daemon/agent_currency.go
+++ b/daemon/agent_currency.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // doubt is a version seen that may be accepted, and since when it counts.
@@ -110,7 +110,7 @@
 }
 
 // stands says whether a majority of each list fits.
-func (a *Agent) stands(fits func(f *link.Follower) bool) bool {
+func (a *Agent) stands(fits func(f *watch.Follower) bool) bool {
 	for _, list := range a.lists() {
 		count := 0
 		for _, m := range list {
@@ -148,13 +148,13 @@
 // decide applies the highest accepted version of a key. If a higher one may be accepted too, it gives the end of the grace.
 func (a *Agent) decide(key string, now time.Time, wasCurrent bool) (end time.Time, isOpen bool) {
 	best, top := a.applied[key], a.applied[key]
-	var from *link.Follower
+	var from *watch.Follower
 	for _, f := range a.links {
 		revision, settled := f.Revisions(key)
 		if top.Less(revision) {
 			top = revision
 		}
-		if best.Less(revision) && (register.IsSettled(revision, settled) || a.stands(func(other *link.Follower) bool {
+		if best.Less(revision) && (register.IsSettled(revision, settled) || a.stands(func(other *watch.Follower) bool {
 			has, _ := other.Revisions(key)
 			return has == revision
 		})) {
--- a/daemon/catchup.go
+++ b/daemon/catchup.go
@@ -4,9 +4,9 @@
 	"sync"
 	"sync/atomic"
 
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // keysAtOnce is how many keys are caught up or carried over at the same time.
@@ -31,7 +31,7 @@
 }
 
 // catchUp adopts settled content that this disk lacks (§2.4), and says how many keys it could not take.
-func (c *Core) catchUp(f *link.Follower) (failed int) {
+func (c *Core) catchUp(f *watch.Follower) (failed int) {
 	var behind []string
 	for _, key := range f.Keys() {
 		revision, settled := f.Revisions(key)
@@ -47,7 +47,7 @@
 }
 
 // adopt takes over a key's content as another core has it, if that is settled still.
-func (c *Core) adopt(key string, held link.Held) error {
+func (c *Core) adopt(key string, held watch.Held) error {
 	if !register.IsSettled(held.Revision, held.Settled) {
 		return nil
 	}
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -16,10 +16,10 @@
 	"asterridge/config"
 	"asterridge/disk"
 	"asterridge/gossip"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/throttle"
+	"asterridge/watch"
 )
 
 const (
@@ -42,12 +42,12 @@
 	disk        disk.Disk
 	incarnation string
 	mayFound    bool // this disk is from the fleet's very first start (§2.6)
-	wire        *link.Wire
+	wire        *watch.Wire
 	plain       *http.Client // for the replicas of adapters (§6.6)
 	acceptor    *register.Acceptor
 	owner       *register.Owner
-	cores       *link.Source // for the other cores: every key
-	data        *link.Source // for the agents
+	cores       *watch.Source // for the other cores: every key
+	data        *watch.Source // for the agents
 	table       *throttle.Table
 	ring        *gossip.Ring
 	isDamaged   atomic.Bool // a torn file: this core's word counts for nobody until it has caught up (§2.5)
@@ -76,8 +76,8 @@
 	claims map[string]time.Time // when this process first saw a request's claim; of the pruning alone
 
 	mu        sync.Mutex
-	followers map[string]*link.Follower // by member name
-	met       map[string]string         // founding: address → incarnation
+	followers map[string]*watch.Follower // by member name
+	met       map[string]string          // founding: address → incarnation
 	unsettled map[string]time.Time
 	joiners   map[string]joiner // by name: cores that would be members
 	silence   silence           // of the members
@@ -103,19 +103,19 @@
 // NewCore opens the disk and loads what it has.
 func NewCore(host Host, d disk.Disk, options CoreOptions) (*Core, error) {
 	c := &Core{
-		host: host, options: options, disk: d, wire: link.NewWire(host.Fleet, host.Net), plain: newPlain(host.Net),
-		followers: map[string]*link.Follower{}, met: map[string]string{}, unsettled: map[string]time.Time{}, joiners: map[string]joiner{},
+		host: host, options: options, disk: d, wire: watch.NewWire(host.Fleet, host.Net), plain: newPlain(host.Net),
+		followers: map[string]*watch.Follower{}, met: map[string]string{}, unsettled: map[string]time.Time{}, joiners: map[string]joiner{},
 		listNews: make(chan struct{}), nudges: make(chan struct{}, 1), noting: make(chan struct{}, 1),
 	}
 	c.table = throttle.NewTable(c.holdNews)
 	c.ring = newRing(host, "core", c.wire)
-	who := link.SourceOptions{Who: func() string {
+	who := watch.SourceOptions{Who: func() string {
 		if c.membership().self == nil || c.isDamaged.Load() {
 			return ""
 		}
 		return c.incarnation
 	}}
-	c.cores, c.data = link.NewSource(who), link.NewSource(who)
+	c.cores, c.data = watch.NewSource(who), watch.NewSource(who)
 	if err := c.identify(); err != nil {
 		return nil, err
 	}
@@ -257,23 +257,23 @@
 
 func (c *Core) handler() http.Handler {
 	mux, fleet := http.NewServeMux(), c.host.Fleet
-	mux.Handle("POST /core/hello", link.Serve(fleet, c.hello))
-	mux.Handle("POST /core/pull", link.Serve(fleet, c.data.Pull))
-	mux.Handle("POST /core/whole", link.Serve(fleet, c.cores.Pull))
-	mux.Handle("POST /core/hold", link.Serve(fleet, c.shareHold))
-	mux.Handle("POST /register/promise", link.Serve(fleet, c.promise))
-	mux.Handle("POST /register/confirm", link.Serve(fleet, c.confirm))
-	mux.Handle("POST /register/accept", link.Serve(fleet, c.accept))
-	mux.Handle("POST /register/settle", link.Serve(fleet, c.settle))
+	mux.Handle("POST /core/hello", watch.Serve(fleet, c.hello))
+	mux.Handle("POST /core/pull", watch.Serve(fleet, c.data.Pull))
+	mux.Handle("POST /core/whole", watch.Serve(fleet, c.cores.Pull))
+	mux.Handle("POST /core/hold", watch.Serve(fleet, c.shareHold))
+	mux.Handle("POST /register/promise", watch.Serve(fleet, c.promise))
+	mux.Handle("POST /register/confirm", watch.Serve(fleet, c.confirm))
+	mux.Handle("POST /register/accept", watch.Serve(fleet, c.accept))
+	mux.Handle("POST /register/settle", watch.Serve(fleet, c.settle))
 	serveRing(mux, fleet, c.ring)
 	serveMetrics(mux, c.figures)
-	mux.Handle("POST /query", link.Serve(fleet, c.Query))
-	link.ServeReady(mux, func() bool {
+	mux.Handle("POST /query", watch.Serve(fleet, c.Query))
+	watch.ServeReady(mux, func() bool {
 		now := c.membership()
 		return now.self != nil && len(c.live()) >= majorityOf(len(now.members))
 	})
 	if c.options.Backend != nil {
-		mux.Handle("POST /core/list", link.Serve(fleet, c.listFor))
+		mux.Handle("POST /core/list", watch.Serve(fleet, c.listFor))
 	}
 	op(mux, c, config.Key, func(ConfigOrder) string { return config.Key }, c.orderConfig, false)
 	op(mux, c, "keys", func(o KeyOrder) string { return config.KeysPrefix + o.Tenant }, c.orderKey, true)
@@ -309,7 +309,7 @@
 		}
 		short, stop := context.WithTimeout(ctx, 2*majorityWait)
 		defer stop()
-		answer, err := link.Call[A](short, c.wire, c.addressOf(owner), "/own/"+name, q)
+		answer, err := watch.Call[A](short, c.wire, c.addressOf(owner), "/own/"+name, q)
 		var dial *net.OpError
 		unasked := errors.As(err, &dial) && dial.Op == "dial"
 		switch {
@@ -326,8 +326,8 @@
 		}
 		return none, apierror.New(apierror.Undecided, "the owner %s did not answer: %v", owner, err)
 	}
-	mux.Handle("POST /own/"+name, link.Serve(c.host.Fleet, do))
-	mux.Handle("POST /op/"+name, link.Serve(c.host.Fleet, anywhere))
+	mux.Handle("POST /own/"+name, watch.Serve(c.host.Fleet, do))
+	mux.Handle("POST /op/"+name, watch.Serve(c.host.Fleet, anywhere))
 	return anywhere
 }
 
@@ -371,7 +371,7 @@
 		case <-c.nudges:
 		}
 		c.beat(ctx)
-		if link.Pause(ctx, leastBeatTime) != nil {
+		if watch.Pause(ctx, leastBeatTime) != nil {
 			return
 		}
 	}
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // live names the members heard lately, this one included.
@@ -37,22 +37,22 @@
 	}
 	for _, m := range now.members {
 		if m.Incarnation != c.incarnation && c.followers[m.Name] == nil {
-			f := link.NewFollower(link.FollowerOptions{
+			f := watch.NewFollower(watch.FollowerOptions{
 				Wire: c.wire, Address: m.Address, Path: "/core/whole", Wait: c.linkWait(),
-				News: func(f *link.Follower, answer link.Answer) {
+				News: func(f *watch.Follower, answer watch.Answer) {
 					takeHolds(c.table)(f, answer)
 					c.takeShared(answer)
 					if answer.Snapshot {
 						c.nudge() // there is much to catch up on
 					}
 				},
-				Ask: func() link.Ask { return link.Ask{Name: c.host.Name, Role: "core"} },
+				Ask: func() watch.Ask { return watch.Ask{Name: c.host.Name, Role: "core"} },
 			})
 			c.followers[m.Name] = f
 			go f.Run(ctx)
 		}
 	}
-	peers := make([]*link.Follower, 0, len(c.followers))
+	peers := make([]*watch.Follower, 0, len(c.followers))
 	for _, f := range c.followers {
 		peers = append(peers, f)
 	}
@@ -103,7 +103,7 @@
 			go func() {
 				short, stop := context.WithTimeout(ctx, majorityWait)
 				defer stop()
-				_, _ = link.Call[SettleAnswer](short, c.wire, c.addressOf(owner), "/own/settle", SettleOrder{Key: key, Has: c.acceptor.Revision(key)})
+				_, _ = watch.Call[SettleAnswer](short, c.wire, c.addressOf(owner), "/own/settle", SettleOrder{Key: key, Has: c.acceptor.Revision(key)})
 			}()
 		}
 	}
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 const (
@@ -96,7 +96,7 @@
 				c.tellKept(key, c.kept.drop(key), true)
 				up, place = false, KeptPlace{}
 			}
-			_ = link.Pause(ctx, keptPause) // the loop looks at the context
+			_ = watch.Pause(ctx, keptPause) // the loop looks at the context
 			continue
 		}
 		if !up {
@@ -111,7 +111,7 @@
 		if len(fields) > 0 {
 			c.tellKept(key, fields, full)
 		}
-		_ = link.Pause(ctx, keptPause)
+		_ = watch.Pause(ctx, keptPause)
 	}
 }
 
@@ -134,7 +134,7 @@
 }
 
 // takeShared learns of stores from the core that reads them.
-func (c *Core) takeShared(answer link.Answer) {
+func (c *Core) takeShared(answer watch.Answer) {
 	for _, e := range answer.Entries {
 		if isStore(e.Key) && len(e.Fields) > 0 {
 			c.learnShared(e.Key, e.Fields, answer.Snapshot)
@@ -240,7 +240,7 @@
 }
 
 // takeKept passes on what a core has read of the sources that are assigned to it.
-func (a *Agent) takeKept(f *link.Follower, answer link.Answer) {
+func (a *Agent) takeKept(f *watch.Follower, answer watch.Answer) {
 	for _, e := range answer.Entries {
 		if !strings.HasPrefix(e.Key, router.KeptPrefix) {
 			continue
--- a/daemon/kept_test.go
+++ b/daemon/kept_test.go
@@ -7,23 +7,23 @@
 	"github.com/rs/zerolog"
 
 	"asterridge/config"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // A core whose answer was long on its way still counts as the reader of its sources, though all are silent by their last answers (§6.4).
 func TestNewsOfKeptPromptsCountHoweverLongTheyTook(t *testing.T) {
 	is := is.New(t)
-	a := NewAgent(Host{Name: "agent-1", Net: &link.TCP{}, Log: zerolog.Nop()}, nil, AgentOptions{})
+	a := NewAgent(Host{Name: "agent-1", Net: &watch.TCP{}, Log: zerolog.Nop()}, nil, AgentOptions{})
 	for _, name := range []string{"core-1", "core-2", "core-3", "core-4"} {
 		a.members = append(a.members, config.Member{Name: name, Address: name})
-		a.links[name] = link.NewFollower(link.FollowerOptions{Address: name}) // its asks were never answered, or long ago
+		a.links[name] = watch.NewFollower(watch.FollowerOptions{Address: name}) // its asks were never answered, or long ago
 	}
 	key := router.KeptPrefix + "replica-1"
-	answer := link.Answer{Snapshot: true, Entries: []link.Entry{{Key: key, Fields: register.Fields{"block": []byte("7")}}}}
+	answer := watch.Answer{Snapshot: true, Entries: []watch.Entry{{Key: key, Fields: register.Fields{"block": []byte("7")}}}}
 	a.takeKept(a.links["core-3"], answer)
-	got, err := a.source.Pull(t.Context(), link.Ask{Name: "proxy"})
+	got, err := a.source.Pull(t.Context(), watch.Ask{Name: "proxy"})
 	is.NoErr(err)
 	is.Equal(len(got.Entries), 1)
 	is.Equal(string(got.Entries[0].Fields["block"]), "7")
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -10,18 +10,18 @@
 	"asterridge/golden"
 	"asterridge/gossip"
 	"asterridge/lease"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/throttle"
+	"asterridge/watch"
 )
 
 // What daemons of this build say to each other keeps the form that earlier builds read; so do the records that cores store.
 func TestMessagesKeepTheirForm(t *testing.T) {
 	golden.CompareMessages(t, "testdata/messages.txt", []golden.Message{
 		{Name: "POST /core/hello: question and answer", Type: Hello{}},
-		{Name: "POST /core/pull, /core/whole, /agent/pull: question", Type: link.Ask{}},
-		{Name: "POST /core/pull, /core/whole, /agent/pull: answer", Type: link.Answer{}},
+		{Name: "POST /core/pull, /core/whole, /agent/pull: question", Type: watch.Ask{}},
+		{Name: "POST /core/pull, /core/whole, /agent/pull: answer", Type: watch.Answer{}},
 		{Name: "status of an agent, within the question of its link", Type: AgentStatus{}},
 		{Name: "status of a proxy, within the question of its link", Type: router.Status{}},
 		{Name: "POST /core/hold, /agent/hold, /op/hold", Type: throttle.Notice{}},
--- a/daemon/proxy.go
+++ b/daemon/proxy.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"asterridge/link"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // Proxy is the thin daemon over the router library.
@@ -76,7 +76,7 @@
 	p.Router.Leave()
 	if p.options.Linger > 0 {
 		server.SetKeepAlivesEnabled(false) // each answer ends its connection
-		_ = link.Pause(last, p.options.Linger)
+		_ = watch.Pause(last, p.options.Linger)
 	}
 	p.Router.Stop(last)
 	if server.Shutdown(last) != nil {
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -10,9 +10,9 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // Query asks for rows; where keeps those whose field has the value.
@@ -112,7 +112,7 @@
 				continue
 			}
 			short, stop := context.WithTimeout(ctx, 2*time.Second)
-			rows, err := link.Call[[]router.Row](short, c.wire, status.Address, "/agent/query", ask)
+			rows, err := watch.Call[[]router.Row](short, c.wire, status.Address, "/agent/query", ask)
 			stop()
 			if err != nil {
 				a.Silent = append(a.Silent, s.Name)
--- a/daemon/ring.go
+++ b/daemon/ring.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"asterridge/gossip"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 const (
@@ -17,18 +17,18 @@
 )
 
 // ringCalls are the ring's messages over the wire.
-type ringCalls struct{ wire *link.Wire }
+type ringCalls struct{ wire *watch.Wire }
 
 func (c ringCalls) Beat(ctx context.Context, address string, b gossip.Beat) (gossip.Answer, error) {
-	return link.Call[gossip.Answer](ctx, c.wire, address, "/ring/beat", b)
+	return watch.Call[gossip.Answer](ctx, c.wire, address, "/ring/beat", b)
 }
 
 func (c ringCalls) Doubt(ctx context.Context, address string, d gossip.Doubt) (gossip.Silence, error) {
-	return link.Call[gossip.Silence](ctx, c.wire, address, "/ring/doubt", d)
+	return watch.Call[gossip.Silence](ctx, c.wire, address, "/ring/doubt", d)
 }
 
 // newRing makes a daemon's place on the ring and opens its endpoints.
-func newRing(host Host, role string, wire *link.Wire) *gossip.Ring {
+func newRing(host Host, role string, wire *watch.Wire) *gossip.Ring {
 	step := host.RingStep
 	if step == 0 {
 		step = ringStep
@@ -40,8 +40,8 @@
 }
 
 func serveRing(mux *http.ServeMux, fleet string, r *gossip.Ring) {
-	mux.Handle("POST /ring/beat", link.Serve(fleet, r.Heard))
-	mux.Handle("POST /ring/doubt", link.Serve(fleet, r.Doubted))
+	mux.Handle("POST /ring/beat", watch.Serve(fleet, r.Heard))
+	mux.Handle("POST /ring/doubt", watch.Serve(fleet, r.Doubted))
 }
 
 func ringRows(r *gossip.Ring) (rows []router.Row) {
--- a/router/guard.go
+++ b/router/guard.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"asterridge/apierror"
-	"asterridge/link"
+	"asterridge/watch"
 )
 
 // What bounds the time between the last look and the replica having the request (§3.2).
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := link.Bound(c, ackLimit, sendBuffer); err != nil {
+	if err := watch.Bound(c, ackLimit, sendBuffer); err != nil {
 		_ = c.Close()
 		return nil, apierror.Wrap(err, apierror.Internal, "bound the connection")
 	}
--- a/router/news.go
+++ b/router/news.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/link"
 	"asterridge/register"
+	"asterridge/watch"
 )
 
 // news brings the router's state up to the agent's.
-func (r *Router) news(f *link.Follower, answer link.Answer) {
+func (r *Router) news(f *watch.Follower, answer watch.Answer) {
 	view := answer.Snapshot
 	for _, e := range answer.Entries {
 		switch {
@@ -117,7 +117,7 @@
 }
 
 // fresh extends the time for which the agent vouches, counted from when the ask was sent (§3.2).
-func (r *Router) fresh(_ *link.Follower, sent time.Time, remaining time.Duration) {
+func (r *Router) fresh(_ *watch.Follower, sent time.Time, remaining time.Duration) {
 	until := sent.Add(remaining)
 	if remaining <= 0 {
 		until = time.Time{}
--- a/router/query.go
+++ b/router/query.go
@@ -10,9 +10,9 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/link"
 	"asterridge/queue"
 	"asterridge/register"
+	"asterridge/watch"
 )
 
 // Row is one line of a query's result.
@@ -53,8 +53,8 @@
 // Admin serves the agent's queries and the platform's readiness check.
 func (r *Router) Admin() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /proxy/query", link.Serve(r.options.Fleet, r.Rows))
-	link.ServeReady(mux, r.IsReady)
+	mux.Handle("POST /proxy/query", watch.Serve(r.options.Fleet, r.Rows))
+	watch.ServeReady(mux, r.IsReady)
 	return mux
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -20,11 +20,11 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/link"
 	"asterridge/prefixindex"
 	"asterridge/queue"
 	"asterridge/register"
 	"asterridge/throttle"
+	"asterridge/watch"
 )
 
 // Keys that an agent makes itself, besides the registers.
@@ -50,7 +50,7 @@
 	Zone    string
 	Fleet   string
 	Agent   string // the agent's address on loopback
-	Net     link.Net
+	Net     watch.Net
 	Log     zerolog.Logger
 	Seed    uint64
 	Dialect Dialect
@@ -73,9 +73,9 @@
 type Router struct {
 	options     Options
 	log         zerolog.Logger
-	wire        *link.Wire
+	wire        *watch.Wire
 	upstream    *http.Transport
-	follower    *link.Follower
+	follower    *watch.Follower
 	names       indices
 	view        atomic.Pointer[View]
 	current     atomic.Pointer[time.Time] // vouched for until then
@@ -143,7 +143,7 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(options.Name))
 	r := &Router{
-		options: options, log: options.Log, wire: link.NewWire(options.Fleet, options.Net),
+		options: options, log: options.Log, wire: watch.NewWire(options.Fleet, options.Net),
 		upstream: &http.Transport{
 			MaxIdleConnsPerHost: 64, IdleConnTimeout: options.KeepAlive, DisableCompression: true,
 		},
@@ -161,7 +161,7 @@
 	r.queue = queue.New(queue.Options[credit]{
 		Pick: r.pick, Return: r.leaveUnused, HeldUntil: r.table.Last, ReleaseDelay: r.releaseDelay,
 	})
-	r.follower = link.NewFollower(link.FollowerOptions{
+	r.follower = watch.NewFollower(watch.FollowerOptions{
 		Wire: r.wire, Address: options.Agent, Path: "/agent/pull", Wait: options.AgentWait,
 		Ask: r.ask, News: r.news, Fresh: r.fresh,
 	})
@@ -200,12 +200,12 @@
 	Counts  map[string]int64 `json:"counts"`
 }
 
-func (r *Router) ask() link.Ask {
+func (r *Router) ask() watch.Ask {
 	r.noteCurrency()
 	status := Status{Proxy: r.options.Name, Run: r.run, Zone: r.options.Zone, Admin: r.options.Admin, Current: r.IsCurrent(),
 		Stop: r.stopping.Load(), Counts: r.counts.all()}
 	raw, _ := json.Marshal(status) // a plain struct always encodes
-	ask := link.Ask{Name: r.options.Name, Role: "proxy", Status: raw, Applied: map[string]register.Revision{}}
+	ask := watch.Ask{Name: r.options.Name, Role: "proxy", Status: raw, Applied: map[string]register.Revision{}}
 	if v := r.view.Load(); v != nil {
 		ask.Applied[config.Key] = v.Version
 	}
@@ -294,11 +294,11 @@
 			until := time.Now().Add(time.Duration(n.RemainingMs) * time.Millisecond)
 			for time.Now().Before(until) && ctx.Err() == nil {
 				n.RemainingMs = time.Until(until).Milliseconds()
-				_, err := link.Call[struct{}](ctx, r.wire, r.options.Agent, "/agent/hold", n)
+				_, err := watch.Call[struct{}](ctx, r.wire, r.options.Agent, "/agent/hold", n)
 				if err == nil {
 					break
 				}
-				_ = link.Pause(ctx, 100*time.Millisecond) // the loop looks at the context
+				_ = watch.Pause(ctx, 100*time.Millisecond) // the loop looks at the context
 			}
 		}
 	}
@@ -386,5 +386,5 @@
 	}
 	w.Header().Set("X-Ran", string(f.Code.Ran))
 	w.Header().Set("X-Result-Code", fmt.Sprint(f.Code.Number))
-	link.EncodeError(ctx, err, w)
+	watch.EncodeError(ctx, err, w)
 }
--- a/sim/disturbed_test.go
+++ b/sim/disturbed_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/link"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // Who waits for the time of an old version to end counts it anew when a core falls silent or returns (§6.5). An agent that hears nobody is the
@@ -59,9 +59,9 @@
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
 				var told atomic.Int64
-				watcher := link.NewFollower(link.FollowerOptions{Wire: f.Wire, Address: ProxyIP(0) + ":7001", Path: "/agent/pull", Wait: 100 * time.Millisecond,
-					Ask: func() link.Ask { return link.Ask{Name: "watcher", Role: "watcher"} },
-					News: func(_ *link.Follower, answer link.Answer) {
+				watcher := watch.NewFollower(watch.FollowerOptions{Wire: f.Wire, Address: ProxyIP(0) + ":7001", Path: "/agent/pull", Wait: 100 * time.Millisecond,
+					Ask: func() watch.Ask { return watch.Ask{Name: "watcher", Role: "watcher"} },
+					News: func(_ *watch.Follower, answer watch.Answer) {
 						for _, e := range answer.Entries {
 							if e.Key == router.DisturbedKey {
 								told.Add(1)
--- a/sim/loading_test.go
+++ b/sim/loading_test.go
@@ -11,15 +11,15 @@
 
 	"asterridge/config"
 	"asterridge/daemon"
-	"asterridge/link"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // loadLease is longer than a lease, so that its keeping shows.
 const loadLease = 20 * time.Second
 
 // rollout has a fleet with back ends, founded and declared, and a watcher of the reservations at each core.
-func rollout(t *testing.T, seed uint64, b *backends, d config.Declaration, play func(is *is.I, f *Fleet, watcher *link.Follower)) {
+func rollout(t *testing.T, seed uint64, b *backends, d config.Declaration, play func(is *is.I, f *Fleet, watcher *watch.Follower)) {
 	t.Helper()
 	o := b.options(seed)
 	o.Core.Lease = loadLease
@@ -41,8 +41,8 @@
 	})
 }
 
-// watch looks at the reservations again and again until the test ends; the function that it gives ends it.
-func watch(look func()) (stop func()) {
+// poll looks at the reservations again and again until the test ends; the function that it gives ends it.
+func poll(look func()) (stop func()) {
 	ctx, end := context.WithCancel(context.Background())
 	var watching sync.WaitGroup
 	watching.Go(func() {
@@ -62,10 +62,10 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 15, "m")
-	rollout(t, 220, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *link.Follower) {
+	rollout(t, 220, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
 		since, most, opened, before := map[string]time.Time{}, 0, 0, map[string]config.LoadOrder{}
 		var mu sync.Mutex
-		stop := watch(func() {
+		stop := poll(func() {
 			mu.Lock()
 			defer mu.Unlock()
 			open := reservations(watcher)
@@ -119,7 +119,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 15, "m")
-	rollout(t, 221, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *link.Follower) {
+	rollout(t, 221, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
 		f.nameVersion(0, "m", 2)
 		f.Until(20*time.Second, "some are ordered", func() bool { return len(b.given()) >= 4 })
 		first := b.given()[0].core
@@ -157,7 +157,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 15, "m")
-	rollout(t, 222, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *link.Follower) {
+	rollout(t, 222, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *watch.Follower) {
 		f.nameVersion(0, "m", 2)
 		f.Until(20*time.Second, "some are ordered", func() bool { return len(b.given()) >= 2 })
 		first := b.given()[0].core
@@ -182,12 +182,12 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 6, "m")
-	rollout(t, 223, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *link.Follower) {
+	rollout(t, 223, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
 		b.change("pool-01", func(r *backend) { r.silent = true })
 		f.nameVersion(0, "m", 2)
 		f.Until(time.Minute, "the others have it", func() bool { return b.has("m", 2, "pool-01") })
 		reserved, free := false, false
-		stop := watch(func() {
+		stop := poll(func() {
 			_, ok := reservations(watcher)["pool-01"]
 			reserved, free = reserved || ok, free || !ok
 		})
@@ -204,7 +204,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 5, "m")
-	rollout(t, 224, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *link.Follower) {
+	rollout(t, 224, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
 		b.change("pool-01", func(r *backend) { r.silent = true })
 		f.nameVersion(0, "m", 2)
 		f.Until(10*time.Second, "it is marked", func() bool { _, ok := reservations(watcher)["pool-01"]; return ok })
@@ -224,7 +224,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 10, "m")
-	rollout(t, 225, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *link.Follower) {
+	rollout(t, 225, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
 		f.nameVersion(0, "m", 2)
 		f.Until(20*time.Second, "some are ordered", func() bool { return len(b.given()) >= 2 })
 		f.nameVersion(1, "m", 5)
@@ -241,11 +241,11 @@
 	const size = 15
 	b := newBackends()
 	b.add("pool", size, "m")
-	rollout(t, 226, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *link.Follower) {
+	rollout(t, 226, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
 		var mu sync.Mutex
 		open, told := map[string]bool{}, map[string]bool{}
 		twice := 0 // orders to a replica whose mark has stood since its last order
-		stop := watch(func() {
+		stop := poll(func() {
 			mu.Lock()
 			defer mu.Unlock()
 			open = map[string]bool{}
@@ -297,15 +297,15 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 15, "m")
-	rollout(t, 229, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *link.Follower) {
+	rollout(t, 229, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *watch.Follower) {
 		var named atomic.Pointer[router.Named]
 		named.Store(&router.Named{})
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		for i := range 3 {
-			follower := link.NewFollower(link.FollowerOptions{Wire: f.Wire, Address: At(CoreIP(i)), Path: "/core/pull", Wait: 100 * time.Millisecond,
-				Ask: func() link.Ask { return link.Ask{Name: "agent", Role: "agent"} },
-				News: func(_ *link.Follower, answer link.Answer) {
+			follower := watch.NewFollower(watch.FollowerOptions{Wire: f.Wire, Address: At(CoreIP(i)), Path: "/core/pull", Wait: 100 * time.Millisecond,
+				Ask: func() watch.Ask { return watch.Ask{Name: "agent", Role: "agent"} },
+				News: func(_ *watch.Follower, answer watch.Answer) {
 					for _, e := range answer.Entries {
 						if e.Key == router.NamedKey {
 							named.Load().Learn(e.Fields, e.AgesMs)
--- a/sim/reservations_test.go
+++ b/sim/reservations_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/config"
-	"asterridge/link"
+	"asterridge/watch"
 )
 
 // Of each pool a part alone is kept away from work, however many other pools there are.
@@ -18,9 +18,9 @@
 	b.add("a", 5, "m")
 	b.add("b", 30, "n")
 	rollout(t, 226, b, pools(1, config.Pool{Name: "a", Kind: "model", Models: []string{"m"}}, config.Pool{Name: "b", Kind: "model", Models: []string{"n"}}),
-		func(is *is.I, f *Fleet, watcher *link.Follower) {
+		func(is *is.I, f *Fleet, watcher *watch.Follower) {
 			most := 0
-			stop := watch(func() {
+			stop := poll(func() {
 				now := 0
 				for name := range reservations(watcher) {
 					if strings.HasPrefix(name, "a-") {
@@ -42,7 +42,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 15, "m")
-	rollout(t, 228, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *link.Follower) {
+	rollout(t, 228, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *watch.Follower) {
 		f.nameVersion(0, "m", 2)
 		f.Until(time.Minute, "all have it", func() bool { return b.has("m", 2) })
 		is.Equal(b.atOnce("pool"), 5) // of 15: a fifth, and two thirds as many again
@@ -54,11 +54,11 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 10, "m", "n")
-	rollout(t, 227, b, pools(1, config.Pool{Name: "pool", Kind: "model", Models: []string{"m", "n"}}), func(is *is.I, f *Fleet, watcher *link.Follower) {
+	rollout(t, 227, b, pools(1, config.Pool{Name: "pool", Kind: "model", Models: []string{"m", "n"}}), func(is *is.I, f *Fleet, watcher *watch.Follower) {
 		f.nameVersion(0, "m", 2)
 		f.nameVersion(0, "n", 2)
 		changes, before := 0, map[string]config.LoadOrder{}
-		stop := watch(func() {
+		stop := poll(func() {
 			now := reservations(watcher)
 			for name, o := range now {
 				if was, ok := before[name]; ok && was != o {
--- a/sim/testbed.go
+++ b/sim/testbed.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/link"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // TestbedAddress is where callers reach a testbed's router.
@@ -21,7 +21,7 @@
 // Testbed is one router in a bubble, with back ends made by hand and an agent that passes on what it is given.
 type Testbed struct {
 	Net    *Network
-	Source *link.Source // what the agent passes on
+	Source *watch.Source // what the agent passes on
 	Router *router.Router
 	Client *http.Client
 
@@ -34,13 +34,13 @@
 
 // NewTestbed starts a router; network, agent and fleet of its options are the testbed's.
 func NewTestbed(o router.Options) *Testbed {
-	s := &Testbed{Net: NewNetwork(time.Millisecond), Source: link.NewSource(link.SourceOptions{Remaining: func() time.Duration { return 10 * time.Second }})}
+	s := &Testbed{Net: NewNetwork(time.Millisecond), Source: watch.NewSource(watch.SourceOptions{Remaining: func() time.Duration { return 10 * time.Second }})}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	o.Fleet, o.Agent, o.Net = fleetName, testbedAgent, s.Net.Host("10.0.1.1")
 	s.Router = router.New(o)
 	s.Client = &http.Client{Transport: &http.Transport{DialContext: s.Net.Host(CallerIP).DialContext, DisableCompression: true}}
 	mux := http.NewServeMux()
-	mux.Handle("POST /agent/pull", link.Serve(fleetName, s.Source.Pull))
+	mux.Handle("POST /agent/pull", watch.Serve(fleetName, s.Source.Pull))
 	s.Serve(testbedAgent, mux)
 	s.serve(TestbedAddress, s.Router.Handler(), router.Watch)
 	s.running.Go(func() { s.Router.Run(s.ctx) })
@@ -73,7 +73,7 @@
 	s.running.Go(func() {
 		for number := uint64(1); s.ctx.Err() == nil; number++ {
 			do(number)
-			_ = link.Pause(s.ctx, step) // the loop looks at the context
+			_ = watch.Pause(s.ctx, step) // the loop looks at the context
 		}
 	})
 }
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -22,13 +22,13 @@
 	"asterridge/config"
 	"asterridge/daemon"
 	"asterridge/fake"
-	"asterridge/link"
 	"asterridge/router"
+	"asterridge/watch"
 )
 
 // doubler is a network on which every call between daemons arrives twice: a copy of it comes by a connection of its own, later.
 type doubler struct {
-	link.Net
+	watch.Net
 	calls *doubled
 }
 
@@ -44,7 +44,7 @@
 	return &doubled{random: rand.New(rand.NewPCG(seed, 2)), latest: latest, copies: map[string]int{}}
 }
 
-func (d *doubled) wrap(n link.Net) link.Net { return doubler{n, d} }
+func (d *doubled) wrap(n watch.Net) watch.Net { return doubler{n, d} }
 
 // DialContext leads a connection to another daemon, or to one's own agent, through a pipe that reads the calls.
 func (d doubler) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
@@ -241,7 +241,7 @@
 		must(f.retirement(retire("ridge-1", "ridge-2")))
 		order, last := []string{"", string(config.Moving), string(config.Clearing), string(config.Dropping), string(config.Retired)}, 0
 		var mu sync.Mutex
-		defer watch(func() {
+		defer poll(func() {
 			mu.Lock()
 			defer mu.Unlock()
 			at := slices.Index(order, f.phase("ridge-1"))
@@ -265,7 +265,7 @@
 	inBubble(t, options(310), func(is *is.I, f *Fleet) {
 		claim := func(core int, key, nonce, state string) string {
 			o := daemon.ClaimOrder{Claim: router.Claim{Tenant: "a", Key: key, Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
-			_, err := link.Call[struct{}](context.Background(), f.Wire, At(CoreIP(core)), "/op/claim", o)
+			_, err := watch.Call[struct{}](context.Background(), f.Wire, At(CoreIP(core)), "/op/claim", o)
 			if err == nil {
 				return "yes"
 			}
@@ -293,7 +293,7 @@
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		claim := func(nonce, state string) error {
 			o := daemon.ClaimOrder{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
-			_, err := link.Call[struct{}](context.Background(), f.Wire, At(CoreIP(0)), "/op/claim", o)
+			_, err := watch.Call[struct{}](context.Background(), f.Wire, At(CoreIP(0)), "/op/claim", o)
 			return err
 		}
 		is.NoErr(claim("n1", "running"))
--- a/link/fuzz_test.go
+++ b/watch/fuzz_test.go
@@ -1,4 +1,4 @@
-package link
+package watch
 
 import (
 	"context"
--- a/link/wire.go
+++ b/watch/wire.go
@@ -1,5 +1,5 @@
-// Package link has the JSON endpoints between daemons and the numbered pushes of news (docs/design.md §3).
-package link
+// Package watch has the JSON endpoints between daemons and the numbered pushes of news (docs/design.md §3).
+package watch
 
 import (
 	"bytes"
