--- a/cmd/hollow/backend.go
+++ b/cmd/hollow/backend.go
@@ -72,9 +72,9 @@
 	news := daemon.KeptNews{Kept: map[string]int{}, Snapshot: first}
 	if !first {
 		if b.setup.Events == 0 {
-			return daemon.KeptNews{Place: from}, watch.Pause(ctx, wait)
+			return daemon.KeptNews{Place: from}, watch.Sleep(ctx, wait)
 		}
-		_ = watch.Pause(ctx, wait/4) // news come long before a held call ends
+		_ = watch.Sleep(ctx, wait/4) // news come long before a held call ends
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -195,7 +195,7 @@
 func (c *child) place(role string, i, zones int, address string) daemon.Host {
 	host, _, _ := net.SplitHostPort(address)
 	name := fmt.Sprintf("%s-%03d", role, i+1)
-	network := &countingNet{Net: c.hosts(host), counter: c.counter}
+	network := &countingNet{Network: c.hosts(host), counter: c.counter}
 	var step time.Duration // 0: our own
 	if c.setup.Platform {
 		step = platformBounds.Beat
@@ -205,10 +205,10 @@
 }
 
 // hosts gives the network as a host sees it that has this IP number.
-type hosts func(ip string) watch.Net
+type hosts func(ip string) watch.Network
 
 // onLoopback are hosts on this machine, at loopback addresses of their own.
-func onLoopback(ip string) watch.Net {
+func onLoopback(ip string) watch.Network {
 	network := &watch.TCP{}
 	network.LocalAddr = &net.TCPAddr{IP: net.ParseIP(ip)}
 	return network
--- a/cmd/hollow/count.go
+++ b/cmd/hollow/count.go
@@ -73,13 +73,13 @@
 
 // countingNet is a host's network, which counts what its daemons ask of others and what they are answered.
 type countingNet struct {
-	watch.Net
+	watch.Network
 	counter *counter
 }
 
 // DialContext connects; what the connection carries is counted.
 func (n *countingNet) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	c, err := n.Net.DialContext(ctx, network, address)
+	c, err := n.Network.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/hollow/fleet.go
+++ b/cmd/hollow/fleet.go
@@ -103,7 +103,7 @@
 type fleet struct {
 	size    size
 	folder  string
-	wire    *watch.Wire
+	wire    *watch.Client
 	cores   *part
 	agents  *part
 	proxies *part
@@ -117,7 +117,7 @@
 
 func (o options) startFleet(ctx context.Context, s size) (f *fleet, err error) {
 	start := o.start
-	f = &fleet{size: s, hosts: o.hosts, wire: watch.NewWire(fleetName, o.hosts(operatorIP))}
+	f = &fleet{size: s, hosts: o.hosts, wire: watch.NewClient(fleetName, o.hosts(operatorIP))}
 	defer func() {
 		if err != nil {
 			f.stop()
@@ -330,7 +330,7 @@
 	ctx, stop := context.WithTimeout(ctx, startWait)
 	defer stop()
 	for !so() {
-		if watch.Pause(ctx, 50*time.Millisecond) != nil {
+		if watch.Sleep(ctx, 50*time.Millisecond) != nil {
 			return fmt.Errorf("not within %v: %s", startWait, what)
 		}
 	}
--- a/cmd/shell/main.go
+++ b/cmd/shell/main.go
@@ -57,7 +57,7 @@
 	}
 	set.Usage = func() { explain(os.Stderr) }
 	_ = set.Parse(os.Args[1:])
-	s := &shell{wire: watch.NewWire(*fleet, &watch.TCP{}), out: os.Stdout, jSON: *format == "json", explain: explain}
+	s := &shell{wire: watch.NewClient(*fleet, &watch.TCP{}), out: os.Stdout, jSON: *format == "json", explain: explain}
 	for _, core := range strings.Split(*cores, ",") {
 		if core = strings.TrimSpace(core); core != "" {
 			s.cores = append(s.cores, core)
@@ -87,7 +87,7 @@
 }
 
 type shell struct {
-	wire    *watch.Wire
+	wire    *watch.Client
 	cores   []string
 	out     io.Writer
 	jSON    bool
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -31,7 +31,7 @@
 	host    Host
 	options AgentOptions
 	dialect router.Dialect
-	wire    *watch.Wire
+	wire    *watch.Client
 	plain   *http.Client
 	source  *watch.Source
 	table   *throttle.Table
@@ -81,7 +81,7 @@
 	}
 	a := &Agent{
 		disk: d, options: options,
-		host: host, dialect: options.Dialect, wire: watch.NewWire(host.Fleet, host.Net),
+		host: host, dialect: options.Dialect, wire: watch.NewClient(host.Fleet, host.Net),
 		plain: newPlain(host.Net),
 		links: map[string]*watch.Follower{}, applied: map[string]register.Revision{}, undecided: map[string]doubt{},
 		why: "no core found yet", proxies: register.Fields{}, silent: map[string]bool{}, readers: map[string]string{}, replicas: map[string]context.CancelFunc{}, watched: map[string]config.Replica{},
@@ -105,15 +105,15 @@
 		a.seeOff()
 	}()
 	mux, fleet := http.NewServeMux(), a.host.Fleet
-	mux.Handle("POST /agent/pull", watch.Serve(fleet, a.source.Pull))
-	mux.Handle("POST /agent/hold", watch.Serve(fleet, a.tellHold))
-	mux.Handle("POST /agent/claim", watch.Serve(fleet, a.claim))
+	mux.Handle("POST /agent/pull", watch.Handler(fleet, a.source.Pull))
+	mux.Handle("POST /agent/hold", watch.Handler(fleet, a.tellHold))
+	mux.Handle("POST /agent/claim", watch.Handler(fleet, a.claim))
 	outer := http.NewServeMux()
 	serveRing(outer, fleet, a.ring)
 	serveMetrics(outer, a.figures)
-	outer.Handle("POST /agent/query", watch.Serve(fleet, a.query))
-	outer.Handle("POST /core/hello", watch.Serve(fleet, a.hello))
-	watch.ServeReady(outer, func() bool { return a.remaining() > 0 })
+	outer.Handle("POST /agent/query", watch.Handler(fleet, a.query))
+	outer.Handle("POST /core/hello", watch.Handler(fleet, a.hello))
+	watch.HandleReady(outer, func() bool { return a.remaining() > 0 })
 	go every(ctx, helloTime, func() { a.discover(ctx) })
 	go every(ctx, keptStep, a.changeReaders)
 	go a.ring.Run(ctx)
@@ -130,7 +130,7 @@
 		for _, s := range a.source.FollowerStates(liveTime) {
 			ok = ok || s.Role == "proxy"
 		}
-		if !ok || watch.Pause(context.Background(), helloTime) != nil {
+		if !ok || watch.Sleep(context.Background(), helloTime) != nil {
 			return
 		}
 	}
@@ -212,7 +212,7 @@
 	for _, m := range slices.Concat(a.members, a.prior) {
 		if a.links[m.Address] == nil {
 			f := watch.NewFollower(watch.FollowerOptions{
-				Wire: a.wire, Address: m.Address, Path: "/core/pull", Wait: a.options.LinkWait, Ask: a.ask,
+				RPC: a.wire, Address: m.Address, Path: "/core/pull", Wait: a.options.LinkWait, Ask: a.ask,
 				News: func(f *watch.Follower, answer watch.Answer) { // the rest is looked at in digest, which follows each answer
 					takeHolds(a.table)(f, answer)
 					a.takeKept(f, answer)
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -38,7 +38,7 @@
 	for _, m := range now.members {
 		if m.Incarnation != c.incarnation && c.followers[m.Name] == nil {
 			f := watch.NewFollower(watch.FollowerOptions{
-				Wire: c.wire, Address: m.Address, Path: "/core/whole", Wait: c.linkWait(),
+				RPC: c.wire, Address: m.Address, Path: "/core/whole", Wait: c.linkWait(),
 				News: func(f *watch.Follower, answer watch.Answer) {
 					takeHolds(c.table)(f, answer)
 					c.takeShared(answer)
--- a/daemon/declare.go
+++ b/daemon/declare.go
@@ -54,7 +54,7 @@
 		if record.Revision == revision || later {
 			return record, nil
 		}
-		if err := watch.Pause(short, beatTime/10); err != nil {
+		if err := watch.Sleep(short, beatTime/10); err != nil {
 			return record, apierror.Wrap(err, apierror.Behind, key)
 		}
 	}
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -96,7 +96,7 @@
 				c.tellKept(key, c.kept.drop(key), true)
 				up, place = false, KeptPlace{}
 			}
-			_ = watch.Pause(ctx, keptPause) // the loop looks at the context
+			_ = watch.Sleep(ctx, keptPause) // the loop looks at the context
 			continue
 		}
 		if !up {
@@ -111,7 +111,7 @@
 		if len(fields) > 0 {
 			c.tellKept(key, fields, full)
 		}
-		_ = watch.Pause(ctx, keptPause)
+		_ = watch.Sleep(ctx, keptPause)
 	}
 }
 
--- a/daemon/ring.go
+++ b/daemon/ring.go
@@ -17,7 +17,7 @@
 )
 
 // ringCalls are the ring's messages over the wire.
-type ringCalls struct{ wire *watch.Wire }
+type ringCalls struct{ wire *watch.Client }
 
 func (c ringCalls) Beat(ctx context.Context, address string, b gossip.Beat) (gossip.Answer, error) {
 	return watch.Call[gossip.Answer](ctx, c.wire, address, "/ring/beat", b)
@@ -28,7 +28,7 @@
 }
 
 // newRing makes a daemon's place on the ring and opens its endpoints.
-func newRing(host Host, role string, wire *watch.Wire) *gossip.Ring {
+func newRing(host Host, role string, wire *watch.Client) *gossip.Ring {
 	step := host.RingStep
 	if step == 0 {
 		step = ringStep
@@ -40,8 +40,8 @@
 }
 
 func serveRing(mux *http.ServeMux, fleet string, r *gossip.Ring) {
-	mux.Handle("POST /ring/beat", watch.Serve(fleet, r.Heard))
-	mux.Handle("POST /ring/doubt", watch.Serve(fleet, r.Doubted))
+	mux.Handle("POST /ring/beat", watch.Handler(fleet, r.Heard))
+	mux.Handle("POST /ring/doubt", watch.Handler(fleet, r.Doubted))
 }
 
 func ringRows(r *gossip.Ring) (rows []router.Row) {
--- a/router/guard.go
+++ b/router/guard.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := watch.Bound(c, ackLimit, sendBuffer); err != nil {
+	if err := watch.BoundSend(c, ackLimit, sendBuffer); err != nil {
 		_ = c.Close()
 		return nil, apierror.Wrap(err, apierror.Internal, "bound the connection")
 	}
--- a/router/query.go
+++ b/router/query.go
@@ -53,8 +53,8 @@
 // Admin serves the agent's queries and the platform's readiness check.
 func (r *Router) Admin() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /proxy/query", watch.Serve(r.options.Fleet, r.Rows))
-	watch.ServeReady(mux, r.IsReady)
+	mux.Handle("POST /proxy/query", watch.Handler(r.options.Fleet, r.Rows))
+	watch.HandleReady(mux, r.IsReady)
 	return mux
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -50,7 +50,7 @@
 	Zone    string
 	Fleet   string
 	Agent   string // the agent's address on loopback
-	Net     watch.Net
+	Net     watch.Network
 	Log     zerolog.Logger
 	Seed    uint64
 	Dialect Dialect
@@ -73,7 +73,7 @@
 type Router struct {
 	options     Options
 	log         zerolog.Logger
-	wire        *watch.Wire
+	wire        *watch.Client
 	upstream    *http.Transport
 	follower    *watch.Follower
 	names       indices
@@ -143,7 +143,7 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(options.Name))
 	r := &Router{
-		options: options, log: options.Log, wire: watch.NewWire(options.Fleet, options.Net),
+		options: options, log: options.Log, wire: watch.NewClient(options.Fleet, options.Net),
 		upstream: &http.Transport{
 			MaxIdleConnsPerHost: 64, IdleConnTimeout: options.KeepAlive, DisableCompression: true,
 		},
@@ -162,7 +162,7 @@
 		Pick: r.pick, Return: r.leaveUnused, HeldUntil: r.table.Last, ReleaseDelay: r.releaseDelay,
 	})
 	r.follower = watch.NewFollower(watch.FollowerOptions{
-		Wire: r.wire, Address: options.Agent, Path: "/agent/pull", Wait: options.AgentWait,
+		RPC: r.wire, Address: options.Agent, Path: "/agent/pull", Wait: options.AgentWait,
 		Ask: r.ask, News: r.news, Fresh: r.fresh,
 	})
 	filters := []Filter{
@@ -298,7 +298,7 @@
 				if err == nil {
 					break
 				}
-				_ = watch.Pause(ctx, 100*time.Millisecond) // the loop looks at the context
+				_ = watch.Sleep(ctx, 100*time.Millisecond) // the loop looks at the context
 			}
 		}
 	}
--- a/sim/backend_test.go
+++ b/sim/backend_test.go
@@ -302,7 +302,7 @@
 
 // follow gives a reader of what a core or an agent passes on, until the fleet ends.
 func (f *Fleet) follow(ctx context.Context, address, path string) *watch.Follower {
-	follower := watch.NewFollower(watch.FollowerOptions{Wire: f.Wire, Address: address, Path: path, Wait: 100 * time.Millisecond,
+	follower := watch.NewFollower(watch.FollowerOptions{RPC: f.Wire, Address: address, Path: path, Wait: 100 * time.Millisecond,
 		Ask: func() watch.Ask { return watch.Ask{Name: "watcher at " + address, Role: "watcher"} }})
 	go follower.Run(ctx)
 	return follower
--- a/sim/disturbed_test.go
+++ b/sim/disturbed_test.go
@@ -59,7 +59,7 @@
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
 				var told atomic.Int64
-				watcher := watch.NewFollower(watch.FollowerOptions{Wire: f.Wire, Address: ProxyIP(0) + ":7001", Path: "/agent/pull", Wait: 100 * time.Millisecond,
+				watcher := watch.NewFollower(watch.FollowerOptions{RPC: f.Wire, Address: ProxyIP(0) + ":7001", Path: "/agent/pull", Wait: 100 * time.Millisecond,
 					Ask: func() watch.Ask { return watch.Ask{Name: "watcher", Role: "watcher"} },
 					News: func(_ *watch.Follower, answer watch.Answer) {
 						for _, e := range answer.Entries {
--- a/sim/loading_test.go
+++ b/sim/loading_test.go
@@ -303,7 +303,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		for i := range 3 {
-			follower := watch.NewFollower(watch.FollowerOptions{Wire: f.Wire, Address: At(CoreIP(i)), Path: "/core/pull", Wait: 100 * time.Millisecond,
+			follower := watch.NewFollower(watch.FollowerOptions{RPC: f.Wire, Address: At(CoreIP(i)), Path: "/core/pull", Wait: 100 * time.Millisecond,
 				Ask: func() watch.Ask { return watch.Ask{Name: "agent", Role: "agent"} },
 				News: func(_ *watch.Follower, answer watch.Answer) {
 					for _, e := range answer.Entries {
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -28,7 +28,7 @@
 
 // doubler is a network on which every call between daemons arrives twice: a copy of it comes by a connection of its own, later.
 type doubler struct {
-	watch.Net
+	watch.Network
 	calls *doubled
 }
 
@@ -44,11 +44,11 @@
 	return &doubled{random: rand.New(rand.NewPCG(seed, 2)), latest: latest, copies: map[string]int{}}
 }
 
-func (d *doubled) wrap(n watch.Net) watch.Net { return doubler{n, d} }
+func (d *doubled) wrap(n watch.Network) watch.Network { return doubler{n, d} }
 
 // DialContext leads a connection to another daemon, or to one's own agent, through a pipe that reads the calls.
 func (d doubler) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	c, err := d.Net.DialContext(ctx, network, address)
+	c, err := d.Network.DialContext(ctx, network, address)
 	_, port, _ := net.SplitHostPort(address)
 	if err != nil || !strings.HasPrefix(address, "10.0.0.") && !strings.HasPrefix(address, "10.0.1.") || port != "7000" && port != "7001" {
 		return c, err
@@ -104,7 +104,7 @@
 	time.AfterFunc(delay, func() {
 		ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 		defer stop()
-		c, err := d.Net.DialContext(ctx, "tcp", address)
+		c, err := d.Network.DialContext(ctx, "tcp", address)
 		if err != nil {
 			return
 		}
--- a/watch/bound_test.go
+++ b/watch/bound_test.go
@@ -19,7 +19,7 @@
 	c, err := network.DialContext(context.Background(), "tcp", l.Addr().String())
 	is.NoErr(err)
 	defer c.Close()
-	is.NoErr(Bound(c, 700*time.Millisecond, 256<<10))
+	is.NoErr(BoundSend(c, 700*time.Millisecond, 256<<10))
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	is.NoErr(err)
 	is.NoErr(raw.Control(func(fd uintptr) {
--- a/watch/follower.go
+++ b/watch/follower.go
@@ -17,7 +17,7 @@
 
 // FollowerOptions of a follower.
 type FollowerOptions struct {
-	Wire    *Wire
+	RPC     *Client
 	Address string
 	Path    string
 	Ask     func() Ask // name, role and what is applied
@@ -71,7 +71,7 @@
 		if f.step(ctx) == nil {
 			continue
 		}
-		_ = Pause(ctx, pause) // the loop looks at the context
+		_ = Sleep(ctx, pause) // the loop looks at the context
 	}
 }
 
@@ -87,12 +87,12 @@
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
 	sent := time.Now()
-	answer, err := Call[Answer](ctx, f.Options.Wire, f.Options.Address, f.Options.Path, ask)
+	answer, err := Call[Answer](ctx, f.Options.RPC, f.Options.Address, f.Options.Path, ask)
 	f.mu.Lock()
 	f.failure = err
 	if err != nil {
 		if apierror.Is(err, apierror.Unreachable) && ctx.Err() != nil {
-			f.Options.Wire.Client.CloseIdleConnections()
+			f.Options.RPC.HTTP.CloseIdleConnections()
 		}
 		f.mu.Unlock()
 		return err
--- a/watch/fuzz_test.go
+++ b/watch/fuzz_test.go
@@ -26,8 +26,8 @@
 	f.Add([]byte(`{"code":302}`), []byte(`{`))
 	f.Fuzz(func(_ *testing.T, first, second []byte) {
 		for _, text := range [][]byte{first, second} {
-			wire := &Wire{Fleet: "f", Client: &http.Client{Transport: answered(text)}}
-			follower := NewFollower(FollowerOptions{Wire: wire, Address: "10.0.0.1:1", Path: "/p", Ask: func() Ask { return Ask{} }})
+			wire := &Client{Fleet: "f", HTTP: &http.Client{Transport: answered(text)}}
+			follower := NewFollower(FollowerOptions{RPC: wire, Address: "10.0.0.1:1", Path: "/p", Ask: func() Ask { return Ask{} }})
 			_ = follower.step(context.Background())
 			for _, key := range follower.Keys() {
 				follower.Read(key)
