--- a/cmd/fleet/fleet.go
+++ b/cmd/fleet/fleet.go
@@ -16,12 +16,12 @@
 	"asterridge/config"
 	"asterridge/daemon"
 	"asterridge/fake"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 type fleet struct {
 	options   options
-	wire      *watch.Client
+	wire      *rpc.Client
 	processes map[string]*process
 	started   []string
 	cores     []string // addresses, of relays
@@ -69,7 +69,7 @@
 
 // start brings up cores, replicas, agents and proxies, and has the deployment's configuration accepted.
 func start(ctx context.Context, o options) (*fleet, error) {
-	f := &fleet{options: o, wire: watch.NewClient(fleetName, &watch.TCP{}), processes: map[string]*process{}, replicas: map[string]string{}, relays: newRelays(), gone: map[int]bool{}}
+	f := &fleet{options: o, wire: rpc.NewClient(fleetName, &rpc.TCP{}), processes: map[string]*process{}, replicas: map[string]string{}, relays: newRelays(), gone: map[int]bool{}}
 	for i := range 4 {
 		if err := f.placeCore(i); err != nil {
 			return f, err
--- a/cmd/fleet/orders.go
+++ b/cmd/fleet/orders.go
@@ -12,7 +12,7 @@
 	"asterridge/daemon"
 	"asterridge/fake"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // order sends a change to the first core that takes it, and notes it as a fact where a rule speaks of it.
@@ -20,7 +20,7 @@
 	var last error
 	for _, core := range f.cores {
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
-		a, err := watch.Call[daemon.Accepted](short, f.wire, core, "/op/"+name, q)
+		a, err := rpc.Call[daemon.Accepted](short, f.wire, core, "/op/"+name, q)
 		stop()
 		if err == nil || apierror.Of(err).Code.Ran != apierror.NotRun {
 			f.factLog.Order(name, q, a.Version, err != nil)
@@ -47,7 +47,7 @@
 func (f *fleet) ask(core, what string) []router.Row {
 	short, stop := context.WithTimeout(context.Background(), 3*time.Second)
 	defer stop()
-	a, _ := watch.Call[daemon.QueryAnswer](short, f.wire, core, "/query", daemon.Query{What: what})
+	a, _ := rpc.Call[daemon.QueryAnswer](short, f.wire, core, "/query", daemon.Query{What: what})
 	return a.Rows
 }
 
--- a/cmd/hollow/backend.go
+++ b/cmd/hollow/backend.go
@@ -9,7 +9,7 @@
 	"asterridge/config"
 	"asterridge/daemon"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // hollowBackend lists replicas that do not exist, and makes up the news of what they keep.
@@ -72,9 +72,9 @@
 	news := daemon.KeptNews{Kept: map[string]int{}, Snapshot: first}
 	if !first {
 		if b.setup.Events == 0 {
-			return daemon.KeptNews{Place: from}, watch.Sleep(ctx, wait)
+			return daemon.KeptNews{Place: from}, rpc.Sleep(ctx, wait)
 		}
-		_ = watch.Sleep(ctx, wait/4) // news come long before a held call ends
+		_ = rpc.Sleep(ctx, wait/4) // news come long before a held call ends
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -23,7 +23,7 @@
 	"asterridge/daemon"
 	"asterridge/disk"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // setup says which daemons a child has, and how they are set.
@@ -205,11 +205,11 @@
 }
 
 // hosts gives the network as a host sees it that has this IP number.
-type hosts func(ip string) watch.Network
+type hosts func(ip string) rpc.Network
 
 // onLoopback are hosts on this machine, at loopback addresses of their own.
-func onLoopback(ip string) watch.Network {
-	network := &watch.TCP{}
+func onLoopback(ip string) rpc.Network {
+	network := &rpc.TCP{}
 	network.LocalAddr = &net.TCPAddr{IP: net.ParseIP(ip)}
 	return network
 }
--- a/cmd/hollow/count.go
+++ b/cmd/hollow/count.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // traffic is what was sent and received on one path, in messages and bytes above TCP.
@@ -73,7 +73,7 @@
 
 // countingNet is a host's network, which counts what its daemons ask of others and what they are answered.
 type countingNet struct {
-	watch.Network
+	rpc.Network
 	counter *counter
 }
 
--- a/cmd/hollow/fleet.go
+++ b/cmd/hollow/fleet.go
@@ -15,7 +15,7 @@
 	"asterridge/daemon"
 	"asterridge/register"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 const (
@@ -103,7 +103,7 @@
 type fleet struct {
 	size    size
 	folder  string
-	wire    *watch.Client
+	wire    *rpc.Client
 	cores   *part
 	agents  *part
 	proxies *part
@@ -117,7 +117,7 @@
 
 func (o options) startFleet(ctx context.Context, s size) (f *fleet, err error) {
 	start := o.start
-	f = &fleet{size: s, hosts: o.hosts, wire: watch.NewClient(fleetName, o.hosts(operatorIP))}
+	f = &fleet{size: s, hosts: o.hosts, wire: rpc.NewClient(fleetName, o.hosts(operatorIP))}
 	defer func() {
 		if err != nil {
 			f.stop()
@@ -186,7 +186,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
 	for _, address := range f.cores.started.Addresses {
-		h, err := watch.Call[daemon.Hello](ctx, f.wire, address, "/core/hello", daemon.Hello{})
+		h, err := rpc.Call[daemon.Hello](ctx, f.wire, address, "/core/hello", daemon.Hello{})
 		if err != nil || len(h.Members) != coreCount {
 			return false
 		}
@@ -241,7 +241,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = watch.Call[daemon.Accepted](ctx, f.wire, f.cores.started.Addresses[0], "/op/replicas", daemon.ReplicasOrder{Text: text})
+	_, err = rpc.Call[daemon.Accepted](ctx, f.wire, f.cores.started.Addresses[0], "/op/replicas", daemon.ReplicasOrder{Text: text})
 	return err
 }
 
@@ -262,7 +262,7 @@
 	var a daemon.Accepted
 	failure := eventually(ctx, "a configuration is accepted", func() bool { // the same one again is answered as it was the first time (§2.9)
 		var err error
-		a, err = watch.Call[daemon.Accepted](ctx, f.wire, f.cores.started.Addresses[int(f.number)%coreCount], "/op/declaration", d)
+		a, err = rpc.Call[daemon.Accepted](ctx, f.wire, f.cores.started.Addresses[int(f.number)%coreCount], "/op/declaration", d)
 		return err == nil
 	})
 	if failure == nil {
@@ -304,7 +304,7 @@
 				key := fmt.Sprintf("%d.%d.%d", i, taken[i], rand.Uint64())
 				o := daemon.ClaimOrder{Claim: router.Claim{Tenant: "tenant-001", Key: key, Nonce: key, State: "running"}, Proxy: "proxy-001.x"}
 				address := f.cores.started.Addresses[(i+taken[i])%coreCount]
-				if _, err := watch.Call[struct{}](ctx, f.wire, address, "/op/claim", o); err != nil {
+				if _, err := rpc.Call[struct{}](ctx, f.wire, address, "/op/claim", o); err != nil {
 					results <- err
 					return
 				}
@@ -330,7 +330,7 @@
 	ctx, stop := context.WithTimeout(ctx, startWait)
 	defer stop()
 	for !so() {
-		if watch.Sleep(ctx, 50*time.Millisecond) != nil {
+		if rpc.Sleep(ctx, 50*time.Millisecond) != nil {
 			return fmt.Errorf("not within %v: %s", startWait, what)
 		}
 	}
--- a/cmd/hollow/hollow_test.go
+++ b/cmd/hollow/hollow_test.go
@@ -20,8 +20,8 @@
 	"github.com/matryer/is"
 
 	"asterridge/daemon"
+	"asterridge/rpc"
 	"asterridge/sim"
-	"asterridge/watch"
 )
 
 // startHere runs children within the test's own process.
@@ -60,7 +60,7 @@
 		network, lastPort := sim.NewNetwork(time.Millisecond), &atomic.Int64{}
 		lastPort.Store(10000)
 		defer network.End()
-		play(t, func(ip string) watch.Network { return simulatedHost{network.Host(ip), lastPort} })
+		play(t, func(ip string) rpc.Network { return simulatedHost{network.Host(ip), lastPort} })
 	})
 }
 
@@ -99,7 +99,7 @@
 	is.Equal(len(cores.started.Addresses), 2)
 	for i, address := range cores.started.Addresses {
 		is.True(strings.HasPrefix(address, fmt.Sprintf("127.1.1.%d:", i+1)))
-		h, err := watch.Call[daemon.Hello](t.Context(), watch.NewClient(fleetName, onLoopback(operatorIP)), address, "/core/hello", daemon.Hello{})
+		h, err := rpc.Call[daemon.Hello](t.Context(), rpc.NewClient(fleetName, onLoopback(operatorIP)), address, "/core/hello", daemon.Hello{})
 		is.NoErr(err)
 		is.Equal(h.Address, address)
 	}
@@ -178,7 +178,7 @@
 			_, _ = io.WriteString(c, piece)
 		}
 	}()
-	n := &countingNet{Network: &watch.TCP{}, counter: newCounter()}
+	n := &countingNet{Network: &rpc.TCP{}, counter: newCounter()}
 	ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 	defer stop()
 	c, err := n.DialContext(ctx, "tcp", l.Addr().String())
--- a/cmd/hollow/measure.go
+++ b/cmd/hollow/measure.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"asterridge/prefixindex"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // figure is one measured thing; low and high are its least and most in the parts of the time that it was measured for.
@@ -90,7 +90,7 @@
 	}
 	defer f.stop()
 	joined := time.Since(began)
-	if err := watch.Sleep(ctx, o.settle*time.Duration(joinStep+s.daemons)/joinStep); err != nil {
+	if err := rpc.Sleep(ctx, o.settle*time.Duration(joinStep+s.daemons)/joinStep); err != nil {
 		return nil, err
 	}
 	states, err := o.watch(ctx, f)
@@ -120,7 +120,7 @@
 func (o options) watch(ctx context.Context, f *fleet) (states []state, err error) {
 	for i := range windows + 1 {
 		if i > 0 {
-			if err := watch.Sleep(ctx, o.length/windows); err != nil {
+			if err := rpc.Sleep(ctx, o.length/windows); err != nil {
 				return nil, err
 			}
 		}
--- a/cmd/shell/main.go
+++ b/cmd/shell/main.go
@@ -20,7 +20,7 @@
 	"asterridge/apierror"
 	"asterridge/daemon"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 const usage = `shell: asks a fleet for its state and orders changes
@@ -57,7 +57,7 @@
 	}
 	set.Usage = func() { explain(os.Stderr) }
 	_ = set.Parse(os.Args[1:])
-	s := &shell{wire: watch.NewClient(*fleet, &watch.TCP{}), out: os.Stdout, jSON: *format == "json", explain: explain}
+	s := &shell{wire: rpc.NewClient(*fleet, &rpc.TCP{}), out: os.Stdout, jSON: *format == "json", explain: explain}
 	for _, core := range strings.Split(*cores, ",") {
 		if core = strings.TrimSpace(core); core != "" {
 			s.cores = append(s.cores, core)
@@ -87,7 +87,7 @@
 }
 
 type shell struct {
-	wire    *watch.Client
+	wire    *rpc.Client
 	cores   []string
 	out     io.Writer
 	jSON    bool
@@ -162,7 +162,7 @@
 	for _, core := range s.cores {
 		ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 		var a A
-		a, err = watch.Call[A](ctx, s.wire, core, path, q)
+		a, err = rpc.Call[A](ctx, s.wire, core, path, q)
 		stop()
 		if err == nil || !apierror.Is(err, apierror.Unreachable) {
 			return a, err
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -18,7 +18,7 @@
 
 	"asterridge/daemon"
 	"asterridge/fake"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 const help = `standin plays a system outside the fleet.
@@ -157,7 +157,7 @@
 	file := s.Text("file", "", "`file` with {\"replicas\":[…]}")
 	s.Needed("cores", "file")
 	daemon.Main(s, func(ctx context.Context) error {
-		wire := watch.NewClient(s.Host.Fleet, s.Host.Net)
+		wire := rpc.NewClient(s.Host.Fleet, s.Host.Net)
 		told := ""
 		ticker := time.NewTicker(500 * time.Millisecond)
 		defer ticker.Stop()
@@ -180,10 +180,10 @@
 	})
 }
 
-func tell(ctx context.Context, wire *watch.Client, cores []string, text []byte, log zerolog.Logger) bool {
+func tell(ctx context.Context, wire *rpc.Client, cores []string, text []byte, log zerolog.Logger) bool {
 	for _, core := range cores {
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
-		a, err := watch.Call[daemon.Accepted](short, wire, core, "/op/replicas", daemon.ReplicasOrder{Text: text})
+		a, err := rpc.Call[daemon.Accepted](short, wire, core, "/op/replicas", daemon.ReplicasOrder{Text: text})
 		stop()
 		if err == nil {
 			log.Info().Str("event", "told").Str("core", core).Uint64("version", a.Version).Msg("")
--- a/daemon/acceptors.go
+++ b/daemon/acceptors.go
@@ -6,7 +6,7 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/register"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // RegisterMessage is what a core asks of another's acceptor; From is the asker's incarnation, Members the version of its list.
@@ -51,24 +51,24 @@
 }
 
 func (p remoteAcceptor) Promise(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	return watch.Call[register.Record](ctx, p.core.wire, p.address, "/register/promise",
+	return rpc.Call[register.Record](ctx, p.core.wire, p.address, "/register/promise",
 		RegisterMessage{From: p.core.incarnation, Members: p.version, Key: key, Epoch: epoch, Has: has})
 }
 
 func (p remoteAcceptor) Confirm(ctx context.Context, key string, epoch uint64) error {
-	_, err := watch.Call[struct{}](ctx, p.core.wire, p.address, "/register/confirm",
+	_, err := rpc.Call[struct{}](ctx, p.core.wire, p.address, "/register/confirm",
 		RegisterMessage{From: p.core.incarnation, Members: p.version, Key: key, Epoch: epoch})
 	return err
 }
 
 func (p remoteAcceptor) Accept(ctx context.Context, change register.Change) error {
-	_, err := watch.Call[struct{}](ctx, p.core.wire, p.address, "/register/accept",
+	_, err := rpc.Call[struct{}](ctx, p.core.wire, p.address, "/register/accept",
 		RegisterMessage{From: p.core.incarnation, Members: p.version, Change: &change})
 	return err
 }
 
 func (p remoteAcceptor) Settle(ctx context.Context, key string, revision register.Revision) {
-	_, _ = watch.Call[struct{}](ctx, p.core.wire, p.address, "/register/settle",
+	_, _ = rpc.Call[struct{}](ctx, p.core.wire, p.address, "/register/settle",
 		RegisterMessage{From: p.core.incarnation, Members: p.version, Key: key, Has: revision})
 }
 
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -14,6 +14,7 @@
 	"asterridge/gossip"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/rpc"
 	"asterridge/throttle"
 	"asterridge/watch"
 )
@@ -31,7 +32,7 @@
 	host    Host
 	options AgentOptions
 	dialect router.Dialect
-	wire    *watch.Client
+	wire    *rpc.Client
 	plain   *http.Client
 	source  *watch.Source
 	table   *throttle.Table
@@ -81,7 +82,7 @@
 	}
 	a := &Agent{
 		disk: d, options: options,
-		host: host, dialect: options.Dialect, wire: watch.NewClient(host.Fleet, host.Net),
+		host: host, dialect: options.Dialect, wire: rpc.NewClient(host.Fleet, host.Net),
 		plain: newPlain(host.Net),
 		links: map[string]*watch.Follower{}, applied: map[string]register.Revision{}, undecided: map[string]doubt{},
 		why: "no core found yet", proxies: register.Fields{}, silent: map[string]bool{}, readers: map[string]string{}, replicas: map[string]context.CancelFunc{}, watched: map[string]config.Replica{},
@@ -105,15 +106,15 @@
 		a.seeOff()
 	}()
 	mux, fleet := http.NewServeMux(), a.host.Fleet
-	mux.Handle("POST /agent/pull", watch.Handler(fleet, a.source.Pull))
-	mux.Handle("POST /agent/hold", watch.Handler(fleet, a.tellHold))
-	mux.Handle("POST /agent/claim", watch.Handler(fleet, a.claim))
+	mux.Handle("POST /agent/pull", rpc.Handler(fleet, a.source.Pull))
+	mux.Handle("POST /agent/hold", rpc.Handler(fleet, a.tellHold))
+	mux.Handle("POST /agent/claim", rpc.Handler(fleet, a.claim))
 	outer := http.NewServeMux()
 	serveRing(outer, fleet, a.ring)
 	serveMetrics(outer, a.figures)
-	outer.Handle("POST /agent/query", watch.Handler(fleet, a.query))
-	outer.Handle("POST /core/hello", watch.Handler(fleet, a.hello))
-	watch.HandleReady(outer, func() bool { return a.remaining() > 0 })
+	outer.Handle("POST /agent/query", rpc.Handler(fleet, a.query))
+	outer.Handle("POST /core/hello", rpc.Handler(fleet, a.hello))
+	rpc.HandleReady(outer, func() bool { return a.remaining() > 0 })
 	go every(ctx, helloTime, func() { a.discover(ctx) })
 	go every(ctx, keptStep, a.changeReaders)
 	go a.ring.Run(ctx)
@@ -130,7 +131,7 @@
 		for _, s := range a.source.FollowerStates(liveTime) {
 			ok = ok || s.Role == "proxy"
 		}
-		if !ok || watch.Sleep(context.Background(), helloTime) != nil {
+		if !ok || rpc.Sleep(context.Background(), helloTime) != nil {
 			return
 		}
 	}
@@ -153,7 +154,7 @@
 	}
 	for _, seed := range a.asked() {
 		short, stop := context.WithTimeout(ctx, time.Second)
-		h, err := watch.Call[Hello](short, a.wire, seed, "/core/hello", Hello{})
+		h, err := rpc.Call[Hello](short, a.wire, seed, "/core/hello", Hello{})
 		stop()
 		if err == nil && len(h.Members) > 0 {
 			a.connect(ctx, h.Members)
--- a/daemon/agent_calls.go
+++ b/daemon/agent_calls.go
@@ -11,6 +11,7 @@
 	"asterridge/config"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/rpc"
 	"asterridge/throttle"
 	"asterridge/watch"
 )
@@ -31,7 +32,7 @@
 		go func() {
 			short, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*majorityWait)
 			defer stop()
-			_, err := watch.Call[struct{}](short, a.wire, m.Address, path, n)
+			_, err := rpc.Call[struct{}](short, a.wire, m.Address, path, n)
 			told <- err
 		}()
 	}
@@ -79,7 +80,7 @@
 	err := error(apierror.New(apierror.Unreachable, "no core answers"))
 	for _, m := range cores[:min(2, len(cores))] {
 		short, stop := context.WithTimeout(ctx, 2*majorityWait)
-		answer, err = watch.Call[A](short, a.wire, m.Address, path, q)
+		answer, err = rpc.Call[A](short, a.wire, m.Address, path, q)
 		stop()
 		if err == nil || !mayPass(err) {
 			return answer, err
@@ -93,7 +94,7 @@
 	for _, s := range a.source.FollowerStates(proxyTime) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil && p.Admin != "" {
-			return watch.Call[[]router.Row](ctx, a.wire, p.Admin, "/proxy/query", q)
+			return rpc.Call[[]router.Row](ctx, a.wire, p.Admin, "/proxy/query", q)
 		}
 	}
 	return nil, apierror.New(apierror.Unreachable, "no proxy beside %s", a.host.Name)
--- a/daemon/carry.go
+++ b/daemon/carry.go
@@ -8,7 +8,7 @@
 	"asterridge/config"
 	"asterridge/register"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // carried notes which keys are known to be on a majority of the list of that version. What is written later is written under that list, so
@@ -57,7 +57,7 @@
 	failed := forEachKey(left, func(key string) error {
 		short, stop := context.WithTimeout(ctx, 2*majorityWait)
 		defer stop()
-		_, err := watch.Call[SettleAnswer](short, c.wire, c.host.Address, "/op/settle", SettleOrder{Key: key, Carry: true})
+		_, err := rpc.Call[SettleAnswer](short, c.wire, c.host.Address, "/op/settle", SettleOrder{Key: key, Carry: true})
 		if err != nil {
 			c.host.Log.Warn().Str("event", "carry_failed").Str("key", key).Err(err).Msg("")
 			return err
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -18,6 +18,7 @@
 	"asterridge/gossip"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/rpc"
 	"asterridge/throttle"
 	"asterridge/watch"
 )
@@ -42,7 +43,7 @@
 	disk        disk.Disk
 	incarnation string
 	mayFound    bool // this disk is from the fleet's very first start (§2.6)
-	wire        *watch.Client
+	wire        *rpc.Client
 	plain       *http.Client // for the replicas of adapters (§6.6)
 	acceptor    *register.Acceptor
 	owner       *register.Owner
@@ -103,7 +104,7 @@
 // NewCore opens the disk and loads what it has.
 func NewCore(host Host, d disk.Disk, options CoreOptions) (*Core, error) {
 	c := &Core{
-		host: host, options: options, disk: d, wire: watch.NewClient(host.Fleet, host.Net), plain: newPlain(host.Net),
+		host: host, options: options, disk: d, wire: rpc.NewClient(host.Fleet, host.Net), plain: newPlain(host.Net),
 		followers: map[string]*watch.Follower{}, met: map[string]string{}, unsettled: map[string]time.Time{}, joiners: map[string]joiner{},
 		listNews: make(chan struct{}), nudges: make(chan struct{}, 1), noting: make(chan struct{}, 1),
 	}
@@ -257,23 +258,23 @@
 
 func (c *Core) handler() http.Handler {
 	mux, fleet := http.NewServeMux(), c.host.Fleet
-	mux.Handle("POST /core/hello", watch.Handler(fleet, c.hello))
-	mux.Handle("POST /core/pull", watch.Handler(fleet, c.data.Pull))
-	mux.Handle("POST /core/whole", watch.Handler(fleet, c.cores.Pull))
-	mux.Handle("POST /core/hold", watch.Handler(fleet, c.shareHold))
-	mux.Handle("POST /register/promise", watch.Handler(fleet, c.promise))
-	mux.Handle("POST /register/confirm", watch.Handler(fleet, c.confirm))
-	mux.Handle("POST /register/accept", watch.Handler(fleet, c.accept))
-	mux.Handle("POST /register/settle", watch.Handler(fleet, c.settle))
+	mux.Handle("POST /core/hello", rpc.Handler(fleet, c.hello))
+	mux.Handle("POST /core/pull", rpc.Handler(fleet, c.data.Pull))
+	mux.Handle("POST /core/whole", rpc.Handler(fleet, c.cores.Pull))
+	mux.Handle("POST /core/hold", rpc.Handler(fleet, c.shareHold))
+	mux.Handle("POST /register/promise", rpc.Handler(fleet, c.promise))
+	mux.Handle("POST /register/confirm", rpc.Handler(fleet, c.confirm))
+	mux.Handle("POST /register/accept", rpc.Handler(fleet, c.accept))
+	mux.Handle("POST /register/settle", rpc.Handler(fleet, c.settle))
 	serveRing(mux, fleet, c.ring)
 	serveMetrics(mux, c.figures)
-	mux.Handle("POST /query", watch.Handler(fleet, c.Query))
-	watch.HandleReady(mux, func() bool {
+	mux.Handle("POST /query", rpc.Handler(fleet, c.Query))
+	rpc.HandleReady(mux, func() bool {
 		now := c.membership()
 		return now.self != nil && len(c.live()) >= majorityOf(len(now.members))
 	})
 	if c.options.Backend != nil {
-		mux.Handle("POST /core/list", watch.Handler(fleet, c.listFor))
+		mux.Handle("POST /core/list", rpc.Handler(fleet, c.listFor))
 	}
 	op(mux, c, config.Key, func(ConfigOrder) string { return config.Key }, c.orderConfig, false)
 	op(mux, c, "keys", func(o KeyOrder) string { return config.KeysPrefix + o.Tenant }, c.orderKey, true)
@@ -309,7 +310,7 @@
 		}
 		short, stop := context.WithTimeout(ctx, 2*majorityWait)
 		defer stop()
-		answer, err := watch.Call[A](short, c.wire, c.addressOf(owner), "/own/"+name, q)
+		answer, err := rpc.Call[A](short, c.wire, c.addressOf(owner), "/own/"+name, q)
 		var dial *net.OpError
 		unasked := errors.As(err, &dial) && dial.Op == "dial"
 		switch {
@@ -326,8 +327,8 @@
 		}
 		return none, apierror.New(apierror.Undecided, "the owner %s did not answer: %v", owner, err)
 	}
-	mux.Handle("POST /own/"+name, watch.Handler(c.host.Fleet, do))
-	mux.Handle("POST /op/"+name, watch.Handler(c.host.Fleet, anywhere))
+	mux.Handle("POST /own/"+name, rpc.Handler(c.host.Fleet, do))
+	mux.Handle("POST /op/"+name, rpc.Handler(c.host.Fleet, anywhere))
 	return anywhere
 }
 
@@ -371,7 +372,7 @@
 		case <-c.nudges:
 		}
 		c.beat(ctx)
-		if watch.Sleep(ctx, leastBeatTime) != nil {
+		if rpc.Sleep(ctx, leastBeatTime) != nil {
 			return
 		}
 	}
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -8,6 +8,7 @@
 	"asterridge/config"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/rpc"
 	"asterridge/watch"
 )
 
@@ -103,7 +104,7 @@
 			go func() {
 				short, stop := context.WithTimeout(ctx, majorityWait)
 				defer stop()
-				_, _ = watch.Call[SettleAnswer](short, c.wire, c.addressOf(owner), "/own/settle", SettleOrder{Key: key, Has: c.acceptor.Revision(key)})
+				_, _ = rpc.Call[SettleAnswer](short, c.wire, c.addressOf(owner), "/own/settle", SettleOrder{Key: key, Has: c.acceptor.Revision(key)})
 			}()
 		}
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // Host is where a daemon stands, and whom it asks first.
@@ -24,7 +24,7 @@
 	Founders []string
 	Founded  bool          // the fleet was founded before: an empty disk here never founds it again (§2.6)
 	RingStep time.Duration // between two beats of the ring; 0: 500 ms
-	Net      watch.Network
+	Net      rpc.Network
 	Log      zerolog.Logger
 	Clock    func() time.Time // the wall clock, which decides nothing (§1.3); nil: the machine's
 }
--- a/daemon/declare.go
+++ b/daemon/declare.go
@@ -9,7 +9,7 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/register"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // orderDeclaration takes a numbered configuration (§2.9). The same one again is answered as it was the first time.
@@ -54,7 +54,7 @@
 		if record.Revision == revision || later {
 			return record, nil
 		}
-		if err := watch.Sleep(short, beatTime/10); err != nil {
+		if err := rpc.Sleep(short, beatTime/10); err != nil {
 			return record, apierror.Wrap(err, apierror.Behind, key)
 		}
 	}
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -9,7 +9,7 @@
 	"asterridge/config"
 	"asterridge/lease"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 const (
@@ -40,7 +40,7 @@
 }
 
 func (b leaseStore) Take(ctx context.Context, duty string, made, met lease.Grant) (uint64, error) {
-	a, err := watch.Call[Accepted](ctx, b.core.wire, b.core.host.Address, "/op/term", LeaseOrder{duty, made, met})
+	a, err := rpc.Call[Accepted](ctx, b.core.wire, b.core.host.Address, "/op/term", LeaseOrder{duty, made, met})
 	return a.Version, err
 }
 
--- a/daemon/found.go
+++ b/daemon/found.go
@@ -12,7 +12,7 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/register"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // Hello is what daemons tell each other before they know more (§2.6).
@@ -164,7 +164,7 @@
 		all.Go(func() {
 			short, stop := context.WithTimeout(ctx, time.Second)
 			defer stop()
-			if h, err := watch.Call[Hello](short, c.wire, address, "/core/hello", own); err == nil {
+			if h, err := rpc.Call[Hello](short, c.wire, address, "/core/hello", own); err == nil {
 				answers <- h
 			}
 		})
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -12,6 +12,7 @@
 	"asterridge/config"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/rpc"
 	"asterridge/watch"
 )
 
@@ -96,7 +97,7 @@
 				c.tellKept(key, c.kept.drop(key), true)
 				up, place = false, KeptPlace{}
 			}
-			_ = watch.Sleep(ctx, keptPause) // the loop looks at the context
+			_ = rpc.Sleep(ctx, keptPause) // the loop looks at the context
 			continue
 		}
 		if !up {
@@ -111,7 +112,7 @@
 		if len(fields) > 0 {
 			c.tellKept(key, fields, full)
 		}
-		_ = watch.Sleep(ctx, keptPause)
+		_ = rpc.Sleep(ctx, keptPause)
 	}
 }
 
--- a/daemon/leave.go
+++ b/daemon/leave.go
@@ -8,7 +8,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 const (
@@ -45,7 +45,7 @@
 		if hasLeft || err != nil && !apierror.Is(err, apierror.Conflict) && !apierror.Is(err, apierror.Undecided) && !apierror.Is(err, apierror.Unreachable) && !apierror.Is(err, apierror.NotFound) {
 			return err
 		}
-		if watch.Sleep(ctx, leaveStep) != nil {
+		if rpc.Sleep(ctx, leaveStep) != nil {
 			return apierror.New(apierror.Undecided, "no time is left to leave the members")
 		}
 	}
--- a/daemon/listing.go
+++ b/daemon/listing.go
@@ -8,7 +8,7 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/register"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 const (
@@ -46,7 +46,7 @@
 		l.tried++
 		return // the next step asks it
 	}
-	if _, err := watch.Call[struct{}](short, c.wire, c.addressOf(l.delegate), "/core/list", struct{}{}); err != nil {
+	if _, err := rpc.Call[struct{}](short, c.wire, c.addressOf(l.delegate), "/core/list", struct{}{}); err != nil {
 		l.delegate = ""
 	}
 }
--- a/daemon/outside.go
+++ b/daemon/outside.go
@@ -11,12 +11,12 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // newPlain makes a client for what is outside the fleet.
-func newPlain(network watch.Network) *http.Client {
-	return &http.Client{CheckRedirect: watch.NoRedirects, Transport: &http.Transport{DialContext: network.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}}
+func newPlain(network rpc.Network) *http.Client {
+	return &http.Client{CheckRedirect: rpc.NoRedirects, Transport: &http.Transport{DialContext: network.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}}
 }
 
 // askReport asks a replica for its load, and for what its cache has got or lost since the last report.
--- a/daemon/proxy.go
+++ b/daemon/proxy.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // Proxy is the thin daemon over the router library.
@@ -76,7 +76,7 @@
 	p.Router.Leave()
 	if p.options.Linger > 0 {
 		server.SetKeepAlivesEnabled(false) // each answer ends its connection
-		_ = watch.Sleep(last, p.options.Linger)
+		_ = rpc.Sleep(last, p.options.Linger)
 	}
 	p.Router.Stop(last)
 	if server.Shutdown(last) != nil {
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -12,7 +12,7 @@
 	"asterridge/config"
 	"asterridge/register"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // Query asks for rows; where keeps those whose field has the value.
@@ -112,7 +112,7 @@
 				continue
 			}
 			short, stop := context.WithTimeout(ctx, 2*time.Second)
-			rows, err := watch.Call[[]router.Row](short, c.wire, status.Address, "/agent/query", ask)
+			rows, err := rpc.Call[[]router.Row](short, c.wire, status.Address, "/agent/query", ask)
 			stop()
 			if err != nil {
 				a.Silent = append(a.Silent, s.Name)
--- a/daemon/retire.go
+++ b/daemon/retire.go
@@ -11,7 +11,7 @@
 	"asterridge/config"
 	"asterridge/register"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // Retiring a base model (§6.6): operators' orders are here, the duty that carries them out is in retirer.go.
@@ -168,7 +168,7 @@
 func (c *Core) newestPlan(ctx context.Context) (*config.Config, error) {
 	short, stop := context.WithTimeout(ctx, majorityWait)
 	defer stop()
-	newest, err := watch.Call[SettleAnswer](short, c.wire, c.host.Address, "/op/settle", SettleOrder{Key: config.Key})
+	newest, err := rpc.Call[SettleAnswer](short, c.wire, c.host.Address, "/op/settle", SettleOrder{Key: config.Key})
 	if err != nil {
 		return nil, err
 	}
--- a/daemon/retirer.go
+++ b/daemon/retirer.go
@@ -11,7 +11,7 @@
 	"asterridge/lease"
 	"asterridge/register"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // retirer is the duty of having replicas load bases and adapters, and of carrying retirements through (§6.6).
@@ -95,7 +95,7 @@
 		return
 	}
 	o.Expect, o.Duty = s.version, config.Duty{Holder: r.candidate.Holder(), Lease: number}
-	a, err := watch.Call[Accepted](ctx, r.core.wire, r.core.host.Address, "/op/advance", o)
+	a, err := rpc.Call[Accepted](ctx, r.core.wire, r.core.host.Address, "/op/advance", o)
 	if err == nil {
 		r.least = a.Version
 	}
--- a/daemon/ring.go
+++ b/daemon/ring.go
@@ -8,7 +8,7 @@
 	"asterridge/gossip"
 	"asterridge/register"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 const (
@@ -17,18 +17,18 @@
 )
 
 // ringCalls are the ring's messages over the wire.
-type ringCalls struct{ wire *watch.Client }
+type ringCalls struct{ wire *rpc.Client }
 
 func (c ringCalls) Beat(ctx context.Context, address string, b gossip.Beat) (gossip.Answer, error) {
-	return watch.Call[gossip.Answer](ctx, c.wire, address, "/ring/beat", b)
+	return rpc.Call[gossip.Answer](ctx, c.wire, address, "/ring/beat", b)
 }
 
 func (c ringCalls) Doubt(ctx context.Context, address string, d gossip.Doubt) (gossip.Silence, error) {
-	return watch.Call[gossip.Silence](ctx, c.wire, address, "/ring/doubt", d)
+	return rpc.Call[gossip.Silence](ctx, c.wire, address, "/ring/doubt", d)
 }
 
 // newRing makes a daemon's place on the ring and opens its endpoints.
-func newRing(host Host, role string, wire *watch.Client) *gossip.Ring {
+func newRing(host Host, role string, wire *rpc.Client) *gossip.Ring {
 	step := host.RingStep
 	if step == 0 {
 		step = ringStep
@@ -40,8 +40,8 @@
 }
 
 func serveRing(mux *http.ServeMux, fleet string, r *gossip.Ring) {
-	mux.Handle("POST /ring/beat", watch.Handler(fleet, r.Heard))
-	mux.Handle("POST /ring/doubt", watch.Handler(fleet, r.Doubted))
+	mux.Handle("POST /ring/beat", rpc.Handler(fleet, r.Heard))
+	mux.Handle("POST /ring/doubt", rpc.Handler(fleet, r.Doubted))
 }
 
 func ringRows(r *gossip.Ring) (rows []router.Row) {
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -18,7 +18,7 @@
 	"github.com/rs/zerolog"
 
 	"asterridge/apierror"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // Settings are a program's flags, which a settings file may give too; a flag beats the file.
@@ -150,7 +150,7 @@
 		return bad("log", "%q is no level", *s.level)
 	}
 	s.Host.Log = Logger(os.Stderr, level).With().Str("daemon", s.Host.Name).Logger()
-	network := &watch.TCP{}
+	network := &rpc.TCP{}
 	if host, _, err := net.SplitHostPort(s.listenAt()); err == nil && !net.ParseIP(host).IsUnspecified() {
 		network.LocalAddr = &net.TCPAddr{IP: net.ParseIP(host)}
 	}
--- a/router/dialect.go
+++ b/router/dialect.go
@@ -11,7 +11,7 @@
 
 	"asterridge/apierror"
 	"asterridge/prefixindex"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // Opening is what a dialect reads of a caller's request before its body.
@@ -186,7 +186,7 @@
 func (ChatDialect) IDHeader() string { return idHeader }
 
 // RetryAfter writes whole seconds, rounded up.
-func (ChatDialect) RetryAfter(d time.Duration) string { return watch.RetryAfter(d) }
+func (ChatDialect) RetryAfter(d time.Duration) string { return rpc.RetryAfter(d) }
 
 // Judge reads the status; a refusal's body has {"error":{"type":…}}.
 func (ChatDialect) Judge(r *http.Response) Verdict {
--- a/router/draw_test.go
+++ b/router/draw_test.go
@@ -8,13 +8,13 @@
 
 	"asterridge/config"
 	"asterridge/prefixindex"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // Fetching a prefix is chosen while it was measured to be quicker than reading anew, tried where nothing was measured, and left where it loses.
 func TestFetchIsChosenByWhatWasMeasured(t *testing.T) {
 	is := is.New(t)
-	r := New(Options{Name: "p", Net: &watch.TCP{}, Log: zerolog.Nop()})
+	r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop()})
 	text := make([]byte, 40*prefixindex.Fine)
 	x := &Exchange{Prompt: Prompt{Text: string(text)}}
 	made := func(name string, fetch map[string]float64) *replica {
--- a/router/exchange_test.go
+++ b/router/exchange_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 	"github.com/rs/zerolog"
 
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // Whatever order steps are tried in, only lawful ones are taken, retry_wait leads to eligible or an end alone, an end is the end, and the
@@ -18,7 +18,7 @@
 	ends := map[State]bool{Done: true, Failed: true, Stale: true}
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 4))
-		r := New(Options{Name: "p", Net: &watch.TCP{}, Log: zerolog.Nop(), Audit: 64})
+		r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop(), Audit: 64})
 		x := &Exchange{ID: "x"}
 		var taken []State
 		for range 40 {
@@ -70,7 +70,7 @@
 func TestSecondAttemptsStayWithinTheRatioAllowed(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct{ ratio, part float64 }{{0, 0.1}, {0.5, 0.1}, {0.2, 0.1}, {0.1, 0.05}, {0.02, 0.01}} {
-		b := &New(Options{RetryRatio: c.ratio, Net: &watch.TCP{}}).budget
+		b := &New(Options{RetryRatio: c.ratio, Net: &rpc.TCP{}}).budget
 		spent := 0
 		for n := 1; n <= 1000; n++ {
 			b.first()
--- a/router/guard.go
+++ b/router/guard.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"asterridge/apierror"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // What bounds the time between the last look and the replica having the request (§3.2).
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := watch.BoundSend(c, ackLimit, sendBuffer); err != nil {
+	if err := rpc.BoundSend(c, ackLimit, sendBuffer); err != nil {
 		_ = c.Close()
 		return nil, apierror.Wrap(err, apierror.Internal, "bound the connection")
 	}
--- a/router/model_test.go
+++ b/router/model_test.go
@@ -10,7 +10,7 @@
 
 	"asterridge/config"
 	"asterridge/register"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // An old version may start work until a term after the next one was named; a disturbance of the cores begins the term anew. A version of
@@ -21,7 +21,7 @@
 		const oldWeights = 10 * time.Second
 		now := time.Now()
 		at := func(seconds float64) time.Time { return now.Add(time.Duration(seconds * float64(time.Second))) }
-		r := New(Options{Name: "p", Net: &watch.TCP{}, Log: zerolog.Nop(), OldWeights: oldWeights})
+		r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop(), OldWeights: oldWeights})
 		v := &View{models: map[string]config.Model{"m": {Version: 6}, "n": {Version: 6}}}
 		r.named.Learn(register.Fields{NamedField("m", 6): []byte("0"), NamedField("m", 4): []byte("11000")}, map[string]int64{NamedField("m", 6): 7000})
 		for _, c := range []struct {
@@ -77,7 +77,7 @@
 	synctest.Test(t, func(t *testing.T) { // on a clock that a busy machine does not move
 		is := is.New(t)
 		const oldWeights = 10 * time.Second
-		r := New(Options{Name: "p", Net: &watch.TCP{}, Log: zerolog.Nop(), OldWeights: oldWeights})
+		r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop(), OldWeights: oldWeights})
 		v := &View{models: map[string]config.Model{"m": {Version: 2}}}
 		now := time.Now()
 		r.named.Learn(register.Fields{NamedField("m", 2): []byte("0")}, nil)
--- a/router/query.go
+++ b/router/query.go
@@ -12,7 +12,7 @@
 	"asterridge/config"
 	"asterridge/queue"
 	"asterridge/register"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // Row is one line of a query's result.
@@ -53,8 +53,8 @@
 // Admin serves the agent's queries and the platform's readiness check.
 func (r *Router) Admin() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /proxy/query", watch.Handler(r.options.Fleet, r.Rows))
-	watch.HandleReady(mux, r.IsReady)
+	mux.Handle("POST /proxy/query", rpc.Handler(r.options.Fleet, r.Rows))
+	rpc.HandleReady(mux, r.IsReady)
 	return mux
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -23,6 +23,7 @@
 	"asterridge/prefixindex"
 	"asterridge/queue"
 	"asterridge/register"
+	"asterridge/rpc"
 	"asterridge/throttle"
 	"asterridge/watch"
 )
@@ -50,7 +51,7 @@
 	Zone    string
 	Fleet   string
 	Agent   string // the agent's address on loopback
-	Net     watch.Network
+	Net     rpc.Network
 	Log     zerolog.Logger
 	Seed    uint64
 	Dialect Dialect
@@ -73,7 +74,7 @@
 type Router struct {
 	options     Options
 	log         zerolog.Logger
-	wire        *watch.Client
+	wire        *rpc.Client
 	upstream    *http.Transport
 	follower    *watch.Follower
 	names       indices
@@ -143,7 +144,7 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(options.Name))
 	r := &Router{
-		options: options, log: options.Log, wire: watch.NewClient(options.Fleet, options.Net),
+		options: options, log: options.Log, wire: rpc.NewClient(options.Fleet, options.Net),
 		upstream: &http.Transport{
 			MaxIdleConnsPerHost: 64, IdleConnTimeout: options.KeepAlive, DisableCompression: true,
 		},
@@ -294,11 +295,11 @@
 			until := time.Now().Add(time.Duration(n.RemainingMs) * time.Millisecond)
 			for time.Now().Before(until) && ctx.Err() == nil {
 				n.RemainingMs = time.Until(until).Milliseconds()
-				_, err := watch.Call[struct{}](ctx, r.wire, r.options.Agent, "/agent/hold", n)
+				_, err := rpc.Call[struct{}](ctx, r.wire, r.options.Agent, "/agent/hold", n)
 				if err == nil {
 					break
 				}
-				_ = watch.Sleep(ctx, 100*time.Millisecond) // the loop looks at the context
+				_ = rpc.Sleep(ctx, 100*time.Millisecond) // the loop looks at the context
 			}
 		}
 	}
@@ -386,5 +387,5 @@
 	}
 	w.Header().Set("X-Ran", string(f.Code.Ran))
 	w.Header().Set("X-Result-Code", fmt.Sprint(f.Code.Number))
-	watch.EncodeError(ctx, err, w)
+	rpc.EncodeError(ctx, err, w)
 }
--- a/watch/bound_test.go
+++ b/rpc/bound_test.go
@@ -1,4 +1,4 @@
-package watch
+package rpc
 
 import (
 	"context"
--- a/watch/wire.go
+++ b/rpc/rpc.go
@@ -1,5 +1,5 @@
 // Package watch has the JSON endpoints between daemons and the numbered pushes of news (docs/design.md §3).
-package watch
+package rpc
 
 import (
 	"bytes"
@@ -7,9 +7,11 @@
 	"encoding/json"
 	"errors"
 	"io"
+	"math"
 	"net"
 	"net/http"
 	"net/url"
+	"strconv"
 	"time"
 
 	"github.com/go-kit/kit/endpoint"
@@ -223,3 +225,8 @@
 		return ctx.Err()
 	}
 }
+
+// RetryAfter writes a duration as whole seconds, rounded up.
+func RetryAfter(d time.Duration) string {
+	return strconv.Itoa(int(math.Ceil(d.Seconds())))
+}
--- a/sim/codes_test.go
+++ b/sim/codes_test.go
@@ -18,7 +18,7 @@
 	"asterridge/daemon"
 	"asterridge/fake"
 	"asterridge/register"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // The codes that only a fault brings about.
@@ -49,7 +49,7 @@
 		// A member that acts on another list of members.
 		asker := string(must(f.Disks[1].Open().Get("self", "incarnation")))
 		f.StartCore(1) // the look at its disk has ended the process before
-		_, err = watch.Call[register.Record](context.Background(), f.Wire, At(CoreIP(0)), "/register/promise",
+		_, err = rpc.Call[register.Record](context.Background(), f.Wire, At(CoreIP(0)), "/register/promise",
 			daemon.RegisterMessage{From: asker, Members: 77, Key: config.Key, Epoch: 1 << 40})
 		is.True(apierror.Is(err, apierror.OtherMembers))
 		time.Sleep(2 * time.Second)
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -17,7 +17,7 @@
 	"asterridge/config"
 	"asterridge/daemon"
 	"asterridge/fake"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // FleetOptions of a simulated fleet.
@@ -35,9 +35,9 @@
 	Founders                 []string            // the cores' founders and seeds; nil: each core's own address and its neighbours
 	Core                     daemon.CoreOptions
 	Agent                    daemon.AgentOptions
-	PlaceCore                func(i int, p *daemon.Host)         // changes where a core stands, before it starts; nil: nothing
-	Backend                  func(i int) daemon.Backend          // how a core speaks with a platform; nil: not at all
-	Wrap                     func(n watch.Network) watch.Network // stands between each daemon and the network; nil: nothing
+	PlaceCore                func(i int, p *daemon.Host)     // changes where a core stands, before it starts; nil: nothing
+	Backend                  func(i int) daemon.Backend      // how a core speaks with a platform; nil: not at all
+	Wrap                     func(n rpc.Network) rpc.Network // stands between each daemon and the network; nil: nothing
 }
 
 // Fleet is cores, agents, proxies and fakes in one bubble.
@@ -46,7 +46,7 @@
 	Net      *Network
 	Disks    []*Disk
 	Replicas map[string]*fake.Replica
-	Wire     *watch.Client
+	Wire     *rpc.Client
 	Client   *http.Client
 
 	mu         sync.Mutex
@@ -86,7 +86,7 @@
 	f := &Fleet{Options: o, Net: NewNetwork(time.Millisecond), Replicas: map[string]*fake.Replica{}, kills: map[string]context.CancelFunc{},
 		Proxies: make([]*daemon.Proxy, o.Proxies), AgentDisks: map[int]*Disk{}, Cores: map[int]*daemon.Core{}, gone: map[int]bool{}, dead: map[string]bool{}, skews: map[string]time.Duration{}, AgentSeeds: []string{At(CoreIP(0)), At(CoreIP(1)), At(CoreIP(2))}}
 	outside := f.Net.Host(CallerIP)
-	f.Wire = watch.NewClient(fleetName, outside)
+	f.Wire = rpc.NewClient(fleetName, outside)
 	f.Client = &http.Client{Transport: &http.Transport{DialContext: outside.DialContext, MaxIdleConnsPerHost: 256}}
 	for range o.Cores {
 		f.Disks = append(f.Disks, NewDisk())
@@ -131,7 +131,7 @@
 }
 
 func (f *Fleet) place(name, ip, zone string) daemon.Host {
-	var network watch.Network = f.Net.Host(ip)
+	var network rpc.Network = f.Net.Host(ip)
 	if f.Options.Wrap != nil {
 		network = f.Options.Wrap(network)
 	}
@@ -299,7 +299,7 @@
 func (f *Fleet) Order(core int, name string, q any) (daemon.Accepted, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	a, err := watch.Call[daemon.Accepted](ctx, f.Wire, At(CoreIP(core)), "/op/"+name, q)
+	a, err := rpc.Call[daemon.Accepted](ctx, f.Wire, At(CoreIP(core)), "/op/"+name, q)
 	if err == nil || apierror.Of(err).Code.Ran != apierror.NotRun {
 		f.FactLog.Order(name, q, a.Version, err != nil)
 	}
@@ -310,7 +310,7 @@
 func (f *Fleet) Query(core int, what string) (daemon.QueryAnswer, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	return watch.Call[daemon.QueryAnswer](ctx, f.Wire, At(CoreIP(core)), "/query", daemon.Query{What: what})
+	return rpc.Call[daemon.QueryAnswer](ctx, f.Wire, At(CoreIP(core)), "/query", daemon.Query{What: what})
 }
 
 // told is the platform's word for a replica.
--- a/sim/testbed.go
+++ b/sim/testbed.go
@@ -10,6 +10,7 @@
 	"asterridge/config"
 	"asterridge/register"
 	"asterridge/router"
+	"asterridge/rpc"
 	"asterridge/watch"
 )
 
@@ -40,7 +41,7 @@
 	s.Router = router.New(o)
 	s.Client = &http.Client{Transport: &http.Transport{DialContext: s.Net.Host(CallerIP).DialContext, DisableCompression: true}}
 	mux := http.NewServeMux()
-	mux.Handle("POST /agent/pull", watch.Handler(fleetName, s.Source.Pull))
+	mux.Handle("POST /agent/pull", rpc.Handler(fleetName, s.Source.Pull))
 	s.Serve(testbedAgent, mux)
 	s.serve(TestbedAddress, s.Router.Handler(), router.Watch)
 	s.running.Go(func() { s.Router.Run(s.ctx) })
@@ -73,7 +74,7 @@
 	s.running.Go(func() {
 		for number := uint64(1); s.ctx.Err() == nil; number++ {
 			do(number)
-			_ = watch.Sleep(s.ctx, step) // the loop looks at the context
+			_ = rpc.Sleep(s.ctx, step) // the loop looks at the context
 		}
 	})
 }
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -23,12 +23,12 @@
 	"asterridge/daemon"
 	"asterridge/fake"
 	"asterridge/router"
-	"asterridge/watch"
+	"asterridge/rpc"
 )
 
 // doubler is a network on which every call between daemons arrives twice: a copy of it comes by a connection of its own, later.
 type doubler struct {
-	watch.Network
+	rpc.Network
 	calls *doubled
 }
 
@@ -44,7 +44,7 @@
 	return &doubled{random: rand.New(rand.NewPCG(seed, 2)), latest: latest, copies: map[string]int{}}
 }
 
-func (d *doubled) wrap(n watch.Network) watch.Network { return doubler{n, d} }
+func (d *doubled) wrap(n rpc.Network) rpc.Network { return doubler{n, d} }
 
 // DialContext leads a connection to another daemon, or to one's own agent, through a pipe that reads the calls.
 func (d doubler) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
@@ -265,7 +265,7 @@
 	inBubble(t, options(310), func(is *is.I, f *Fleet) {
 		claim := func(core int, key, nonce, state string) string {
 			o := daemon.ClaimOrder{Claim: router.Claim{Tenant: "a", Key: key, Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
-			_, err := watch.Call[struct{}](context.Background(), f.Wire, At(CoreIP(core)), "/op/claim", o)
+			_, err := rpc.Call[struct{}](context.Background(), f.Wire, At(CoreIP(core)), "/op/claim", o)
 			if err == nil {
 				return "yes"
 			}
@@ -293,7 +293,7 @@
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		claim := func(nonce, state string) error {
 			o := daemon.ClaimOrder{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
-			_, err := watch.Call[struct{}](context.Background(), f.Wire, At(CoreIP(0)), "/op/claim", o)
+			_, err := rpc.Call[struct{}](context.Background(), f.Wire, At(CoreIP(0)), "/op/claim", o)
 			return err
 		}
 		is.NoErr(claim("n1", "running"))
--- a/watch/follower.go
+++ b/watch/follower.go
@@ -7,6 +7,7 @@
 
 	"asterridge/apierror"
 	"asterridge/register"
+	"asterridge/rpc"
 )
 
 // Held is what a follower has of one key of its source.
@@ -17,7 +18,7 @@
 
 // FollowerOptions of a follower.
 type FollowerOptions struct {
-	RPC     *Client
+	RPC     *rpc.Client
 	Address string
 	Path    string
 	Ask     func() Ask // name, role and what is applied
@@ -71,7 +72,7 @@
 		if f.step(ctx) == nil {
 			continue
 		}
-		_ = Sleep(ctx, pause) // the loop looks at the context
+		_ = rpc.Sleep(ctx, pause) // the loop looks at the context
 	}
 }
 
@@ -87,7 +88,7 @@
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
 	sent := time.Now()
-	answer, err := Call[Answer](ctx, f.Options.RPC, f.Options.Address, f.Options.Path, ask)
+	answer, err := rpc.Call[Answer](ctx, f.Options.RPC, f.Options.Address, f.Options.Path, ask)
 	f.mu.Lock()
 	f.failure = err
 	if err != nil {
--- a/watch/fuzz_test.go
+++ b/watch/fuzz_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"asterridge/register"
+	"asterridge/rpc"
 )
 
 // answered is a transport whose every answer is the given bytes.
@@ -26,7 +27,7 @@
 	f.Add([]byte(`{"code":302}`), []byte(`{`))
 	f.Fuzz(func(_ *testing.T, first, second []byte) {
 		for _, text := range [][]byte{first, second} {
-			wire := &Client{Fleet: "f", HTTP: &http.Client{Transport: answered(text)}}
+			wire := &rpc.Client{Fleet: "f", HTTP: &http.Client{Transport: answered(text)}}
 			follower := NewFollower(FollowerOptions{RPC: wire, Address: "10.0.0.1:1", Path: "/p", Ask: func() Ask { return Ask{} }})
 			_ = follower.step(context.Background())
 			for _, key := range follower.Keys() {
--- a/watch/source.go
+++ b/watch/source.go
@@ -5,8 +5,6 @@
 	"crypto/rand"
 	"encoding/json"
 	"maps"
-	"math"
-	"strconv"
 	"sync"
 	"time"
 
@@ -286,8 +284,3 @@
 	}
 	return all
 }
-
-// RetryAfter writes a duration as whole seconds, rounded up.
-func RetryAfter(d time.Duration) string {
-	return strconv.Itoa(int(math.Ceil(d.Seconds())))
-}
