--- a/config/declaration_test.go
+++ b/config/declaration_test.go
@@ -143,7 +143,7 @@
 	change, err = r.take(declaration(5, 4, true, "pool/p"))
 	is.NoErr(err)
 	is.Equal(r.config(is).Hold.BaseMs, 7)
-	is.True(register.IsGone(change["path/a"]) && register.IsGone(change["text/path/b"]))
+	is.True(register.IsDeleted(change["path/a"]) && register.IsDeleted(change["text/path/b"]))
 	_, again := change["pool/p"]
 	is.True(!again) // it has not changed; only its text was written anew
 }
--- a/daemon/acceptors.go
+++ b/daemon/acceptors.go
@@ -25,7 +25,7 @@
 	version uint64
 }
 
-func (o localAcceptor) Promise(_ context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
+func (o localAcceptor) Prepare(_ context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
 	return o.core.promise(context.Background(), RegisterMessage{From: o.core.incarnation, Members: o.version, Key: key, Epoch: epoch, Has: has})
 }
 
@@ -39,8 +39,8 @@
 	return err
 }
 
-func (o localAcceptor) Settle(_ context.Context, key string, revision register.Revision) {
-	o.core.acceptor.Settle(key, revision)
+func (o localAcceptor) Commit(_ context.Context, key string, revision register.Revision) {
+	o.core.acceptor.Commit(key, revision)
 }
 
 // remoteAcceptor is another core's acceptor.
@@ -50,7 +50,7 @@
 	version uint64
 }
 
-func (p remoteAcceptor) Promise(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
+func (p remoteAcceptor) Prepare(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
 	return rpc.Call[register.Record](ctx, p.core.wire, p.address, "/register/promise",
 		RegisterMessage{From: p.core.incarnation, Members: p.version, Key: key, Epoch: epoch, Has: has})
 }
@@ -67,7 +67,7 @@
 	return err
 }
 
-func (p remoteAcceptor) Settle(ctx context.Context, key string, revision register.Revision) {
+func (p remoteAcceptor) Commit(ctx context.Context, key string, revision register.Revision) {
 	_, _ = rpc.Call[struct{}](ctx, p.core.wire, p.address, "/register/settle",
 		RegisterMessage{From: p.core.incarnation, Members: p.version, Key: key, Has: revision})
 }
@@ -105,7 +105,7 @@
 	if err := c.checkPeer(m, m.Key); err != nil {
 		return register.Record{}, err
 	}
-	return c.acceptor.Promise(m.Key, m.Epoch, m.Has)
+	return c.acceptor.Prepare(m.Key, m.Epoch, m.Has)
 }
 
 func (c *Core) confirm(_ context.Context, m RegisterMessage) (struct{}, error) {
@@ -129,6 +129,6 @@
 	if err := c.checkPeer(m, config.MembersKey); err != nil {
 		return struct{}{}, err
 	}
-	c.acceptor.Settle(m.Key, m.Has)
+	c.acceptor.Commit(m.Key, m.Has)
 	return struct{}{}, nil
 }
--- a/daemon/agent_currency.go
+++ b/daemon/agent_currency.go
@@ -154,7 +154,7 @@
 		if top.Less(revision) {
 			top = revision
 		}
-		if best.Less(revision) && (register.IsSettled(revision, settled) || a.stands(func(other *watch.Follower) bool {
+		if best.Less(revision) && (register.IsCommitted(revision, settled) || a.stands(func(other *watch.Follower) bool {
 			has, _ := other.Revisions(key)
 			return has == revision
 		})) {
--- a/daemon/carry.go
+++ b/daemon/carry.go
@@ -21,7 +21,7 @@
 // carry has every key settled on a majority of the new list, and then says so in the list; only then may it change again (§2.8).
 func (c *Core) carry(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
-	if record.Fields[carryField] == nil || !record.IsSettled() || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.carrying.TryLock() {
+	if record.Fields[carryField] == nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.carrying.TryLock() {
 		return
 	}
 	go func() {
--- a/daemon/catchup.go
+++ b/daemon/catchup.go
@@ -36,10 +36,10 @@
 	for _, key := range f.Keys() {
 		revision, settled := f.Revisions(key)
 		own := c.acceptor.Revision(key)
-		if c.acceptor.Unsettled(key) && register.IsSettled(own, settled) {
-			c.acceptor.Settle(key, own) // the owner's word for it was lost, and the owner's own disk may lack it
+		if c.acceptor.Uncommitted(key) && register.IsCommitted(own, settled) {
+			c.acceptor.Commit(key, own) // the owner's word for it was lost, and the owner's own disk may lack it
 		}
-		if key != router.HoldKey && register.IsSettled(revision, settled) && own.Less(revision) {
+		if key != router.HoldKey && register.IsCommitted(revision, settled) && own.Less(revision) {
 			behind = append(behind, key)
 		}
 	}
@@ -48,7 +48,7 @@
 
 // adopt takes over a key's content as another core has it, if that is settled still.
 func (c *Core) adopt(key string, held watch.Held) error {
-	if !register.IsSettled(held.Revision, held.Settled) {
+	if !register.IsCommitted(held.Revision, held.Settled) {
 		return nil
 	}
 	if err := c.acceptor.Adopt(key, held.Revision, held.Fields); err != nil {
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -122,7 +122,7 @@
 	}
 	c.recallSilent()
 	var err error
-	c.acceptor, err = register.OpenAcceptor(register.AcceptorOptions{Disk: d, News: c.acceptorNews, Note: func(folder, file string, err error) {
+	c.acceptor, err = register.OpenAcceptor(register.AcceptorOptions{Disk: d, OnChange: c.acceptorNews, OnSkipped: func(folder, file string, err error) {
 		host.Log.Warn().Str("event", "file_left_out").Str("folder", folder).Str("file", file).Err(err).Msg("")
 	}})
 	if err != nil {
@@ -130,7 +130,7 @@
 	}
 	c.isDamaged.Store(c.acceptor.IsDamaged())
 	c.owner = register.NewOwner(register.OwnerOptions{
-		ID: c.number.Load, Acceptor: c.acceptor, Membership: c.acceptors, Wait: majorityWait,
+		MemberID: c.number.Load, Acceptor: c.acceptor, Peers: c.acceptors, Timeout: majorityWait,
 	})
 	for _, key := range c.acceptor.Keys() {
 		if scope, isHold := strings.CutPrefix(key, holdPrefix); isHold {
@@ -176,9 +176,9 @@
 
 // acceptorNews passes what the disk has accepted on to the links. It is called under the key's lock.
 func (c *Core) acceptorNews(key string, at register.Record, change register.Fields, full bool) {
-	c.cores.Put(key, at.Revision, at.Settled, change, full)
+	c.cores.Put(key, at.Revision, at.Committed, change, full)
 	if isForAgents(key) {
-		c.data.Put(key, at.Revision, at.Settled, withoutTexts(change), full)
+		c.data.Put(key, at.Revision, at.Committed, withoutTexts(change), full)
 	}
 	if key == config.MembersKey && c.acceptor != nil {
 		go func() {
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -91,7 +91,7 @@
 	for _, key := range c.acceptor.Keys() {
 		late := false
 		c.mu.Lock()
-		if !c.acceptor.Unsettled(key) {
+		if !c.acceptor.Uncommitted(key) {
 			delete(c.unsettled, key)
 		} else if since, ok := c.unsettled[key]; !ok {
 			c.unsettled[key] = time.Now()
--- a/daemon/declare.go
+++ b/daemon/declare.go
@@ -50,7 +50,7 @@
 	defer stop()
 	for {
 		record := c.acceptor.Read(key)
-		later := revision.Less(record.Revision) && record.IsSettled() // one that is not may be lost yet
+		later := revision.Less(record.Revision) && record.IsCommitted() // one that is not may be lost yet
 		if record.Revision == revision || later {
 			return record, nil
 		}
@@ -91,7 +91,7 @@
 // every guard of the order itself stands.
 func (c *Core) tendMembers(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
-	if record.Fields[carryField] != nil || !record.IsSettled() || register.Pick(config.MembersKey, c.live()) != c.host.Name {
+	if record.Fields[carryField] != nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name {
 		return
 	}
 	members, _, _ := readMembers(record.Fields)
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -91,7 +91,7 @@
 	}
 	record := r.core.acceptor.Read(config.Key)
 	plan, err := config.FromFields(record.Fields)
-	if err != nil || !record.IsSettled() {
+	if err != nil || !record.IsCommitted() {
 		return
 	}
 	replicas, err := config.Load[config.Replica](r.core.acceptor.Read(config.ReplicasKey).Fields)
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -211,7 +211,7 @@
 	}
 	all := map[string]register.Fields{}
 	for block, raw := range fields {
-		gone := register.IsGone(raw)
+		gone := register.IsDeleted(raw)
 		switch {
 		case block == router.KeptUp && gone:
 			delete(k.stores, store)
--- a/daemon/leave.go
+++ b/daemon/leave.go
@@ -57,7 +57,7 @@
 	members, prior, _ := readMembers(record.Fields)
 	listed := slices.ContainsFunc(members, func(m config.Member) bool { return m.Incarnation == c.incarnation })
 	switch {
-	case !record.IsSettled() || prior != nil:
+	case !record.IsCommitted() || prior != nil:
 		return false, nil // a change, our own perhaps, is under way
 	case !listed:
 		return true, nil
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -98,7 +98,7 @@
 	}
 	members, prior, _ := readMembers(record.Fields)
 	now := membership{version: record.Revision.Version, members: members}
-	if record.IsSettled() {
+	if record.IsCommitted() {
 		now.settled = &settledMembers{record.Revision, record.Fields}
 	} else {
 		raw, _ := c.disk.Get(selfFolder, membersFile) // none, or a torn one: no list is known to be settled
@@ -109,7 +109,7 @@
 			}
 			now.settled = c.recallList(now.version)
 		} else {
-			c.acceptor.Settle(config.MembersKey, record.Revision) // known before this life: the others are to learn it from here
+			c.acceptor.Commit(config.MembersKey, record.Revision) // known before this life: the others are to learn it from here
 		}
 	}
 	old := c.membership()
@@ -122,7 +122,7 @@
 			c.number.Store(now.self.ID)
 		}
 	}
-	if record.IsSettled() {
+	if record.IsCommitted() {
 		go c.recordList(now) // after a restart only: neither a slow nor a failing disk holds anything up here
 	}
 	c.members.Store(&now)
@@ -171,12 +171,12 @@
 }
 
 // acceptors is the owner's view: all members' acceptors as of the present list.
-func (c *Core) acceptors() (register.Membership, error) {
+func (c *Core) acceptors() (register.Peers, error) {
 	now := c.membership()
 	if now.self == nil {
 		return nil, apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
 	}
-	var all register.Membership
+	var all register.Peers
 	for _, m := range now.members {
 		if m.Incarnation == c.incarnation {
 			all = append(all, localAcceptor{c, now.version})
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -55,13 +55,13 @@
 		{name: "core_is_member", value: truth(now.self != nil)},
 		{name: "core_members", value: float64(len(now.members))},
 		{name: "core_members_live", value: float64(len(c.live()))},
-		{name: "core_keys_owned", value: float64(len(c.owner.Owns()))},
+		{name: "core_keys_owned", value: float64(len(c.owner.OwnedKeys()))},
 		{name: "core_holds", value: float64(len(c.table.All()))},
 		{name: "core_blueprint_version", value: float64(c.acceptor.Revision(config.Key).Version)},
 	}
 	unsettled := 0
 	for _, key := range c.acceptor.Keys() {
-		if c.acceptor.Unsettled(key) {
+		if c.acceptor.Uncommitted(key) {
 			unsettled++
 		}
 	}
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -192,9 +192,9 @@
 }
 
 func (c *Core) orderSettle(ctx context.Context, o SettleOrder) (SettleAnswer, error) {
-	revision, err := c.owner.Settle(ctx, o.Key, o.Carry)
+	revision, err := c.owner.Commit(ctx, o.Key, o.Carry)
 	if err == nil && revision.Less(o.Has) {
-		revision, err = c.owner.Settle(ctx, o.Key, true)
+		revision, err = c.owner.Commit(ctx, o.Key, true)
 	}
 	return SettleAnswer{revision}, err
 }
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -84,7 +84,7 @@
 		for _, key := range c.acceptor.Keys() {
 			r := c.acceptor.Read(key)
 			a.Rows = append(a.Rows, router.Row{"key": key, "owner": register.Pick(key, c.live()), "epoch": r.Revision.Epoch,
-				"version": r.Revision.Version, "settled": r.IsSettled(), "fields": len(r.Fields)})
+				"version": r.Revision.Version, "settled": r.IsCommitted(), "fields": len(r.Fields)})
 		}
 	case "tenants", "pools", "paths", "adapters", "hold":
 		record := c.acceptor.Read(config.Key)
--- a/daemon/survey.go
+++ b/daemon/survey.go
@@ -28,7 +28,7 @@
 func (c *Core) survey(ctx context.Context) *survey {
 	declared, moving := c.acceptor.Read(config.Key), c.acceptor.Read(config.RetirementKey)
 	plan, err := config.FromFields(declared.Fields)
-	if err != nil || len(plan.Adapters) == 0 || !declared.IsSettled() || !moving.IsSettled() {
+	if err != nil || len(plan.Adapters) == 0 || !declared.IsCommitted() || !moving.IsCommitted() {
 		return nil
 	}
 	s := &survey{version: moving.Revision.Version, plan: plan, pools: map[string][]string{}, said: map[string]router.Report{}}
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	shardCount    = 64
-	maxDeltas     = 64
-	writeLockWait = time.Second
+	shardCount       = 64
+	maxDeltaFiles    = 64
+	writeLockTimeout = time.Second
 )
 
 // Acceptor is what one core's disk has promised and accepted (§2.2).
 type Acceptor struct {
 	disk disk.Disk
 	// News is told of each change of a key, under the key's lock.
-	news   func(key string, at Record, change Fields, isFull bool)
-	shards [shardCount]shard
+	onChange func(key string, at Record, change Fields, isFull bool)
+	shards   [shardCount]shard
 }
 
 type shard struct {
@@ -32,29 +32,29 @@
 
 // entry is one key. Whoever writes to the disk has the write lock; mu is held only to read or set the record, never over a disk's time.
 type entry struct {
-	writeLock chan struct{}
-	files     []string // the newest whole on disk and the deltas on it, oldest first; with the write lock
-	weight    int      // bytes of deltas since the last whole; with the write lock
-	promises  []string // promise files on disk; with the write lock
-	stale     []string // files that do not count, and are removed before anything else is written; with the write lock
-	synced    bool     // the files above are sure to survive a loss of power; with the write lock
-	mu        sync.Mutex
-	record    Record
-	lost      Revision // a version that was accepted here and whose file is torn; past once record.Revision is not below it
+	writeLock    chan struct{}
+	files        []string // the newest whole on disk and the deltas on it, oldest first; with the write lock
+	deltaBytes   int      // bytes of deltas since the last whole; with the write lock
+	promiseFiles []string // promise files on disk; with the write lock
+	obsolete     []string // files that do not count, and are removed before anything else is written; with the write lock
+	folderSynced bool     // the files above are sure to survive a loss of power; with the write lock
+	mu           sync.Mutex
+	record       Record
+	lostRevision Revision // a version that was accepted here and whose file is torn; past once record.Revision is not below it
 }
 
 // isDamaged says whether this disk has forgotten what it said yes to: until it has caught up it makes no promise for the key.
 func (e *entry) isDamaged() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.record.Revision.Less(e.lost)
+	return e.record.Revision.Less(e.lostRevision)
 }
 
-func newEntry() *entry { return &entry{writeLock: make(chan struct{}, 1), synced: true} }
+func newEntry() *entry { return &entry{writeLock: make(chan struct{}, 1), folderSynced: true} }
 
 // lockWrites takes the write lock; a disk that stalls for too long rejects those behind.
 func (e *entry) lockWrites() error {
-	timer := time.NewTimer(writeLockWait)
+	timer := time.NewTimer(writeLockTimeout)
 	defer timer.Stop()
 	select {
 	case e.writeLock <- struct{}{}:
@@ -74,33 +74,33 @@
 
 // Record is an acceptor's state of one key.
 type Record struct {
-	Promised uint64   `json:"promised"`
-	Revision Revision `json:"stamp"`
-	Settled  Revision `json:"settled"`
-	Fields   Fields   `json:"fields,omitempty"`
+	Promised  uint64   `json:"promised"`
+	Revision  Revision `json:"stamp"`
+	Committed Revision `json:"settled"`
+	Fields    Fields   `json:"fields,omitempty"`
 }
 
-// IsSettled says whether the accepted content is known to be on a majority.
-func (r Record) IsSettled() bool { return IsSettled(r.Revision, r.Settled) }
+// IsCommitted says whether the accepted content is known to be on a majority.
+func (r Record) IsCommitted() bool { return IsCommitted(r.Revision, r.Committed) }
 
-// IsSettled says whether content is known to be on a majority from what is known to be settled. A revision that is settled under an earlier epoch
+// IsCommitted says whether content is known to be on a majority from what is known to be settled. A revision that is settled under an earlier epoch
 // with the same version settles it too: whoever wrote under the later epoch had adopted that version, and wrote it again unchanged. A revision
 // that is settled under a later epoch says nothing of content that lost to it.
-func IsSettled(revision, settled Revision) bool {
-	return revision == Revision{} || settled.Epoch <= revision.Epoch && settled.Version >= revision.Version
+func IsCommitted(revision, committed Revision) bool {
+	return revision == Revision{} || committed.Epoch <= revision.Epoch && committed.Version >= revision.Version
 }
 
 // AcceptorOptions are an acceptor's disk and who is told of what it does.
 type AcceptorOptions struct {
-	Disk disk.Disk
-	News func(key string, at Record, change Fields, isFull bool)
-	// Note is told of files left out when loading.
-	Note func(folder, file string, err error)
+	Disk     disk.Disk
+	OnChange func(key string, at Record, change Fields, isFull bool)
+	// OnSkipped is told of files left out when loading.
+	OnSkipped func(folder, file string, err error)
 }
 
 // OpenAcceptor loads all keys from the disk (§2.5).
 func OpenAcceptor(options AcceptorOptions) (*Acceptor, error) {
-	k := &Acceptor{disk: options.Disk, news: options.News}
+	k := &Acceptor{disk: options.Disk, onChange: options.OnChange}
 	for i := range k.shards {
 		k.shards[i].keys = map[string]*entry{}
 	}
@@ -114,23 +114,23 @@
 		}
 		key, err := url.QueryUnescape(folder[1:])
 		if err != nil {
-			options.Note(folder, "", err)
+			options.OnSkipped(folder, "", err)
 			continue
 		}
-		e, err := loadEntry(k.disk, folder, options.Note)
+		e, err := loadEntry(k.disk, folder, options.OnSkipped)
 		if err != nil {
 			return nil, err
 		}
-		k.shard(key).keys[key] = e
-		k.news(key, e.record, e.record.Fields, true)
+		k.shardOf(key).keys[key] = e
+		k.onChange(key, e.record, e.record.Fields, true)
 	}
 	return k, nil
 }
 
-func (k *Acceptor) shard(key string) *shard { return &k.shards[Weight(key, "")%shardCount] }
+func (k *Acceptor) shardOf(key string) *shard { return &k.shards[Weight(key, "")%shardCount] }
 
-func (k *Acceptor) entry(key string) *entry {
-	s := k.shard(key)
+func (k *Acceptor) entryOf(key string) *entry {
+	s := k.shardOf(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.keys[key]
@@ -143,7 +143,7 @@
 
 // Read gives a copy of a key's record.
 func (k *Acceptor) Read(key string) Record {
-	e := k.entry(key)
+	e := k.entryOf(key)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	record := e.record
@@ -166,14 +166,14 @@
 	return keys
 }
 
-// Unsettled says whether the key has content not known to be on a majority.
-func (k *Acceptor) Unsettled(key string) bool {
-	return !k.entry(key).read().IsSettled()
+// Uncommitted says whether the key has content not known to be on a majority.
+func (k *Acceptor) Uncommitted(key string) bool {
+	return !k.entryOf(key).read().IsCommitted()
 }
 
-// Promise swears off all epochs below; the answer bears the fields only if the asker lacks them.
-func (k *Acceptor) Promise(key string, epoch uint64, has Revision) (Record, error) {
-	e := k.entry(key)
+// Prepare swears off all epochs below; the answer bears the fields only if the asker lacks them.
+func (k *Acceptor) Prepare(key string, epoch uint64, has Revision) (Record, error) {
+	e := k.entryOf(key)
 	if err := e.lockWrites(); err != nil {
 		return Record{}, err
 	}
@@ -183,14 +183,14 @@
 	}
 	now := e.read()
 	if epoch <= now.Promised {
-		return Record{}, superseded(epoch, now)
+		return Record{}, newSupersededError(epoch, now)
 	}
-	folder, name := folderOf(key), promiseName(epoch)
-	if err := k.put(e, folder, name, []byte("{}")); err != nil {
+	folder, name := folderName(key), promiseFileName(epoch)
+	if err := k.writeFile(e, folder, name, []byte("{}")); err != nil {
 		return Record{}, err
 	}
-	k.drop(e, folder, e.promises)
-	e.promises = []string{name}
+	k.removeFiles(e, folder, e.promiseFiles)
+	e.promiseFiles = []string{name}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.record.Promised = epoch
@@ -203,18 +203,18 @@
 
 // Confirm says whether an epoch still stands here: no higher one was promised. Nothing is written.
 func (k *Acceptor) Confirm(key string, epoch uint64) error {
-	e := k.entry(key)
+	e := k.entryOf(key)
 	if e.isDamaged() {
 		return apierror.New(apierror.Torn, "what was accepted for %s is lost here until it is caught up", key)
 	}
 	if now := e.read(); epoch < now.Promised {
-		return superseded(epoch, now)
+		return newSupersededError(epoch, now)
 	}
 	return nil
 }
 
-// superseded tells the asker, in At, which epoch it has to exceed.
-func superseded(epoch uint64, now Record) error {
+// newSupersededError tells the asker, in At, which epoch it has to exceed.
+func newSupersededError(epoch uint64, now Record) error {
 	f := apierror.New(apierror.Superseded, "epoch %d, promised %d", epoch, now.Promised)
 	f.At = int(now.Promised)
 	return f
@@ -222,7 +222,7 @@
 
 // Accept takes a change if no higher epoch was promised and its base is here, or it is whole.
 func (k *Acceptor) Accept(change Change) error {
-	e := k.entry(change.Key)
+	e := k.entryOf(change.Key)
 	if err := e.lockWrites(); err != nil {
 		return err
 	}
@@ -230,11 +230,11 @@
 	now := e.read()
 	switch {
 	case change.Next.Epoch < now.Promised:
-		return superseded(change.Next.Epoch, now)
+		return newSupersededError(change.Next.Epoch, now)
 	case !now.Revision.Less(change.Next) && now.Revision.Epoch == change.Next.Epoch:
-		return k.sync(e, folderOf(change.Key)) // a late copy: what is here is the same, or came later under the same epoch
+		return k.syncFolder(e, folderName(change.Key)) // a late copy: what is here is the same, or came later under the same epoch
 	case !now.Revision.Less(change.Next):
-		return superseded(change.Next.Epoch, now)
+		return newSupersededError(change.Next.Epoch, now)
 	case !change.Full && (change.Base != now.Revision || e.isDamaged()):
 		return apierror.New(apierror.Behind, "has %v, base %v", now.Revision, change.Base)
 	}
@@ -243,23 +243,23 @@
 
 // Adopt takes settled content learned from another core (§2.4).
 func (k *Acceptor) Adopt(key string, revision Revision, fields Fields) error {
-	e := k.entry(key)
+	e := k.entryOf(key)
 	if err := e.lockWrites(); err != nil {
 		return err
 	}
 	defer e.unlockWrites()
 	if !e.read().Revision.Less(revision) {
-		k.Settle(key, revision)
+		k.Commit(key, revision)
 		return nil
 	}
-	return k.store(e, Change{Key: key, Next: revision, Full: true, Fields: fields, Settled: revision})
+	return k.store(e, Change{Key: key, Next: revision, Full: true, Fields: fields, Committed: revision})
 }
 
 // store writes a change and then shows it; the caller has the write lock, so the fields do not move meanwhile.
 func (k *Acceptor) store(e *entry, change Change) error {
 	old := e.read().Fields
-	weight, written := e.weight+weigh(change.Fields), change
-	if !change.Full && (len(e.files) == 0 || len(e.files) >= maxDeltas || weight > weigh(old)+4096) {
+	deltaBytes, written := e.deltaBytes+sizeOf(change.Fields), change
+	if !change.Full && (len(e.files) == 0 || len(e.files) >= maxDeltaFiles || deltaBytes > sizeOf(old)+4096) {
 		written.Full, written.Fields = true, old.Clone()
 		written.Fields.Apply(change.Fields)
 	}
@@ -267,16 +267,16 @@
 	if err != nil {
 		return apierror.Wrap(err, apierror.Internal, "encode change")
 	}
-	folder := folderOf(change.Key)
-	if err := k.put(e, folder, nameOf(change.Next), data); err != nil {
+	folder := folderName(change.Key)
+	if err := k.writeFile(e, folder, versionFileName(change.Next), data); err != nil {
 		return err
 	}
 	if written.Full {
-		k.drop(e, folder, e.files)
-		e.files, weight = nil, 0
+		k.removeFiles(e, folder, e.files)
+		e.files, deltaBytes = nil, 0
 	}
-	e.weight = weight
-	e.files = append(e.files, nameOf(change.Next))
+	e.deltaBytes = deltaBytes
+	e.files = append(e.files, versionFileName(change.Next))
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.record.Fields == nil || change.Full {
@@ -285,56 +285,56 @@
 	e.record.Fields.Apply(change.Fields)
 	e.record.Revision = change.Next
 	e.record.Promised = max(e.record.Promised, change.Next.Epoch)
-	if e.record.Settled.Less(change.Settled) {
-		e.record.Settled = change.Settled
+	if e.record.Committed.Less(change.Committed) {
+		e.record.Committed = change.Committed
 	}
-	k.news(change.Key, e.record, change.Fields, change.Full)
+	k.onChange(change.Key, e.record, change.Fields, change.Full)
 	return nil
 }
 
-// put writes a file of a key, after what does not count is gone: a version that was refused because its write failed may be on the disk, and
+// writeFile writes a file of a key, after what does not count is gone: a version that was refused because its write failed may be on the disk, and
 // a promise or a version that is answered later must not be followed by it after a restart. The caller has the write lock.
-func (k *Acceptor) put(e *entry, folder, name string, data []byte) error {
+func (k *Acceptor) writeFile(e *entry, folder, name string, data []byte) error {
 	// What was loaded outlasts both the files that it outdates and those that are built on it.
-	if err := k.sync(e, folder); err != nil {
+	if err := k.syncFolder(e, folder); err != nil {
 		return err
 	}
-	for _, name := range e.stale {
+	for _, name := range e.obsolete {
 		if err := k.disk.Drop(folder, name); err != nil {
 			return err
 		}
 	}
 	err := k.disk.Put(folder, name, data)
-	e.synced = err == nil
+	e.folderSynced = err == nil
 	switch {
 	case err == nil:
-		e.stale = nil
+		e.obsolete = nil
 	case !e.isDamaged(): // else the name may be that of the torn file, which has to stay
-		e.stale = append(e.stale, name)
+		e.obsolete = append(e.obsolete, name)
 	}
 	return err
 }
 
-// sync makes sure that what was loaded, or written by a call that failed, survives a loss of power. The caller has the write lock.
-func (k *Acceptor) sync(e *entry, folder string) error {
-	if e.synced {
+// syncFolder makes sure that what was loaded, or written by a call that failed, survives a loss of power. The caller has the write lock.
+func (k *Acceptor) syncFolder(e *entry, folder string) error {
+	if e.folderSynced {
 		return nil
 	}
 	err := k.disk.Sync(folder)
-	e.synced = err == nil
+	e.folderSynced = err == nil
 	return err
 }
 
-// drop removes files that something newer on disk outdates; those that it cannot remove are tried again with the next write.
-func (k *Acceptor) drop(e *entry, folder string, names []string) {
+// removeFiles removes files that something newer on disk outdates; those that it cannot remove are tried again with the next write.
+func (k *Acceptor) removeFiles(e *entry, folder string, names []string) {
 	for _, name := range names {
 		if k.disk.Drop(folder, name) != nil {
-			e.stale = append(e.stale, name)
+			e.obsolete = append(e.obsolete, name)
 		}
 	}
 }
 
-func weigh(fields Fields) int {
+func sizeOf(fields Fields) int {
 	sum := 0
 	for name, value := range fields {
 		sum += len(name) + len(value) + 8
@@ -342,21 +342,21 @@
 	return sum
 }
 
-// Settle notes that a revision is on a majority. It is not written: a lost note only costs a question.
-func (k *Acceptor) Settle(key string, revision Revision) {
-	e := k.entry(key)
+// Commit notes that a revision is on a majority. It is not written: a lost note only costs a question.
+func (k *Acceptor) Commit(key string, revision Revision) {
+	e := k.entryOf(key)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.record.Settled.Less(revision) {
-		e.record.Settled = revision
-		k.news(key, e.record, nil, false)
+	if e.record.Committed.Less(revision) {
+		e.record.Committed = revision
+		k.onChange(key, e.record, nil, false)
 	}
 }
 
 // IsDamaged says whether some key's accepted version is lost to a torn file.
 func (k *Acceptor) IsDamaged() bool {
 	for _, key := range k.Keys() {
-		if k.entry(key).isDamaged() {
+		if k.entryOf(key).isDamaged() {
 			return true
 		}
 	}
@@ -365,10 +365,10 @@
 
 // Revision gives the accepted revision of a key.
 func (k *Acceptor) Revision(key string) Revision {
-	return k.entry(key).read().Revision
+	return k.entryOf(key).read().Revision
 }
 
 // Promised gives the highest epoch promised for a key.
 func (k *Acceptor) Promised(key string) uint64 {
-	return k.entry(key).read().Promised
+	return k.entryOf(key).read().Promised
 }
--- a/register/acceptor_test.go
+++ b/register/acceptor_test.go
@@ -17,8 +17,8 @@
 	var noted []string
 	open := func() *register.Acceptor {
 		noted = nil
-		k, err := register.OpenAcceptor(register.AcceptorOptions{Disk: d.Open(), News: func(string, register.Record, register.Fields, bool) {},
-			Note: func(_, file string, _ error) { noted = append(noted, file) }})
+		k, err := register.OpenAcceptor(register.AcceptorOptions{Disk: d.Open(), OnChange: func(string, register.Record, register.Fields, bool) {},
+			OnSkipped: func(_, file string, _ error) { noted = append(noted, file) }})
 		is.NoErr(err)
 		return k
 	}
@@ -29,7 +29,7 @@
 		is.NoErr(k.Accept(register.Change{Key: "a/b c", Base: base, Next: next, Fields: register.Fields{string(rune('w' + v)): []byte(`1`)}}))
 		base = next
 	}
-	_, err := k.Promise("a/b c", 514, register.Revision{})
+	_, err := k.Prepare("a/b c", 514, register.Revision{})
 	is.NoErr(err)
 	is.Equal(len(open().Read("a/b c").Fields), 4)
 	folder := "ka%2Fb+c"
@@ -41,7 +41,7 @@
 	is.Equal(record.Revision, register.Revision{Epoch: 257, Version: 2})
 	is.Equal(record.Promised, uint64(514)) // the promise stands
 	is.True(k.IsDamaged())
-	_, err = k.Promise("a/b c", 771, register.Revision{}) // it does not know what it said yes to: no vote
+	_, err = k.Prepare("a/b c", 771, register.Revision{}) // it does not know what it said yes to: no vote
 	is.True(apierror.Is(err, apierror.Torn))
 	err = k.Accept(register.Change{Key: "a/b c", Base: record.Revision, Next: register.Revision{Epoch: 257, Version: 5}})
 	is.True(apierror.Is(err, apierror.Superseded))
@@ -63,9 +63,9 @@
 	at := func(epoch, version uint64) register.Revision {
 		return register.Revision{Epoch: epoch, Version: version}
 	}
-	is.True(register.IsSettled(at(0, 0), at(0, 0)))
-	is.True(register.IsSettled(at(5, 4), at(5, 4)))
-	is.True(register.IsSettled(at(5, 4), at(4, 4)))  // adopted from a majority, and written again
-	is.True(!register.IsSettled(at(5, 4), at(4, 3))) // written on top of it, on one disk perhaps
-	is.True(!register.IsSettled(at(4, 4), at(5, 4))) // it may have lost to what is settled
+	is.True(register.IsCommitted(at(0, 0), at(0, 0)))
+	is.True(register.IsCommitted(at(5, 4), at(5, 4)))
+	is.True(register.IsCommitted(at(5, 4), at(4, 4)))  // adopted from a majority, and written again
+	is.True(!register.IsCommitted(at(5, 4), at(4, 3))) // written on top of it, on one disk perhaps
+	is.True(!register.IsCommitted(at(4, 4), at(5, 4))) // it may have lost to what is settled
 }
--- a/register/confirm_test.go
+++ b/register/confirm_test.go
@@ -33,16 +33,16 @@
 	c := &cluster{cuts: map[[2]int]bool{}}
 	for i := range count {
 		d := sim.NewDisk()
-		acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: d.Open(), News: func(string, register.Record, register.Fields, bool) {},
-			Note: func(_, file string, err error) { t.Errorf("file %s: %v", file, err) }})
+		acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: d.Open(), OnChange: func(string, register.Record, register.Fields, bool) {},
+			OnSkipped: func(_, file string, err error) { t.Errorf("file %s: %v", file, err) }})
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.disks, c.acceptors = append(c.disks, d), append(c.acceptors, acceptor)
 		c.owners = append(c.owners, register.NewOwner(register.OwnerOptions{
-			ID: func() uint32 { return uint32(i + 1) }, Acceptor: acceptor, Wait: clusterWait,
-			Membership: func() (register.Membership, error) {
-				var all register.Membership
+			MemberID: func() uint32 { return uint32(i + 1) }, Acceptor: acceptor, Timeout: clusterWait,
+			Peers: func() (register.Peers, error) {
+				var all register.Peers
 				for j := range count {
 					all = append(all, connection{c, i, j})
 				}
@@ -106,8 +106,8 @@
 	return answer, err
 }
 
-func (l connection) Promise(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	return carry(ctx, l, func(k *register.Acceptor) (register.Record, error) { return k.Promise(key, epoch, has) })
+func (l connection) Prepare(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
+	return carry(ctx, l, func(k *register.Acceptor) (register.Record, error) { return k.Prepare(key, epoch, has) })
 }
 
 func (l connection) Confirm(ctx context.Context, key string, epoch uint64) error {
@@ -121,8 +121,8 @@
 	return err
 }
 
-func (l connection) Settle(ctx context.Context, key string, revision register.Revision) {
-	_, _ = carry(ctx, l, func(k *register.Acceptor) (struct{}, error) { k.Settle(key, revision); return struct{}{}, nil })
+func (l connection) Commit(ctx context.Context, key string, revision register.Revision) {
+	_, _ = carry(ctx, l, func(k *register.Acceptor) (struct{}, error) { k.Commit(key, revision); return struct{}{}, nil })
 }
 
 // raise sets the number that the key has; built on another number it is refused, and the same again is a yes without a change.
@@ -167,9 +167,9 @@
 					is.True(!apierror.Is(err, apierror.Conflict) && err != nil)
 					_, err = c.owners[0].Change(ctx, "k", raise(0, number)) // a yes without a write, if it were asked of memory
 					is.True(!apierror.Is(err, apierror.Conflict) && err != nil)
-					_, err = c.owners[0].Settle(ctx, "k", false)
+					_, err = c.owners[0].Commit(ctx, "k", false)
 					is.True(err != nil)
-					_, err = c.owners[0].Settle(ctx, "k", true)
+					_, err = c.owners[0].Commit(ctx, "k", true)
 					is.True(err != nil)
 				}
 				c.isolate(0, false, false)
@@ -179,7 +179,7 @@
 				is.NoErr(err) // this one does
 				_, err = c.owners[0].Change(ctx, "k", raise(5, 6))
 				is.NoErr(err)
-				revision, err := c.owners[2].Settle(ctx, "k", false)
+				revision, err := c.owners[2].Commit(ctx, "k", false)
 				is.NoErr(err)
 				is.True(revision.Version > 0)
 			})
@@ -219,7 +219,7 @@
 		c.isolate(0, true, true)
 		errs := make([]error, 3)
 		var all sync.WaitGroup
-		all.Go(func() { _, errs[0] = c.owners[0].Settle(ctx, "k", true) }) // keeps the owner busy, so that the others wait together
+		all.Go(func() { _, errs[0] = c.owners[0].Commit(ctx, "k", true) }) // keeps the owner busy, so that the others wait together
 		time.Sleep(time.Millisecond)
 		c.isolate(0, false, false)
 		all.Go(func() { _, errs[1] = c.owners[0].Change(ctx, "k", raise(1, 2)) })
@@ -255,7 +255,7 @@
 			all.Go(func() {
 				_, err := c.owners[0].Change(ctx, "k", raise(0, 9))
 				is.True(apierror.Is(err, apierror.Conflict))
-				_, err = c.owners[0].Settle(ctx, "k", false)
+				_, err = c.owners[0].Commit(ctx, "k", false)
 				is.NoErr(err)
 			})
 		}
--- a/register/fuzz_test.go
+++ b/register/fuzz_test.go
@@ -9,7 +9,7 @@
 )
 
 func openFuzzed(d *sim.Disk) (*register.Acceptor, error) {
-	return register.OpenAcceptor(register.AcceptorOptions{Disk: d.Open(), News: func(string, register.Record, register.Fields, bool) {}, Note: func(string, string, error) {}})
+	return register.OpenAcceptor(register.AcceptorOptions{Disk: d.Open(), OnChange: func(string, register.Record, register.Fields, bool) {}, OnSkipped: func(string, string, error) {}})
 }
 
 // Whatever stands in a key's files, the acceptor loads, promises above what it tells, and takes a whole change or says why not.
@@ -35,7 +35,7 @@
 		if now.Promised < now.Revision.Epoch {
 			t.Errorf("promised %d, and accepted %v", now.Promised, now.Revision)
 		}
-		if _, err := k.Promise("k", now.Promised, register.Revision{}); err == nil {
+		if _, err := k.Prepare("k", now.Promised, register.Revision{}); err == nil {
 			t.Errorf("epoch %d is promised twice", now.Promised)
 		}
 		next := register.Revision{Epoch: now.Promised + 1, Version: 1}
--- a/register/model_test.go
+++ b/register/model_test.go
@@ -66,10 +66,10 @@
 
 // plant wraps the real code with a fault that the model has to find.
 type plant struct {
-	acceptor func(to int, real register.Peer) register.Peer           // as an owner meets it
-	quorum   func(i int, all register.Membership) register.Membership // of an owner
-	restart  func(d *sim.Disk)                                        // between a node's end and its start
-	number   func(i int) uint32                                       // of a node, the low byte of its epochs
+	acceptor func(to int, real register.Peer) register.Peer // as an owner meets it
+	quorum   func(i int, all register.Peers) register.Peers // of an owner
+	restart  func(d *sim.Disk)                              // between a node's end and its start
+	number   func(i int) uint32                             // of a node, the low byte of its epochs
 }
 
 // message is one request of an owner to an acceptor, on its way there or, with an answer, on its way back.
@@ -150,22 +150,22 @@
 	if c.scenario.plant != nil && c.scenario.plant.restart != nil && m.life > 1 {
 		c.scenario.plant.restart(m.disk)
 	}
-	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: m.disk.Open(), News: func(string, register.Record, register.Fields, bool) {},
-		Note: func(_, file string, err error) { c.found(fmt.Errorf("file %s: %w", file, err)) }})
+	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: m.disk.Open(), OnChange: func(string, register.Record, register.Fields, bool) {},
+		OnSkipped: func(_, file string, err error) { c.found(fmt.Errorf("file %s: %w", file, err)) }})
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	m.acceptor = acceptor
 	life := m.life
 	m.owner = register.NewOwner(register.OwnerOptions{
-		ID: func() uint32 {
+		MemberID: func() uint32 {
 			if c.scenario.plant != nil && c.scenario.plant.number != nil {
 				return c.scenario.plant.number(i)
 			}
 			return uint32(i + 1)
-		}, Acceptor: acceptor, Wait: time.Hour,
-		Membership: func() (register.Membership, error) {
-			var all register.Membership
+		}, Acceptor: acceptor, Timeout: time.Hour,
+		Peers: func() (register.Peers, error) {
+			var all register.Peers
 			for to := range c.members {
 				var p register.Peer = remote{c, i, life, to}
 				if c.scenario.plant != nil && c.scenario.plant.acceptor != nil {
@@ -204,8 +204,8 @@
 	return a.value, a.err
 }
 
-func (r remote) Promise(_ context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	value, err := r.send(fmt.Sprint("promise ", epoch, has), func(k *register.Acceptor) (any, error) { return k.Promise(key, epoch, has) })
+func (r remote) Prepare(_ context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
+	value, err := r.send(fmt.Sprint("promise ", epoch, has), func(k *register.Acceptor) (any, error) { return k.Prepare(key, epoch, has) })
 	record, _ := value.(register.Record)
 	return record, err
 }
@@ -221,15 +221,15 @@
 	return err
 }
 
-func (r remote) Settle(_ context.Context, key string, revision register.Revision) {
+func (r remote) Commit(_ context.Context, key string, revision register.Revision) {
 	switch r.c.scenario.notes {
 	case prompt:
-		r.c.members[r.to].acceptor.Settle(key, revision)
+		r.c.members[r.to].acceptor.Commit(key, revision)
 		return
 	case lost:
 		return
 	}
-	_, _ = r.send(fmt.Sprint("settle ", revision), func(k *register.Acceptor) (any, error) { k.Settle(key, revision); return nil, nil })
+	_, _ = r.send(fmt.Sprint("settle ", revision), func(k *register.Acceptor) (any, error) { k.Commit(key, revision); return nil, nil })
 }
 
 // kind of a step.
@@ -408,7 +408,7 @@
 // describe tells records apart; one revision has one content, which check looks after.
 func numberOf(m *member) uint64 { return config.Number(m.acceptor.Read(modelKey).Fields) }
 
-func describe(r register.Record) string { return fmt.Sprint(r.Promised, r.Revision, r.Settled) }
+func describe(r register.Record) string { return fmt.Sprint(r.Promised, r.Revision, r.Committed) }
 
 // restart ends a node with all that only its memory had, and starts it on its disk. Its owner's requests are still on their way.
 func (c *model) restart(i int) {
@@ -436,9 +436,9 @@
 	if o.declaration == nil {
 		done := c.history.Read()
 		go func() {
-			revision, err := owner.Settle(context.Background(), modelKey, false)
+			revision, err := owner.Commit(context.Background(), modelKey, false)
 			now := acceptor.Read(modelKey)
-			shown := now.Revision == revision || revision.Less(now.Revision) && now.IsSettled() // as a core's read does; it would wait for the rest
+			shown := now.Revision == revision || revision.Less(now.Revision) && now.IsCommitted() // as a core's read does; it would wait for the rest
 			if c.ends(o, life) && err == nil && shown {
 				done(config.Number(now.Fields), linearizability.Items(config.Texts(now.Fields)))
 				c.note(fmt.Sprint("shows ", config.Number(now.Fields), ": ", o))
--- a/register/orders_test.go
+++ b/register/orders_test.go
@@ -227,7 +227,7 @@
 		for i, o := range all {
 			is.Equal(w.send(i/9%4, o), "accepted")
 		}
-		revision, err := w.at(0).owner.Settle(context.Background(), config.Key, false)
+		revision, err := w.at(0).owner.Commit(context.Background(), config.Key, false)
 		is.NoErr(err)
 		is.Equal(revision.Version, uint64(1000)) // nothing was written
 	})
--- a/register/planted_test.go
+++ b/register/planted_test.go
@@ -13,9 +13,9 @@
 // hidesAccepted promises truthfully, and tells of older content than it has accepted: its asker adopts not the highest.
 type hidesAccepted struct{ register.Peer }
 
-func (h hidesAccepted) Promise(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	record, err := h.Peer.Promise(ctx, key, epoch, has)
-	record.Revision, record.Settled, record.Fields = register.Revision{}, register.Revision{}, nil
+func (h hidesAccepted) Prepare(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
+	record, err := h.Peer.Prepare(ctx, key, epoch, has)
+	record.Revision, record.Committed, record.Fields = register.Revision{}, register.Revision{}, nil
 	return record, err
 }
 
@@ -32,7 +32,7 @@
 // promisesAll promises each epoch without keeping to it: it asks its acceptor for nothing.
 type promisesAll struct{ register.Peer }
 
-func (promisesAll) Promise(_ context.Context, _ string, epoch uint64, _ register.Revision) (register.Record, error) {
+func (promisesAll) Prepare(_ context.Context, _ string, epoch uint64, _ register.Revision) (register.Record, error) {
 	return register.Record{Promised: epoch}, nil
 }
 
@@ -56,10 +56,10 @@
 }
 
 // alone gives an owner itself for a majority.
-func alone(i int, all register.Membership) register.Membership { return all[i : i+1] }
+func alone(i int, all register.Peers) register.Peers { return all[i : i+1] }
 
 // onlyFirstAlone does so at node 0 alone.
-func onlyFirstAlone(i int, all register.Membership) register.Membership {
+func onlyFirstAlone(i int, all register.Peers) register.Peers {
 	if i == 0 {
 		return alone(i, all)
 	}
--- a/register/power_test.go
+++ b/register/power_test.go
@@ -61,8 +61,8 @@
 	if err != nil {
 		return err
 	}
-	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: folder, News: func(string, register.Record, register.Fields, bool) {},
-		Note: func(string, string, error) {}})
+	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: folder, OnChange: func(string, register.Record, register.Fields, bool) {},
+		OnSkipped: func(string, string, error) {}})
 	if err == nil {
 		r.acceptor = acceptor
 	}
@@ -97,7 +97,7 @@
 func (r *trial) promise(key string) {
 	said := r.key(key)
 	said.epoch = max(said.epoch, r.acceptor.Promised(key)) + 256
-	record, err := r.acceptor.Promise(key, said.epoch, register.Revision{})
+	record, err := r.acceptor.Prepare(key, said.epoch, register.Revision{})
 	if err == nil {
 		said.promised, said.known = said.epoch, record.Revision
 		said.revision, said.fields = record.Revision, r.contents[contentOf(key, record.Revision)].Clone()
@@ -405,7 +405,7 @@
 			}
 			for key, said := range r.keys {
 				lost := r.acceptor.Revision(key).Less(said.known)
-				_, err := r.acceptor.Promise(key, said.epoch+255, register.Revision{})
+				_, err := r.acceptor.Prepare(key, said.epoch+255, register.Revision{})
 				if lost != apierror.Is(err, apierror.Torn) {
 					t.Fatalf("after %d steps, with read %d failing, %s of %v: promise %v", end, fault, key, r.acceptor.Revision(key), err)
 				}
@@ -432,7 +432,7 @@
 		b.Run(fmt.Sprint(routes, " fields a change"), func(b *testing.B) {
 			files := sim.NewFiles()
 			folder, _ := disk.NewFolderOn(files, dataFolder)
-			options := register.AcceptorOptions{Disk: folder, News: func(string, register.Record, register.Fields, bool) {}, Note: func(string, string, error) {}}
+			options := register.AcceptorOptions{Disk: folder, OnChange: func(string, register.Record, register.Fields, bool) {}, OnSkipped: func(string, string, error) {}}
 			acceptor, _ := register.OpenAcceptor(options)
 			base := register.Revision{}
 			for version := range uint64(1000) {
--- a/register/register.go
+++ b/register/register.go
@@ -22,13 +22,13 @@
 // Fields are a key's content; in a change a null takes a field away.
 type Fields map[string]json.RawMessage
 
-// IsGone says whether a change takes the field away.
-func IsGone(value json.RawMessage) bool { return len(value) == 0 || string(value) == "null" }
+// IsDeleted says whether a change takes the field away.
+func IsDeleted(value json.RawMessage) bool { return len(value) == 0 || string(value) == "null" }
 
 // Apply lays a change over fields, in place.
 func (f Fields) Apply(change Fields) {
 	for name, value := range change {
-		if IsGone(value) {
+		if IsDeleted(value) {
 			delete(f, name)
 		} else {
 			f[name] = value
@@ -46,12 +46,12 @@
 
 // Change is one accept asked of an acceptor.
 type Change struct {
-	Key     string   `json:"key"`
-	Base    Revision `json:"base"`
-	Next    Revision `json:"next"`
-	Full    bool     `json:"whole,omitempty"`
-	Fields  Fields   `json:"fields"`
-	Settled Revision `json:"settled"`
+	Key       string   `json:"key"`
+	Base      Revision `json:"base"`
+	Next      Revision `json:"next"`
+	Full      bool     `json:"whole,omitempty"`
+	Fields    Fields   `json:"fields"`
+	Committed Revision `json:"settled"`
 }
 
 // Weight is a rendezvous weight of a name for a key.
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -54,17 +54,17 @@
 
 // start opens a node's registers from its disk: a restart after a crash.
 func (w *world) start(i int) {
-	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: w.disks[i].Open(), News: w.news,
-		Note: func(_, file string, err error) { w.t.Errorf("file %s: %v", file, err) }})
+	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: w.disks[i].Open(), OnChange: w.news,
+		OnSkipped: func(_, file string, err error) { w.t.Errorf("file %s: %v", file, err) }})
 	if err != nil {
 		w.t.Error(err)
 		return
 	}
 	n := &node{acceptor: acceptor}
 	n.owner = register.NewOwner(register.OwnerOptions{
-		ID: func() uint32 { return uint32(i + 1) }, Acceptor: acceptor, Wait: 300 * time.Millisecond,
-		Membership: func() (register.Membership, error) {
-			var all register.Membership
+		MemberID: func() uint32 { return uint32(i + 1) }, Acceptor: acceptor, Timeout: 300 * time.Millisecond,
+		Peers: func() (register.Peers, error) {
+			var all register.Peers
 			for j := range w.disks {
 				all = append(all, flaky{w, j})
 			}
@@ -78,7 +78,7 @@
 
 // news checks that one settled revision means one content, on whichever disk.
 func (w *world) news(_ string, r register.Record, _ register.Fields, _ bool) {
-	if !r.IsSettled() || r.Revision == (register.Revision{}) {
+	if !r.IsCommitted() || r.Revision == (register.Revision{}) {
 		return
 	}
 	w.mu.Lock()
@@ -124,8 +124,8 @@
 	return answer, err
 }
 
-func (f flaky) Promise(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	return over(f, ctx, func(k *register.Acceptor) (register.Record, error) { return k.Promise(key, epoch, has) })
+func (f flaky) Prepare(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
+	return over(f, ctx, func(k *register.Acceptor) (register.Record, error) { return k.Prepare(key, epoch, has) })
 }
 
 func (f flaky) Confirm(ctx context.Context, key string, epoch uint64) error {
@@ -138,8 +138,8 @@
 	return err
 }
 
-func (f flaky) Settle(ctx context.Context, key string, revision register.Revision) {
-	_, _ = over(f, ctx, func(k *register.Acceptor) (struct{}, error) { k.Settle(key, revision); return struct{}{}, nil })
+func (f flaky) Commit(ctx context.Context, key string, revision register.Revision) {
+	_, _ = over(f, ctx, func(k *register.Acceptor) (struct{}, error) { k.Commit(key, revision); return struct{}{}, nil })
 }
 
 // Any mix of owners, losses, doubles and crashes keeps one order for each key and loses no accepted change.
--- a/router/named.go
+++ b/router/named.go
@@ -33,7 +33,7 @@
 	for field, raw := range fields {
 		at := strings.LastIndexByte(field, '/')
 		var ms int64
-		if at < 0 || register.IsGone(raw) || json.Unmarshal(raw, &ms) != nil {
+		if at < 0 || register.IsDeleted(raw) || json.Unmarshal(raw, &ms) != nil {
 			continue
 		}
 		version, err := strconv.ParseUint(field[at+1:], 10, 64)
--- a/router/news.go
+++ b/router/news.go
@@ -96,7 +96,7 @@
 	}
 	var gone []string
 	for block, raw := range fields {
-		if register.IsGone(raw) {
+		if register.IsDeleted(raw) {
 			gone = append(gone, block)
 			if block == KeptUp {
 				r.sources.Delete(replica)
--- a/sim/backend_test.go
+++ b/sim/backend_test.go
@@ -319,7 +319,7 @@
 func keptAt(f *watch.Follower, source string) (kept map[string]int, up bool) {
 	kept = map[string]int{}
 	for field, raw := range f.Read(router.KeptPrefix + source).Fields {
-		if register.IsGone(raw) {
+		if register.IsDeleted(raw) {
 			continue
 		}
 		if field == router.KeptUp {
--- a/sim/stored_data_test.go
+++ b/sim/stored_data_test.go
@@ -125,14 +125,14 @@
 			var text strings.Builder
 			for i, d := range recordedDisks(t, day) {
 				acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: d.Open(),
-					News: func(string, register.Record, register.Fields, bool) {},
-					Note: func(folder, file string, err error) {
+					OnChange: func(string, register.Record, register.Fields, bool) {},
+					OnSkipped: func(folder, file string, err error) {
 						t.Errorf("core %d: %s/%s is left out: %v", i+1, folder, file, err)
 					}})
 				is.NoErr(err)
 				for _, key := range acceptor.Keys() {
 					record := acceptor.Read(key)
-					fmt.Fprintf(&text, "core %d, %s: promised %d, revision %v, settled %v\n", i+1, key, record.Promised, record.Revision, record.Settled)
+					fmt.Fprintf(&text, "core %d, %s: promised %d, revision %v, settled %v\n", i+1, key, record.Promised, record.Revision, record.Committed)
 					for _, field := range slices.Sorted(maps.Keys(record.Fields)) {
 						fmt.Fprintf(&text, "\t%s = %s\n", field, record.Fields[field])
 					}
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -90,7 +90,7 @@
 func (t *Table) Learn(fields register.Fields, agesMs map[string]int64) {
 	for scope, raw := range fields {
 		var n Notice
-		if register.IsGone(raw) || json.Unmarshal(raw, &n) != nil {
+		if register.IsDeleted(raw) || json.Unmarshal(raw, &n) != nil {
 			continue
 		}
 		n.Scope, n.RemainingMs = scope, n.RemainingMs-agesMs[scope]
--- a/watch/source.go
+++ b/watch/source.go
@@ -178,7 +178,7 @@
 
 func (s *Source) set(key string, k *sourced, field string, value json.RawMessage) {
 	old, ok := k.cells[field]
-	if register.IsGone(value) {
+	if register.IsDeleted(value) {
 		value = nil
 		if !ok || old.value == nil {
 			return
--- a/watch/source_test.go
+++ b/watch/source_test.go
@@ -27,7 +27,7 @@
 	is.Equal(len(second.Entries), 1)
 	is.Equal(second.Entries[0].Revision, next)
 	is.Equal(len(second.Entries[0].Fields), 1) // b did not change
-	is.True(register.IsGone(second.Entries[0].Fields["a"]))
+	is.True(register.IsDeleted(second.Entries[0].Fields["a"]))
 }
 
 // A slow follower costs the source nothing: what it missed is merged, and behind the last dropped tombstone it gets a snapshot.
