--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -146,24 +146,24 @@
 
 func (l *loader) step(ctx context.Context) {
 	c := l.core
-	l.candidate.Watch()
+	l.candidate.Observe()
 	due, gone := l.survey()
-	fence, own := l.candidate.Holds()
+	fence, own := l.candidate.Held()
 	if len(due) == 0 && len(gone) == 0 || c.membership().self == nil {
 		return
 	}
 	if time.Since(l.renewed) > loadLeaseLength/5 && (own || register.Pick(leasePrefix+"loading", c.live()) == c.host.Name) {
 		wasOurs := own
 		l.renewed = time.Now()
-		l.candidate.Step(ctx)
-		if fence, own = l.candidate.Holds(); !wasOurs {
+		l.candidate.Campaign(ctx)
+		if fence, own = l.candidate.Held(); !wasOurs {
 			clear(l.made) // reservations of an earlier lease of ours may have been another holder's since
 		}
 	}
 	if !own {
 		return
 	}
-	change, now, free := register.Fields{}, time.Now(), l.candidate.QuietUntil().Add(c.options.Lease)
+	change, now, free := register.Fields{}, time.Now(), l.candidate.PreviousLeaseEnd().Add(c.options.Lease)
 	for _, name := range gone {
 		change[name] = nil
 	}
@@ -199,7 +199,7 @@
 		})
 	}
 	asked.Wait()
-	if now, owned := l.candidate.Holds(); len(change) == 0 || !owned || now < fence {
+	if now, owned := l.candidate.Held(); len(change) == 0 || !owned || now < fence {
 		return // another holder may have written marks since the survey: frozen meanwhile, this one writes nothing
 	}
 	short, stop := context.WithTimeout(ctx, majorityWait)
@@ -293,14 +293,14 @@
 		forget()
 		return has, 0
 	}
-	if left := time.Until(l.candidate.QuietUntil().Add(c.options.Lease)); left > 0 && !l.made[name] {
+	if left := time.Until(l.candidate.PreviousLeaseEnd().Add(c.options.Lease)); left > 0 && !l.made[name] {
 		forget()
 		return 0, left
 	}
 	if time.Since(told) < orderAgain {
 		return 0, 0
 	}
-	now, own := l.candidate.Holds()
+	now, own := l.candidate.Held()
 	if !own || now < fence {
 		return 0, 0
 	}
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -27,7 +27,7 @@
 }
 
 func (c *Core) orderLease(ctx context.Context, o LeaseOrder) (Accepted, error) {
-	revision, err := c.owner.Change(ctx, leasePrefix+o.Duty, o.Made.Over(o.Met))
+	revision, err := c.owner.Change(ctx, leasePrefix+o.Duty, o.Made.Replace(o.Met))
 	return Accepted{revision.Version}, err
 }
 
@@ -39,7 +39,7 @@
 	return lease.ReadGrant(record.Fields, record.Revision.Version)
 }
 
-func (b leaseStore) Take(ctx context.Context, duty string, made, met lease.Grant) (uint64, error) {
+func (b leaseStore) Acquire(ctx context.Context, duty string, made, met lease.Grant) (uint64, error) {
 	a, err := rpc.Call[Accepted](ctx, b.core.wire, b.core.host.Address, "/op/term", LeaseOrder{duty, made, met})
 	return a.Version, err
 }
@@ -55,7 +55,7 @@
 }
 
 func (c *Core) newCandidate(duty string, length time.Duration) *lease.Candidate {
-	return lease.New(lease.Options{Duty: duty, Holder: c.host.Name + "." + c.incarnation + "." + c.cores.Run(), Length: length,
+	return lease.New(lease.Options{Role: duty, Holder: c.host.Name + "." + c.incarnation + "." + c.cores.Run(), Length: length,
 		Margin: length / 8, Store: leaseStore{c}, Log: c.host.Log})
 }
 
@@ -72,7 +72,7 @@
 	go c.runRetirements(ctx)
 	go every(ctx, leaseLength/5, func() {
 		if c.membership().self != nil {
-			r.candidate.Step(ctx)
+			r.candidate.Campaign(ctx)
 		}
 	})
 	every(ctx, rolloutStep, func() { r.step(ctx) })
@@ -86,7 +86,7 @@
 
 // step looks at each pool, and tells some replicas to load.
 func (r *rollout) step(ctx context.Context) {
-	if _, own := r.candidate.Holds(); !own {
+	if _, own := r.candidate.Held(); !own {
 		return
 	}
 	record := r.core.acceptor.Read(config.Key)
@@ -143,7 +143,7 @@
 		room = len(behind)
 	}
 	for _, replica := range behind[:max(0, min(room, len(behind)))] {
-		number, own := r.candidate.Holds()
+		number, own := r.candidate.Held()
 		if !own {
 			return
 		}
--- a/daemon/retirer.go
+++ b/daemon/retirer.go
@@ -33,11 +33,11 @@
 			seen, hasAdapters = revision, err == nil && len(plan.Adapters) > 0
 		}
 		if hasAdapters && c.membership().self != nil { // a fleet without adapters has no such lease
-			r.candidate.Step(ctx)
+			r.candidate.Campaign(ctx)
 		}
 	})
 	every(ctx, retireStep, func() {
-		if _, own := r.candidate.Holds(); own {
+		if _, own := r.candidate.Held(); own {
 			r.step(ctx)
 		}
 	})
@@ -90,7 +90,7 @@
 
 // advance writes a step, under our lease and upon the version that it was worked out from.
 func (r *retirer) advance(ctx context.Context, s *survey, o AdvanceOrder) {
-	number, own := r.candidate.Holds()
+	number, own := r.candidate.Held()
 	if !own {
 		return
 	}
@@ -146,7 +146,7 @@
 
 // order sends an order under our lease, if it is still ours.
 func (r *retirer) order(ctx context.Context, replica config.Replica, o router.AdapterOrder) {
-	number, own := r.candidate.Holds()
+	number, own := r.candidate.Held()
 	if !own {
 		return
 	}
--- a/lease/grant.go
+++ b/lease/grant.go
@@ -28,11 +28,11 @@
 	return g
 }
 
-// Over is the register's change by which a grant comes in the place of the one that its asker met, and of no other.
-func (g Grant) Over(met Grant) register.Op {
+// Replace is the register's change by which a grant comes in the place of the one that its asker met, and of no other.
+func (g Grant) Replace(expected Grant) register.Op {
 	return func(now register.Fields, version uint64) (register.Fields, error) {
-		if present := ReadGrant(now, version); present.Version != met.Version || present.Nonce != met.Nonce {
-			return nil, apierror.New(apierror.Conflict, "expected version %d of %s, present is %d of %s", met.Version, met.Holder, version, present.Holder)
+		if current := ReadGrant(now, version); current.Version != expected.Version || current.Nonce != expected.Nonce {
+			return nil, apierror.New(apierror.Conflict, "expected version %d of %s, present is %d of %s", expected.Version, expected.Holder, version, current.Holder)
 		}
 		holder, err := json.Marshal(g.Holder)
 		if err != nil {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -32,7 +32,7 @@
 	return b.known
 }
 
-func (b *store) Take(_ context.Context, _ string, made, met Grant) (uint64, error) {
+func (b *store) Acquire(_ context.Context, _ string, made, met Grant) (uint64, error) {
 	time.Sleep(20 * time.Millisecond) // the way to a majority, in fake time
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,12 +54,12 @@
 		var candidates []*Candidate
 		cuts := make([]bool, 3)
 		for i := range 3 {
-			candidates = append(candidates, New(Options{Duty: "d", Holder: string(rune('a' + i)), Length: length, Margin: length / 8,
+			candidates = append(candidates, New(Options{Role: "d", Holder: string(rune('a' + i)), Length: length, Margin: length / 8,
 				Store: &store{mu: &mu, present: &present, isCut: &cuts[i]}, Log: zerolog.Nop()}))
 		}
 		holds := func() (who []int) {
 			for i, s := range candidates {
-				if _, own := s.Holds(); own {
+				if _, own := s.Held(); own {
 					who = append(who, i)
 				}
 			}
@@ -85,7 +85,7 @@
 			mu.Unlock()
 			if beat%8 == 0 {
 				for _, s := range candidates {
-					s.Step(t.Context())
+					s.Campaign(t.Context())
 				}
 			}
 		}
@@ -105,11 +105,11 @@
 		stands := Grant{Holder: "b", Nonce: "stands", Version: 7}
 		present := lost
 		const length = 2 * time.Second
-		s := New(Options{Duty: "d", Holder: "c", Length: length, Store: &store{mu: &mu, present: &present, isCut: &cut}, Log: zerolog.Nop()})
+		s := New(Options{Role: "d", Holder: "c", Length: length, Store: &store{mu: &mu, present: &present, isCut: &cut}, Log: zerolog.Nop()})
 		step := func(after time.Duration) bool {
 			time.Sleep(after)
-			s.Step(t.Context())
-			_, own := s.Holds()
+			s.Campaign(t.Context())
+			_, own := s.Held()
 			return own
 		}
 		is.True(!step(0))
@@ -119,9 +119,9 @@
 		is.True(!step(length - 2*time.Millisecond))
 		is.True(step(2 * time.Millisecond))
 
-		_, err := lost.Over(stands)(register.Fields{"holder": []byte(`"a"`), "mark": []byte(`"lost"`)}, 7)
+		_, err := lost.Replace(stands)(register.Fields{"holder": []byte(`"a"`), "mark": []byte(`"lost"`)}, 7)
 		is.True(apierror.Is(err, apierror.Conflict))
-		_, err = lost.Over(stands)(register.Fields{"holder": []byte(`"b"`), "mark": []byte(`"stands"`)}, 7)
+		_, err = lost.Replace(stands)(register.Fields{"holder": []byte(`"b"`), "mark": []byte(`"stands"`)}, 7)
 		is.NoErr(err)
 	})
 }
--- a/register/lease_test.go
+++ b/register/lease_test.go
@@ -33,8 +33,8 @@
 	return lease.ReadGrant(record.Fields, record.Revision.Version)
 }
 
-func (b leaseStore) Take(ctx context.Context, _ string, made, met lease.Grant) (uint64, error) {
-	return b.write(ctx, made.Over(met))
+func (b leaseStore) Acquire(ctx context.Context, _ string, made, met lease.Grant) (uint64, error) {
+	return b.write(ctx, made.Replace(met))
 }
 
 func (b leaseStore) write(ctx context.Context, op register.Op) (uint64, error) {
@@ -61,7 +61,7 @@
 	}
 	go func() {
 		defer c.stepping.Unlock()
-		candidate.Step(ctx)
+		candidate.Campaign(ctx)
 	}()
 }
 
@@ -72,7 +72,7 @@
 func (f fences) act(all []*candidate) error {
 	var holders []string
 	for _, c := range all {
-		number, own := c.candidate.Holds()
+		number, own := c.candidate.Held()
 		if !own {
 			continue
 		}
@@ -118,7 +118,7 @@
 			if planted.store != nil {
 				one.store = planted.store(one.node, one.store)
 			}
-			one.candidate = lease.New(lease.Options{Duty: "d", Holder: fmt.Sprintf("%d.%d", one.node, one.life), Length: length, Margin: leaseMargin, Store: one.store, Log: zerolog.Nop()})
+			one.candidate = lease.New(lease.Options{Role: "d", Holder: fmt.Sprintf("%d.%d", one.node, one.life), Length: length, Margin: leaseMargin, Store: one.store, Log: zerolog.Nop()})
 		}
 		for node := range c.owners {
 			one := &candidate{node: node}
@@ -182,16 +182,16 @@
 // overAnything takes the duty whatever stands there by now.
 type overAnything struct{ leaseStore }
 
-func (b overAnything) Take(ctx context.Context, _ string, made, _ lease.Grant) (uint64, error) {
+func (b overAnything) Acquire(ctx context.Context, _ string, made, _ lease.Grant) (uint64, error) {
 	return b.write(ctx, func(now register.Fields, version uint64) (register.Fields, error) {
-		return made.Over(lease.ReadGrant(now, version))(now, version)
+		return made.Replace(lease.ReadGrant(now, version))(now, version)
 	})
 }
 
 // fromMemory grants the duty without asking anybody.
 type fromMemory struct{ leaseStore }
 
-func (b fromMemory) Take(_ context.Context, _ string, _, met lease.Grant) (uint64, error) {
+func (b fromMemory) Acquire(_ context.Context, _ string, _, met lease.Grant) (uint64, error) {
 	return met.Version + 1, nil
 }
 
