--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -34,15 +34,15 @@
 	dialect router.Dialect
 	wire    *rpc.Client
 	plain   *http.Client
-	source  *watch.Source
+	source  *watch.Server
 	table   *throttle.Table
 	ring    *gossip.Ring
 	disk    disk.Disk // may be nil: then what was learned of the cores is lost with the process
 
 	mu           sync.Mutex
 	members      []config.Member
-	prior        []config.Member            // the list before, while keys are carried over from it
-	links        map[string]*watch.Follower // by core's address
+	prior        []config.Member          // the list before, while keys are carried over from it
+	links        map[string]*watch.Client // by core's address
 	applied      map[string]register.Revision
 	undecided    map[string]doubt
 	until        time.Time // current until then, as last worked out
@@ -84,14 +84,14 @@
 		disk: d, options: options,
 		host: host, dialect: options.Dialect, wire: rpc.NewClient(host.Fleet, host.Net),
 		plain: newPlain(host.Net),
-		links: map[string]*watch.Follower{}, applied: map[string]register.Revision{}, undecided: map[string]doubt{},
+		links: map[string]*watch.Client{}, applied: map[string]register.Revision{}, undecided: map[string]doubt{},
 		why: "no core found yet", proxies: register.Fields{}, silent: map[string]bool{}, readers: map[string]string{}, replicas: map[string]context.CancelFunc{}, watched: map[string]config.Replica{},
 	}
 	a.ring = newRing(host, "agent", a.wire)
-	a.source = watch.NewSource(watch.SourceOptions{Remaining: a.remaining})
+	a.source = watch.NewServer(watch.ServerOptions{ValidFor: a.remaining})
 	a.table = throttle.NewTable(func(e throttle.Entry) {
 		raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
-		a.source.Put(router.HoldKey, register.Revision{}, register.Revision{}, register.Fields{e.Scope: raw}, false)
+		a.source.Publish(router.HoldKey, register.Revision{}, register.Revision{}, register.Fields{e.Scope: raw}, false)
 	})
 	return a
 }
@@ -106,7 +106,7 @@
 		a.seeOff()
 	}()
 	mux, fleet := http.NewServeMux(), a.host.Fleet
-	mux.Handle("POST /agent/pull", rpc.Handler(fleet, a.source.Pull))
+	mux.Handle("POST /agent/pull", rpc.Handler(fleet, a.source.Watch))
 	mux.Handle("POST /agent/hold", rpc.Handler(fleet, a.tellHold))
 	mux.Handle("POST /agent/claim", rpc.Handler(fleet, a.claim))
 	outer := http.NewServeMux()
@@ -128,7 +128,7 @@
 func (a *Agent) seeOff() {
 	for end := time.Now().Add(a.options.Grace); time.Now().Before(end); {
 		ok := false
-		for _, s := range a.source.FollowerStates(liveTime) {
+		for _, s := range a.source.ClientStates(liveTime) {
 			ok = ok || s.Role == "proxy"
 		}
 		if !ok || rpc.Sleep(context.Background(), helloTime) != nil {
@@ -212,15 +212,15 @@
 	}
 	for _, m := range slices.Concat(a.members, a.prior) {
 		if a.links[m.Address] == nil {
-			f := watch.NewFollower(watch.FollowerOptions{
-				RPC: a.wire, Address: m.Address, Path: "/core/pull", Wait: a.options.LinkWait, Ask: a.ask,
-				News: func(f *watch.Follower, answer watch.Answer) { // the rest is looked at in digest, which follows each answer
+			f := watch.NewClient(watch.ClientOptions{
+				RPC: a.wire, Address: m.Address, Path: "/core/pull", Wait: a.options.LinkWait, Request: a.ask,
+				OnUpdate: func(f *watch.Client, answer watch.Response) { // the rest is looked at in digest, which follows each answer
 					takeHolds(a.table)(f, answer)
 					a.takeKept(f, answer)
 					a.takeNamed(answer)
 					a.takeOccupancy(answer)
 				},
-				Fresh: func(*watch.Follower, time.Time, time.Duration) { a.digest(ctx) },
+				OnResponse: func(*watch.Client, time.Time, time.Duration) { a.digest(ctx) },
 			})
 			a.links[m.Address] = f
 			go f.Run(ctx)
@@ -232,10 +232,10 @@
 	return slices.ContainsFunc(members, func(m config.Member) bool { return m.Address == address })
 }
 
-func (a *Agent) ask() watch.Ask {
+func (a *Agent) ask() watch.Request {
 	status := AgentStatus{Address: a.host.Address, Zone: a.host.Zone, Current: a.remaining() > 0}
-	ask := watch.Ask{Name: a.host.Name, Role: "agent"}
-	for _, s := range a.source.FollowerStates(liveTime) {
+	ask := watch.Request{Name: a.host.Name, Role: "agent"}
+	for _, s := range a.source.ClientStates(liveTime) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
 			status.Proxy, ask.Applied = &p, s.Applied
@@ -249,9 +249,9 @@
 }
 
 // takeHolds merges the running holds of a link's answer; cores take them from each other by it, too.
-func takeHolds(table *throttle.Table) func(*watch.Follower, watch.Answer) {
-	return func(_ *watch.Follower, answer watch.Answer) {
-		for _, e := range answer.Entries {
+func takeHolds(table *throttle.Table) func(*watch.Client, watch.Response) {
+	return func(_ *watch.Client, answer watch.Response) {
+		for _, e := range answer.Updates {
 			if e.Key == router.HoldKey {
 				table.Learn(e.Fields, e.AgesMs)
 			}
@@ -275,7 +275,7 @@
 	}
 	if change := config.Delta(a.proxies, peers); len(change) > 0 && len(peers) > 0 {
 		a.proxies = peers
-		a.source.Put(router.ProxiesKey, register.Revision{}, register.Revision{}, change, false)
+		a.source.Publish(router.ProxiesKey, register.Revision{}, register.Revision{}, change, false)
 	}
 	if a.dialect.ReportPath() != "" {
 		a.watch(ctx)
@@ -283,22 +283,22 @@
 }
 
 // takeOccupancy passes on the load of replicas; an older word than was had does no harm for long.
-func (a *Agent) takeOccupancy(answer watch.Answer) {
-	for _, e := range answer.Entries {
+func (a *Agent) takeOccupancy(answer watch.Response) {
+	for _, e := range answer.Updates {
 		if e.Key == router.OccupancyKey && len(e.Fields) > 0 && !answer.Snapshot {
-			a.source.PutSoon(e.Key, e.Fields, false)
+			a.source.PublishDeferred(e.Key, e.Fields, false)
 		}
 	}
 }
 
 // takeNamed passes on since when versions are named, as the core knows it that has known it for longest.
-func (a *Agent) takeNamed(answer watch.Answer) {
-	for _, e := range answer.Entries {
+func (a *Agent) takeNamed(answer watch.Response) {
+	for _, e := range answer.Updates {
 		if e.Key != router.NamedKey {
 			continue
 		}
 		if moved := a.named.Learn(e.Fields, e.AgesMs); len(moved) > 0 {
-			a.source.Put(router.NamedKey, register.Revision{}, register.Revision{}, moved, false)
+			a.source.Publish(router.NamedKey, register.Revision{}, register.Revision{}, moved, false)
 		}
 	}
 }
--- a/daemon/agent_calls.go
+++ b/daemon/agent_calls.go
@@ -47,11 +47,11 @@
 
 // liveCores lists the members that answer, the one that would own the key first. Who answers in this moment counts, however long ago its
 // ask was sent.
-func (a *Agent) liveCores(key string, answering ...*watch.Follower) (live []config.Member) {
+func (a *Agent) liveCores(key string, answering ...*watch.Client) (live []config.Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.members {
-		if f := a.links[m.Address]; f != nil && (slices.Contains(answering, f) || time.Since(f.FreshOf(m.Incarnation)) < liveTime) {
+		if f := a.links[m.Address]; f != nil && (slices.Contains(answering, f) || time.Since(f.FreshAsOf(m.Incarnation)) < liveTime) {
 			live = append(live, m)
 		}
 	}
@@ -62,7 +62,7 @@
 // claim passes a claim on to its group's owner.
 func (a *Agent) claim(ctx context.Context, q router.Claim) (struct{}, error) {
 	o := ClaimOrder{Claim: q}
-	for _, s := range a.source.FollowerStates(proxyTime) {
+	for _, s := range a.source.ClientStates(proxyTime) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
 			o.Proxy = p.Proxy + "." + p.Run
@@ -91,7 +91,7 @@
 
 // query passes a core's question on to the proxy.
 func (a *Agent) query(ctx context.Context, q router.Query) ([]router.Row, error) {
-	for _, s := range a.source.FollowerStates(proxyTime) {
+	for _, s := range a.source.ClientStates(proxyTime) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil && p.Admin != "" {
 			return rpc.Call[[]router.Row](ctx, a.wire, p.Admin, "/proxy/query", q)
--- a/daemon/agent_currency.go
+++ b/daemon/agent_currency.go
@@ -40,7 +40,7 @@
 		a.hearingSince = now
 	}
 	if changed && now.Sub(a.hearingSince) > settling {
-		a.source.Put(router.DisturbedKey, register.Revision{}, register.Revision{}, register.Fields{router.DisturbedKey: json.RawMessage("1")}, false)
+		a.source.Publish(router.DisturbedKey, register.Revision{}, register.Revision{}, register.Fields{router.DisturbedKey: json.RawMessage("1")}, false)
 	}
 }
 
@@ -97,8 +97,8 @@
 func (a *Agent) freshUntil(list []config.Member) time.Time {
 	var sent []time.Time
 	for _, m := range list {
-		if f := a.links[m.Address]; f != nil && !f.FreshOf(m.Incarnation).IsZero() {
-			sent = append(sent, f.FreshOf(m.Incarnation))
+		if f := a.links[m.Address]; f != nil && !f.FreshAsOf(m.Incarnation).IsZero() {
+			sent = append(sent, f.FreshAsOf(m.Incarnation))
 		}
 	}
 	majority := majorityOf(len(list))
@@ -110,11 +110,11 @@
 }
 
 // stands says whether a majority of each list fits.
-func (a *Agent) stands(fits func(f *watch.Follower) bool) bool {
+func (a *Agent) stands(fits func(f *watch.Client) bool) bool {
 	for _, list := range a.lists() {
 		count := 0
 		for _, m := range list {
-			if f := a.links[m.Address]; f != nil && !f.FreshOf(m.Incarnation).IsZero() && fits(f) {
+			if f := a.links[m.Address]; f != nil && !f.FreshAsOf(m.Incarnation).IsZero() && fits(f) {
 				count++
 			}
 		}
@@ -131,7 +131,7 @@
 		lacking := 0
 		for _, m := range list {
 			f := a.links[m.Address]
-			if f == nil || now.Sub(f.FreshOf(m.Incarnation)) >= a.options.Fresh {
+			if f == nil || now.Sub(f.FreshAsOf(m.Incarnation)) >= a.options.Fresh {
 				continue
 			}
 			if has, _ := f.Revisions(key); has.Less(revision) {
@@ -148,13 +148,13 @@
 // decide applies the highest accepted version of a key. If a higher one may be accepted too, it gives the end of the grace.
 func (a *Agent) decide(key string, now time.Time, wasCurrent bool) (end time.Time, isOpen bool) {
 	best, top := a.applied[key], a.applied[key]
-	var from *watch.Follower
+	var from *watch.Client
 	for _, f := range a.links {
 		revision, settled := f.Revisions(key)
 		if top.Less(revision) {
 			top = revision
 		}
-		if best.Less(revision) && (register.IsCommitted(revision, settled) || a.stands(func(other *watch.Follower) bool {
+		if best.Less(revision) && (register.IsCommitted(revision, settled) || a.stands(func(other *watch.Client) bool {
 			has, _ := other.Revisions(key)
 			return has == revision
 		})) {
@@ -164,7 +164,7 @@
 	if from != nil {
 		if held := from.Read(key); held.Revision == best {
 			a.applied[key] = best
-			a.source.Put(key, best, best, held.Fields, true)
+			a.source.Publish(key, best, best, held.Fields, true)
 			a.host.Log.Info().Str("event", "applied").Str("key", key).Uint64("epoch", best.Epoch).Uint64("version", best.Version).Msg("")
 			if key == config.MembersKey {
 				a.members, a.prior, _ = readMembers(held.Fields)
--- a/daemon/agent_reports.go
+++ b/daemon/agent_reports.go
@@ -37,8 +37,8 @@
 			a.replicas[name]()
 			delete(a.replicas, name)
 			delete(a.watched, name)
-			a.source.Put(router.ReportsKey, register.Revision{}, register.Revision{}, register.Fields{name: nil}, false)
-			a.source.Put(router.KeptPrefix+name, register.Revision{}, register.Revision{}, register.Fields{}, true)
+			a.source.Publish(router.ReportsKey, register.Revision{}, register.Revision{}, register.Fields{name: nil}, false)
+			a.source.Publish(router.KeptPrefix+name, register.Revision{}, register.Revision{}, register.Fields{}, true)
 		}
 	}
 }
@@ -70,9 +70,9 @@
 			change[block] = nil
 		}
 		if len(change) > 0 || body.Snapshot {
-			a.source.Put(router.KeptPrefix+r.Name, register.Revision{}, register.Revision{}, change, body.Snapshot)
+			a.source.Publish(router.KeptPrefix+r.Name, register.Revision{}, register.Revision{}, change, body.Snapshot)
 		}
-		a.source.Put(router.ReportsKey, register.Revision{}, register.Revision{}, register.Fields{r.Name: raw}, false)
+		a.source.Publish(router.ReportsKey, register.Revision{}, register.Revision{}, register.Fields{r.Name: raw}, false)
 		last = body.Report
 	}
 	step()
--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -105,7 +105,7 @@
 	}
 	asked.Wait()
 	if len(fields) > 0 {
-		c.data.PutSoon(router.OccupancyKey, fields, false)
+		c.data.PublishDeferred(router.OccupancyKey, fields, false)
 	}
 }
 
--- a/daemon/catchup.go
+++ b/daemon/catchup.go
@@ -31,7 +31,7 @@
 }
 
 // catchUp adopts settled content that this disk lacks (§2.4), and says how many keys it could not take.
-func (c *Core) catchUp(f *watch.Follower) (failed int) {
+func (c *Core) catchUp(f *watch.Client) (failed int) {
 	var behind []string
 	for _, key := range f.Keys() {
 		revision, settled := f.Revisions(key)
@@ -47,8 +47,8 @@
 }
 
 // adopt takes over a key's content as another core has it, if that is settled still.
-func (c *Core) adopt(key string, held watch.Held) error {
-	if !register.IsCommitted(held.Revision, held.Settled) {
+func (c *Core) adopt(key string, held watch.KeyState) error {
+	if !register.IsCommitted(held.Revision, held.Committed) {
 		return nil
 	}
 	if err := c.acceptor.Adopt(key, held.Revision, held.Fields); err != nil {
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -97,7 +97,7 @@
 
 // isRunning says whether a proxy was heard of lately.
 func (c *Core) isRunning(proxy string) bool {
-	for _, s := range c.data.FollowerStates(proxyTime) {
+	for _, s := range c.data.ClientStates(proxyTime) {
 		var status AgentStatus
 		if json.Unmarshal(s.Status, &status) == nil && status.Proxy != nil && status.Proxy.Proxy+"."+status.Proxy.Run == proxy {
 			return true
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -47,8 +47,8 @@
 	plain       *http.Client // for the replicas of adapters (§6.6)
 	acceptor    *register.Acceptor
 	owner       *register.Owner
-	cores       *watch.Source // for the other cores: every key
-	data        *watch.Source // for the agents
+	cores       *watch.Server // for the other cores: every key
+	data        *watch.Server // for the agents
 	table       *throttle.Table
 	ring        *gossip.Ring
 	isDamaged   atomic.Bool // a torn file: this core's word counts for nobody until it has caught up (§2.5)
@@ -77,8 +77,8 @@
 	claims map[string]time.Time // when this process first saw a request's claim; of the pruning alone
 
 	mu        sync.Mutex
-	followers map[string]*watch.Follower // by member name
-	met       map[string]string          // founding: address → incarnation
+	followers map[string]*watch.Client // by member name
+	met       map[string]string        // founding: address → incarnation
 	unsettled map[string]time.Time
 	joiners   map[string]joiner // by name: cores that would be members
 	silence   silence           // of the members
@@ -105,18 +105,18 @@
 func NewCore(host Host, d disk.Disk, options CoreOptions) (*Core, error) {
 	c := &Core{
 		host: host, options: options, disk: d, wire: rpc.NewClient(host.Fleet, host.Net), plain: newPlain(host.Net),
-		followers: map[string]*watch.Follower{}, met: map[string]string{}, unsettled: map[string]time.Time{}, joiners: map[string]joiner{},
+		followers: map[string]*watch.Client{}, met: map[string]string{}, unsettled: map[string]time.Time{}, joiners: map[string]joiner{},
 		listNews: make(chan struct{}), nudges: make(chan struct{}, 1), noting: make(chan struct{}, 1),
 	}
 	c.table = throttle.NewTable(c.holdNews)
 	c.ring = newRing(host, "core", c.wire)
-	who := watch.SourceOptions{Who: func() string {
+	who := watch.ServerOptions{Incarnation: func() string {
 		if c.membership().self == nil || c.isDamaged.Load() {
 			return ""
 		}
 		return c.incarnation
 	}}
-	c.cores, c.data = watch.NewSource(who), watch.NewSource(who)
+	c.cores, c.data = watch.NewServer(who), watch.NewServer(who)
 	if err := c.identify(); err != nil {
 		return nil, err
 	}
@@ -176,9 +176,9 @@
 
 // acceptorNews passes what the disk has accepted on to the links. It is called under the key's lock.
 func (c *Core) acceptorNews(key string, at register.Record, change register.Fields, full bool) {
-	c.cores.Put(key, at.Revision, at.Committed, change, full)
+	c.cores.Publish(key, at.Revision, at.Committed, change, full)
 	if isForAgents(key) {
-		c.data.Put(key, at.Revision, at.Committed, withoutTexts(change), full)
+		c.data.Publish(key, at.Revision, at.Committed, withoutTexts(change), full)
 	}
 	if key == config.MembersKey && c.acceptor != nil {
 		go func() {
@@ -206,7 +206,7 @@
 		}
 	}
 	if len(fields) > 0 {
-		c.data.Put(router.NamedKey, register.Revision{}, register.Revision{}, fields, false)
+		c.data.Publish(router.NamedKey, register.Revision{}, register.Revision{}, fields, false)
 	}
 }
 
@@ -228,8 +228,8 @@
 func (c *Core) holdNews(e throttle.Entry) {
 	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
 	fields := register.Fields{e.Scope: raw}
-	c.cores.Put(router.HoldKey, register.Revision{}, register.Revision{}, fields, false)
-	c.data.Put(router.HoldKey, register.Revision{}, register.Revision{}, fields, false)
+	c.cores.Publish(router.HoldKey, register.Revision{}, register.Revision{}, fields, false)
+	c.data.Publish(router.HoldKey, register.Revision{}, register.Revision{}, fields, false)
 }
 
 // resumeHold counts what a hold on disk had left from the start again: later, never earlier (§4.2).
@@ -259,8 +259,8 @@
 func (c *Core) handler() http.Handler {
 	mux, fleet := http.NewServeMux(), c.host.Fleet
 	mux.Handle("POST /core/hello", rpc.Handler(fleet, c.hello))
-	mux.Handle("POST /core/pull", rpc.Handler(fleet, c.data.Pull))
-	mux.Handle("POST /core/whole", rpc.Handler(fleet, c.cores.Pull))
+	mux.Handle("POST /core/pull", rpc.Handler(fleet, c.data.Watch))
+	mux.Handle("POST /core/whole", rpc.Handler(fleet, c.cores.Watch))
 	mux.Handle("POST /core/hold", rpc.Handler(fleet, c.shareHold))
 	mux.Handle("POST /register/promise", rpc.Handler(fleet, c.promise))
 	mux.Handle("POST /register/confirm", rpc.Handler(fleet, c.confirm))
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -19,7 +19,7 @@
 	var names []string
 	for _, m := range c.membership().members {
 		f := c.followers[m.Name]
-		if m.Incarnation == c.incarnation || f != nil && time.Since(f.FreshOf(m.Incarnation)) < liveTime {
+		if m.Incarnation == c.incarnation || f != nil && time.Since(f.FreshAsOf(m.Incarnation)) < liveTime {
 			names = append(names, m.Name)
 		}
 	}
@@ -38,22 +38,22 @@
 	}
 	for _, m := range now.members {
 		if m.Incarnation != c.incarnation && c.followers[m.Name] == nil {
-			f := watch.NewFollower(watch.FollowerOptions{
+			f := watch.NewClient(watch.ClientOptions{
 				RPC: c.wire, Address: m.Address, Path: "/core/whole", Wait: c.linkWait(),
-				News: func(f *watch.Follower, answer watch.Answer) {
+				OnUpdate: func(f *watch.Client, answer watch.Response) {
 					takeHolds(c.table)(f, answer)
 					c.takeShared(answer)
 					if answer.Snapshot {
 						c.nudge() // there is much to catch up on
 					}
 				},
-				Ask: func() watch.Ask { return watch.Ask{Name: c.host.Name, Role: "core"} },
+				Request: func() watch.Request { return watch.Request{Name: c.host.Name, Role: "core"} },
 			})
 			c.followers[m.Name] = f
 			go f.Run(ctx)
 		}
 	}
-	peers := make([]*watch.Follower, 0, len(c.followers))
+	peers := make([]*watch.Client, 0, len(c.followers))
 	for _, f := range c.followers {
 		peers = append(peers, f)
 	}
@@ -113,7 +113,7 @@
 // listProxies tells the agents which proxies share the replicas (§5.3).
 func (c *Core) listProxies() {
 	fields := register.Fields{}
-	for _, s := range c.data.FollowerStates(proxyTime) {
+	for _, s := range c.data.ClientStates(proxyTime) {
 		var status AgentStatus
 		if s.Role == "agent" && json.Unmarshal(s.Status, &status) == nil && status.Proxy != nil && !status.Proxy.Stop {
 			fields[status.Proxy.Proxy] = json.RawMessage(`true`)
@@ -124,7 +124,7 @@
 	c.proxies = fields
 	c.mu.Unlock()
 	if len(change) > 0 {
-		c.data.Put(router.ProxiesKey, register.Revision{}, register.Revision{}, change, false)
+		c.data.Publish(router.ProxiesKey, register.Revision{}, register.Revision{}, change, false)
 	}
 }
 
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -55,7 +55,7 @@
 }
 
 func (c *Core) newCandidate(duty string, length time.Duration) *lease.Candidate {
-	return lease.New(lease.Options{Role: duty, Holder: c.host.Name + "." + c.incarnation + "." + c.cores.Run(), Length: length,
+	return lease.New(lease.Options{Role: duty, Holder: c.host.Name + "." + c.incarnation + "." + c.cores.RunID(), Length: length,
 		Margin: length / 8, Store: leaseStore{c}, Log: c.host.Log})
 }
 
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -118,9 +118,9 @@
 
 // tellKept tells the agents, and of stores the other cores, what a source keeps now.
 func (c *Core) tellKept(key string, fields register.Fields, full bool) {
-	c.data.PutSoon(key, fields, full)
+	c.data.PublishDeferred(key, fields, full)
 	if isStore(key) {
-		c.cores.PutSoon(key, fields, full)
+		c.cores.PublishDeferred(key, fields, full)
 		c.learnShared(key, fields, full)
 	}
 }
@@ -130,13 +130,13 @@
 // learnShared takes what a store keeps: it was left there since others may share it. What this core has held back of it is told now.
 func (c *Core) learnShared(key string, fields register.Fields, full bool) {
 	for source, more := range c.kept.share(key, fields, full) {
-		c.data.PutSoon(source, more, false)
+		c.data.PublishDeferred(source, more, false)
 	}
 }
 
 // takeShared learns of stores from the core that reads them.
-func (c *Core) takeShared(answer watch.Answer) {
-	for _, e := range answer.Entries {
+func (c *Core) takeShared(answer watch.Response) {
+	for _, e := range answer.Updates {
 		if isStore(e.Key) && len(e.Fields) > 0 {
 			c.learnShared(e.Key, e.Fields, answer.Snapshot)
 		}
@@ -241,8 +241,8 @@
 }
 
 // takeKept passes on what a core has read of the sources that are assigned to it.
-func (a *Agent) takeKept(f *watch.Follower, answer watch.Answer) {
-	for _, e := range answer.Entries {
+func (a *Agent) takeKept(f *watch.Client, answer watch.Response) {
+	for _, e := range answer.Updates {
 		if !strings.HasPrefix(e.Key, router.KeptPrefix) {
 			continue
 		}
@@ -257,7 +257,7 @@
 		}
 		a.mu.Unlock()
 		if picked && len(e.Fields) > 0 {
-			a.source.PutSoon(e.Key, e.Fields, answer.Snapshot)
+			a.source.PublishDeferred(e.Key, e.Fields, answer.Snapshot)
 		}
 	}
 }
@@ -278,7 +278,7 @@
 		f := a.links[cores[0].Address]
 		a.mu.Unlock()
 		if held := f.Read(key); len(held.Fields) > 0 {
-			a.source.PutSoon(key, held.Fields, true)
+			a.source.PublishDeferred(key, held.Fields, true)
 		}
 	}
 }
--- a/daemon/kept_test.go
+++ b/daemon/kept_test.go
@@ -19,13 +19,13 @@
 	a := NewAgent(Host{Name: "agent-1", Net: &rpc.TCP{}, Log: zerolog.Nop()}, nil, AgentOptions{})
 	for _, name := range []string{"core-1", "core-2", "core-3", "core-4"} {
 		a.members = append(a.members, config.Member{Name: name, Address: name})
-		a.links[name] = watch.NewFollower(watch.FollowerOptions{Address: name}) // its asks were never answered, or long ago
+		a.links[name] = watch.NewClient(watch.ClientOptions{Address: name}) // its asks were never answered, or long ago
 	}
 	key := router.KeptPrefix + "replica-1"
-	answer := watch.Answer{Snapshot: true, Entries: []watch.Entry{{Key: key, Fields: register.Fields{"block": []byte("7")}}}}
+	answer := watch.Response{Snapshot: true, Updates: []watch.KeyUpdate{{Key: key, Fields: register.Fields{"block": []byte("7")}}}}
 	a.takeKept(a.links["core-3"], answer)
-	got, err := a.source.Pull(t.Context(), watch.Ask{Name: "proxy"})
+	got, err := a.source.Watch(t.Context(), watch.Request{Name: "proxy"})
 	is.NoErr(err)
-	is.Equal(len(got.Entries), 1)
-	is.Equal(string(got.Entries[0].Fields["block"]), "7")
+	is.Equal(len(got.Updates), 1)
+	is.Equal(string(got.Updates[0].Fields["block"]), "7")
 }
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -20,8 +20,8 @@
 func TestMessagesKeepTheirForm(t *testing.T) {
 	golden.CompareMessages(t, "testdata/messages.txt", []golden.Message{
 		{Name: "POST /core/hello: question and answer", Type: Hello{}},
-		{Name: "POST /core/pull, /core/whole, /agent/pull: question", Type: watch.Ask{}},
-		{Name: "POST /core/pull, /core/whole, /agent/pull: answer", Type: watch.Answer{}},
+		{Name: "POST /core/pull, /core/whole, /agent/pull: question", Type: watch.Request{}},
+		{Name: "POST /core/pull, /core/whole, /agent/pull: answer", Type: watch.Response{}},
 		{Name: "status of an agent, within the question of its link", Type: AgentStatus{}},
 		{Name: "status of a proxy, within the question of its link", Type: router.Status{}},
 		{Name: "POST /core/hold, /agent/hold, /op/hold", Type: throttle.Notice{}},
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -66,7 +66,7 @@
 		}
 	}
 	all = append(all, gauge{name: "core_keys_unsettled", value: float64(unsettled)})
-	for _, s := range c.data.FollowerStates(proxyTime) {
+	for _, s := range c.data.ClientStates(proxyTime) {
 		all = append(all, gauge{name: "core_agent_behind", value: float64(s.Lag), label: [2]string{"agent", s.Name}})
 	}
 	sent, alarms := c.ring.Figures()
@@ -79,8 +79,8 @@
 	defer a.mu.Unlock()
 	for _, m := range a.members {
 		age := -1.0
-		if f := a.links[m.Address]; f != nil && !f.FreshOf(m.Incarnation).IsZero() {
-			age = float64(time.Since(f.FreshOf(m.Incarnation)).Milliseconds())
+		if f := a.links[m.Address]; f != nil && !f.FreshAsOf(m.Incarnation).IsZero() {
+			age = float64(time.Since(f.FreshAsOf(m.Incarnation)).Milliseconds())
 		}
 		all = append(all, gauge{name: "agent_link_age_ms", value: age, label: [2]string{"core", m.Name}})
 	}
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -38,7 +38,7 @@
 // Query answers from this core's own state, or asks all proxies through their agents.
 func (c *Core) Query(ctx context.Context, q Query) (QueryAnswer, error) {
 	var a QueryAnswer
-	followers := c.data.FollowerStates(proxyTime)
+	followers := c.data.ClientStates(proxyTime)
 	switch q.What {
 	case "holds":
 		for _, n := range c.table.All() {
--- a/daemon/silence.go
+++ b/daemon/silence.go
@@ -108,7 +108,7 @@
 			return time.Now()
 		}
 		if f := c.followers[m.Name]; f != nil {
-			return f.FreshOf(m.Incarnation)
+			return f.FreshAsOf(m.Incarnation)
 		}
 		return time.Time{}
 	}, hasMajority)
--- a/router/news.go
+++ b/router/news.go
@@ -12,9 +12,9 @@
 )
 
 // news brings the router's state up to the agent's.
-func (r *Router) news(f *watch.Follower, answer watch.Answer) {
+func (r *Router) news(f *watch.Client, answer watch.Response) {
 	view := answer.Snapshot
-	for _, e := range answer.Entries {
+	for _, e := range answer.Updates {
 		switch {
 		case e.Key == HoldKey:
 			r.table.Learn(e.Fields, e.AgesMs)
@@ -117,7 +117,7 @@
 }
 
 // fresh extends the time for which the agent vouches, counted from when the ask was sent (§3.2).
-func (r *Router) fresh(_ *watch.Follower, sent time.Time, remaining time.Duration) {
+func (r *Router) fresh(_ *watch.Client, sent time.Time, remaining time.Duration) {
 	until := sent.Add(remaining)
 	if remaining <= 0 {
 		until = time.Time{}
--- a/router/old_version_test.go
+++ b/router/old_version_test.go
@@ -113,7 +113,7 @@
 		fields := register.Fields{}
 		fields.Apply(config.Field("m", config.Model{Version: 2}))
 		stand.Put(config.ModelsKey, fields)
-		stand.Source.Put(router.NamedKey, register.Revision{}, register.Revision{}, register.Fields{router.NamedField("m", 2): []byte("0")}, false)
+		stand.Source.Publish(router.NamedKey, register.Revision{}, register.Revision{}, register.Fields{router.NamedField("m", 2): []byte("0")}, false)
 		time.Sleep(time.Second)
 		play(is, stand, ask, named)
 	})
--- a/router/router.go
+++ b/router/router.go
@@ -76,7 +76,7 @@
 	log         zerolog.Logger
 	wire        *rpc.Client
 	upstream    *http.Transport
-	follower    *watch.Follower
+	follower    *watch.Client
 	names       indices
 	view        atomic.Pointer[View]
 	current     atomic.Pointer[time.Time] // vouched for until then
@@ -162,9 +162,9 @@
 	r.queue = queue.New(queue.Options[credit]{
 		Pick: r.pick, Return: r.leaveUnused, HeldUntil: r.table.Last, ReleaseDelay: r.releaseDelay,
 	})
-	r.follower = watch.NewFollower(watch.FollowerOptions{
+	r.follower = watch.NewClient(watch.ClientOptions{
 		RPC: r.wire, Address: options.Agent, Path: "/agent/pull", Wait: options.AgentWait,
-		Ask: r.ask, News: r.news, Fresh: r.fresh,
+		Request: r.ask, OnUpdate: r.news, OnResponse: r.fresh,
 	})
 	filters := []Filter{
 		currencyFilter{r}, identityFilter{r}, pathFilter{r},
@@ -201,12 +201,12 @@
 	Counts  map[string]int64 `json:"counts"`
 }
 
-func (r *Router) ask() watch.Ask {
+func (r *Router) ask() watch.Request {
 	r.noteCurrency()
 	status := Status{Proxy: r.options.Name, Run: r.run, Zone: r.options.Zone, Admin: r.options.Admin, Current: r.IsCurrent(),
 		Stop: r.stopping.Load(), Counts: r.counts.all()}
 	raw, _ := json.Marshal(status) // a plain struct always encodes
-	ask := watch.Ask{Name: r.options.Name, Role: "proxy", Status: raw, Applied: map[string]register.Revision{}}
+	ask := watch.Request{Name: r.options.Name, Role: "proxy", Status: raw, Applied: map[string]register.Revision{}}
 	if v := r.view.Load(); v != nil {
 		ask.Applied[config.Key] = v.Version
 	}
--- a/sim/backend_test.go
+++ b/sim/backend_test.go
@@ -301,22 +301,22 @@
 }
 
 // follow gives a reader of what a core or an agent passes on, until the fleet ends.
-func (f *Fleet) follow(ctx context.Context, address, path string) *watch.Follower {
-	follower := watch.NewFollower(watch.FollowerOptions{RPC: f.Wire, Address: address, Path: path, Wait: 100 * time.Millisecond,
-		Ask: func() watch.Ask { return watch.Ask{Name: "watcher at " + address, Role: "watcher"} }})
+func (f *Fleet) follow(ctx context.Context, address, path string) *watch.Client {
+	follower := watch.NewClient(watch.ClientOptions{RPC: f.Wire, Address: address, Path: path, Wait: 100 * time.Millisecond,
+		Request: func() watch.Request { return watch.Request{Name: "watcher at " + address, Role: "watcher"} }})
 	go follower.Run(ctx)
 	return follower
 }
 
 // reservations reads the open reservations of replicas that are to load.
-func reservations(f *watch.Follower) map[string]config.LoadOrder {
+func reservations(f *watch.Client) map[string]config.LoadOrder {
 	all, _ := config.Load[config.LoadOrder](f.Read(config.LoadsKey).Fields) // none that cannot be read
 	maps.DeleteFunc(all, func(_ string, o config.LoadOrder) bool { return o.Done })
 	return all
 }
 
 // keptAt reads what an agent passes on of a source, and whether the source answers.
-func keptAt(f *watch.Follower, source string) (kept map[string]int, up bool) {
+func keptAt(f *watch.Client, source string) (kept map[string]int, up bool) {
 	kept = map[string]int{}
 	for field, raw := range f.Read(router.KeptPrefix + source).Fields {
 		if register.IsDeleted(raw) {
--- a/sim/disturbed_test.go
+++ b/sim/disturbed_test.go
@@ -59,10 +59,10 @@
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
 				var told atomic.Int64
-				watcher := watch.NewFollower(watch.FollowerOptions{RPC: f.Wire, Address: ProxyIP(0) + ":7001", Path: "/agent/pull", Wait: 100 * time.Millisecond,
-					Ask: func() watch.Ask { return watch.Ask{Name: "watcher", Role: "watcher"} },
-					News: func(_ *watch.Follower, answer watch.Answer) {
-						for _, e := range answer.Entries {
+				watcher := watch.NewClient(watch.ClientOptions{RPC: f.Wire, Address: ProxyIP(0) + ":7001", Path: "/agent/pull", Wait: 100 * time.Millisecond,
+					Request: func() watch.Request { return watch.Request{Name: "watcher", Role: "watcher"} },
+					OnUpdate: func(_ *watch.Client, answer watch.Response) {
+						for _, e := range answer.Updates {
 							if e.Key == router.DisturbedKey {
 								told.Add(1)
 							}
--- a/sim/handover_test.go
+++ b/sim/handover_test.go
@@ -12,7 +12,7 @@
 // The core that reads a source is killed: another one takes over and reads all anew; when the first returns, there is one reader again.
 func TestReadingIsHandedOver(t *testing.T) {
 	t.Parallel()
-	keeping(t, 231, func(is *is.I, f *Fleet, b *backends, agents []*watch.Follower) {
+	keeping(t, 231, func(is *is.I, f *Fleet, b *backends, agents []*watch.Client) {
 		untilKept(f, agents, 5*time.Second, theStore, map[string]int{"d/s": 100})
 		first, err := b.reader(storeAt, nil)
 		is.NoErr(err)
@@ -44,7 +44,7 @@
 // What comes while the cores have changed the reader already, and the agents have not yet, is not lost: in the end they have what there is.
 func TestNewsDuringAHandOverAreNotLost(t *testing.T) {
 	t.Parallel()
-	keeping(t, 234, func(is *is.I, f *Fleet, b *backends, agents []*watch.Follower) {
+	keeping(t, 234, func(is *is.I, f *Fleet, b *backends, agents []*watch.Client) {
 		untilKept(f, agents, 5*time.Second, theStore, map[string]int{"d/s": 100})
 		first, err := b.reader(storeAt, nil)
 		is.NoErr(err)
--- a/sim/kept_test.go
+++ b/sim/kept_test.go
@@ -17,7 +17,7 @@
 const storeAt = "10.0.3.1:9"
 
 // keeping has a fleet with three replicas and a store whose news are read, and a watcher at each machine's agent.
-func keeping(t *testing.T, seed uint64, play func(is *is.I, f *Fleet, b *backends, agents []*watch.Follower)) {
+func keeping(t *testing.T, seed uint64, play func(is *is.I, f *Fleet, b *backends, agents []*watch.Client)) {
 	t.Helper()
 	b := newBackends()
 	b.add("pool", 3, "m")
@@ -33,7 +33,7 @@
 			config.Pool{Name: "st", Kind: "store", Address: storeAt, MaxReaders: 3}))
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		var agents []*watch.Follower
+		var agents []*watch.Client
 		for i := range f.Proxies {
 			agents = append(agents, f.follow(ctx, ProxyIP(i)+":7001", "/agent/pull"))
 		}
@@ -42,7 +42,7 @@
 }
 
 // untilKept waits until all agents pass on just this of a source.
-func untilKept(f *Fleet, agents []*watch.Follower, limit time.Duration, source string, want map[string]int) time.Duration {
+func untilKept(f *Fleet, agents []*watch.Client, limit time.Duration, source string, want map[string]int) time.Duration {
 	last := ""
 	defer func() {
 		if failure := recover(); failure != nil {
@@ -90,7 +90,7 @@
 // Each source has one reader, whose news every agent passes on: what is there, what comes and goes, and all anew after a restart.
 func TestOneReaderForEachSource(t *testing.T) {
 	t.Parallel()
-	keeping(t, 230, func(is *is.I, f *Fleet, b *backends, agents []*watch.Follower) {
+	keeping(t, 230, func(is *is.I, f *Fleet, b *backends, agents []*watch.Client) {
 		untilKept(f, agents, 5*time.Second, theStore, map[string]int{"d/s": 100})
 		for name := range b.replicas {
 			untilKept(f, agents, 5*time.Second, name, map[string]int{"d/" + name: 100})
@@ -119,7 +119,7 @@
 // keeps now, whether it was only out of reach or has started anew. One failure alone is no end.
 func TestStoreGoesAndComesBack(t *testing.T) {
 	t.Parallel()
-	keeping(t, 232, func(is *is.I, f *Fleet, b *backends, agents []*watch.Follower) {
+	keeping(t, 232, func(is *is.I, f *Fleet, b *backends, agents []*watch.Client) {
 		untilKept(f, agents, 5*time.Second, theStore, map[string]int{"d/s": 100})
 		b.silence(storeAt, true)
 		took := untilKept(f, agents, 4*time.Second, theStore, nil)
@@ -150,7 +150,7 @@
 // A replica that leaves, and a pool whose news may not be read, have no readers any more.
 func TestNobodyReadsWhoLeaves(t *testing.T) {
 	t.Parallel()
-	keeping(t, 233, func(is *is.I, f *Fleet, b *backends, agents []*watch.Follower) {
+	keeping(t, 233, func(is *is.I, f *Fleet, b *backends, agents []*watch.Client) {
 		untilKept(f, agents, 5*time.Second, "pool-01", map[string]int{"d/pool-01": 100})
 		b.change("pool-01", func(r *backend) { r.State = "leaving" })
 		f.declare(0, pools(2, config.Pool{Name: "pool", Kind: "model", Models: []string{"m"}, MaxReaders: 3}, config.Pool{Name: "st", Kind: "store", Address: storeAt}))
--- a/sim/listing_test.go
+++ b/sim/listing_test.go
@@ -19,7 +19,7 @@
 )
 
 // listing runs a fleet with four cores that follow a platform's list, and gives the core that asks for it and a watcher at another one.
-func listing(t *testing.T, seed uint64, play func(is *is.I, f *Fleet, b *backends, reader, other int, watcher *watch.Follower)) {
+func listing(t *testing.T, seed uint64, play func(is *is.I, f *Fleet, b *backends, reader, other int, watcher *watch.Client)) {
 	t.Helper()
 	b := newBackends()
 	b.add("pool", 3, "m")
@@ -41,7 +41,7 @@
 func TestCutOffCoreAsksThePlatformForNothing(t *testing.T) {
 	t.Parallel()
 	for at, cut := range [][2]bool{{true, true}, {true, false}, {false, true}} { // sending, receiving
-		listing(t, uint64(740+at), func(is *is.I, f *Fleet, b *backends, reader, other int, watcher *watch.Follower) {
+		listing(t, uint64(740+at), func(is *is.I, f *Fleet, b *backends, reader, other int, watcher *watch.Client) {
 			f.isolate(reader, cut[0], cut[1], true)
 			time.Sleep(3 * time.Second) // it may not know yet
 			asked := b.lists(reader)
@@ -61,7 +61,7 @@
 // A core that hears the other cores but not the platform has another one ask for the list, and asks by itself again later.
 func TestListIsFollowedByAnotherCoreWhereThePlatformDoesNotAnswer(t *testing.T) {
 	t.Parallel()
-	listing(t, 745, func(is *is.I, f *Fleet, b *backends, reader, other int, watcher *watch.Follower) {
+	listing(t, 745, func(is *is.I, f *Fleet, b *backends, reader, other int, watcher *watch.Client) {
 		isDown := func(cores ...int) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -94,7 +94,7 @@
 // A core is frozen for twenty seconds with the platform's list in its hands: on waking it does not write that list over a newer one.
 func TestListOfAFrozenCoreIsVoid(t *testing.T) {
 	t.Parallel()
-	listing(t, 746, func(is *is.I, f *Fleet, b *backends, reader, other int, watcher *watch.Follower) {
+	listing(t, 746, func(is *is.I, f *Fleet, b *backends, reader, other int, watcher *watch.Client) {
 		held, release := make(chan struct{}, 1), make(chan struct{})
 		b.mu.Lock()
 		b.onListed = func(core int) {
@@ -132,7 +132,7 @@
 // nothing else; the others read that too. Nothing is missed, and each source has one reader again afterwards.
 func TestCutOffCoreReadsOnWhatItHasRead(t *testing.T) {
 	t.Parallel()
-	keeping(t, 747, func(is *is.I, f *Fleet, b *backends, agents []*watch.Follower) {
+	keeping(t, 747, func(is *is.I, f *Fleet, b *backends, agents []*watch.Client) {
 		untilKept(f, agents, 5*time.Second, theStore, map[string]int{"d/s": 100})
 		cores := []string{"core-1", "core-2", "core-3"}
 		readerOf := func(source string) int {
@@ -175,7 +175,7 @@
 // version: on waking it writes no mark over that one's.
 func TestMarksOfAFrozenHolderAreVoid(t *testing.T) {
 	t.Parallel()
-	listing(t, 748, func(is *is.I, f *Fleet, b *backends, _, _ int, _ *watch.Follower) {
+	listing(t, 748, func(is *is.I, f *Fleet, b *backends, _, _ int, _ *watch.Client) {
 		held, release := make(chan int, 1), make(chan struct{})
 		var isHeld atomic.Bool
 		b.mu.Lock()
--- a/sim/loading_test.go
+++ b/sim/loading_test.go
@@ -19,7 +19,7 @@
 const loadLease = 20 * time.Second
 
 // rollout has a fleet with back ends, founded and declared, and a watcher of the reservations at each core.
-func rollout(t *testing.T, seed uint64, b *backends, d config.Declaration, play func(is *is.I, f *Fleet, watcher *watch.Follower)) {
+func rollout(t *testing.T, seed uint64, b *backends, d config.Declaration, play func(is *is.I, f *Fleet, watcher *watch.Client)) {
 	t.Helper()
 	o := b.options(seed)
 	o.Core.Lease = loadLease
@@ -62,7 +62,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 15, "m")
-	rollout(t, 220, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
+	rollout(t, 220, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Client) {
 		since, most, opened, before := map[string]time.Time{}, 0, 0, map[string]config.LoadOrder{}
 		var mu sync.Mutex
 		stop := poll(func() {
@@ -119,7 +119,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 15, "m")
-	rollout(t, 221, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
+	rollout(t, 221, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Client) {
 		f.nameVersion(0, "m", 2)
 		f.Until(20*time.Second, "some are ordered", func() bool { return len(b.given()) >= 4 })
 		first := b.given()[0].core
@@ -157,7 +157,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 15, "m")
-	rollout(t, 222, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *watch.Follower) {
+	rollout(t, 222, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *watch.Client) {
 		f.nameVersion(0, "m", 2)
 		f.Until(20*time.Second, "some are ordered", func() bool { return len(b.given()) >= 2 })
 		first := b.given()[0].core
@@ -182,7 +182,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 6, "m")
-	rollout(t, 223, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
+	rollout(t, 223, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Client) {
 		b.change("pool-01", func(r *backend) { r.silent = true })
 		f.nameVersion(0, "m", 2)
 		f.Until(time.Minute, "the others have it", func() bool { return b.has("m", 2, "pool-01") })
@@ -204,7 +204,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 5, "m")
-	rollout(t, 224, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
+	rollout(t, 224, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Client) {
 		b.change("pool-01", func(r *backend) { r.silent = true })
 		f.nameVersion(0, "m", 2)
 		f.Until(10*time.Second, "it is marked", func() bool { _, ok := reservations(watcher)["pool-01"]; return ok })
@@ -224,7 +224,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 10, "m")
-	rollout(t, 225, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
+	rollout(t, 225, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Client) {
 		f.nameVersion(0, "m", 2)
 		f.Until(20*time.Second, "some are ordered", func() bool { return len(b.given()) >= 2 })
 		f.nameVersion(1, "m", 5)
@@ -241,7 +241,7 @@
 	const size = 15
 	b := newBackends()
 	b.add("pool", size, "m")
-	rollout(t, 226, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Follower) {
+	rollout(t, 226, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Client) {
 		var mu sync.Mutex
 		open, told := map[string]bool{}, map[string]bool{}
 		twice := 0 // orders to a replica whose mark has stood since its last order
@@ -297,16 +297,16 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 15, "m")
-	rollout(t, 229, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *watch.Follower) {
+	rollout(t, 229, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *watch.Client) {
 		var named atomic.Pointer[router.Named]
 		named.Store(&router.Named{})
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		for i := range 3 {
-			follower := watch.NewFollower(watch.FollowerOptions{RPC: f.Wire, Address: At(CoreIP(i)), Path: "/core/pull", Wait: 100 * time.Millisecond,
-				Ask: func() watch.Ask { return watch.Ask{Name: "agent", Role: "agent"} },
-				News: func(_ *watch.Follower, answer watch.Answer) {
-					for _, e := range answer.Entries {
+			follower := watch.NewClient(watch.ClientOptions{RPC: f.Wire, Address: At(CoreIP(i)), Path: "/core/pull", Wait: 100 * time.Millisecond,
+				Request: func() watch.Request { return watch.Request{Name: "agent", Role: "agent"} },
+				OnUpdate: func(_ *watch.Client, answer watch.Response) {
+					for _, e := range answer.Updates {
 						if e.Key == router.NamedKey {
 							named.Load().Learn(e.Fields, e.AgesMs)
 						}
--- a/sim/reservations_test.go
+++ b/sim/reservations_test.go
@@ -18,7 +18,7 @@
 	b.add("a", 5, "m")
 	b.add("b", 30, "n")
 	rollout(t, 226, b, pools(1, config.Pool{Name: "a", Kind: "model", Models: []string{"m"}}, config.Pool{Name: "b", Kind: "model", Models: []string{"n"}}),
-		func(is *is.I, f *Fleet, watcher *watch.Follower) {
+		func(is *is.I, f *Fleet, watcher *watch.Client) {
 			most := 0
 			stop := poll(func() {
 				now := 0
@@ -42,7 +42,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 15, "m")
-	rollout(t, 228, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *watch.Follower) {
+	rollout(t, 228, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *watch.Client) {
 		f.nameVersion(0, "m", 2)
 		f.Until(time.Minute, "all have it", func() bool { return b.has("m", 2) })
 		is.Equal(b.atOnce("pool"), 5) // of 15: a fifth, and two thirds as many again
@@ -54,7 +54,7 @@
 	t.Parallel()
 	b := newBackends()
 	b.add("pool", 10, "m", "n")
-	rollout(t, 227, b, pools(1, config.Pool{Name: "pool", Kind: "model", Models: []string{"m", "n"}}), func(is *is.I, f *Fleet, watcher *watch.Follower) {
+	rollout(t, 227, b, pools(1, config.Pool{Name: "pool", Kind: "model", Models: []string{"m", "n"}}), func(is *is.I, f *Fleet, watcher *watch.Client) {
 		f.nameVersion(0, "m", 2)
 		f.nameVersion(0, "n", 2)
 		changes, before := 0, map[string]config.LoadOrder{}
--- a/sim/stored_data_test.go
+++ b/sim/stored_data_test.go
@@ -103,7 +103,7 @@
 func recordNumberedDay(t *testing.T) {
 	b := newBackends()
 	b.add("pool", 6, "m")
-	rollout(t, 9200, b, pools(1, oneModel, config.Pool{Name: "web", Kind: "web"}), func(_ *is.I, f *Fleet, _ *watch.Follower) {
+	rollout(t, 9200, b, pools(1, oneModel, config.Pool{Name: "web", Kind: "web"}), func(_ *is.I, f *Fleet, _ *watch.Client) {
 		f.declare(0, numbered(2, 1, false, "two"))
 		f.declare(1, numbered(3, 2, false, "three"))
 		f.nameVersion(1, "m", 2)
--- a/sim/testbed.go
+++ b/sim/testbed.go
@@ -22,7 +22,7 @@
 // Testbed is one router in a bubble, with back ends made by hand and an agent that passes on what it is given.
 type Testbed struct {
 	Net    *Network
-	Source *watch.Source // what the agent passes on
+	Source *watch.Server // what the agent passes on
 	Router *router.Router
 	Client *http.Client
 
@@ -35,13 +35,13 @@
 
 // NewTestbed starts a router; network, agent and fleet of its options are the testbed's.
 func NewTestbed(o router.Options) *Testbed {
-	s := &Testbed{Net: NewNetwork(time.Millisecond), Source: watch.NewSource(watch.SourceOptions{Remaining: func() time.Duration { return 10 * time.Second }})}
+	s := &Testbed{Net: NewNetwork(time.Millisecond), Source: watch.NewServer(watch.ServerOptions{ValidFor: func() time.Duration { return 10 * time.Second }})}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	o.Fleet, o.Agent, o.Net = fleetName, testbedAgent, s.Net.Host("10.0.1.1")
 	s.Router = router.New(o)
 	s.Client = &http.Client{Transport: &http.Transport{DialContext: s.Net.Host(CallerIP).DialContext, DisableCompression: true}}
 	mux := http.NewServeMux()
-	mux.Handle("POST /agent/pull", rpc.Handler(fleetName, s.Source.Pull))
+	mux.Handle("POST /agent/pull", rpc.Handler(fleetName, s.Source.Watch))
 	s.Serve(testbedAgent, mux)
 	s.serve(TestbedAddress, s.Router.Handler(), router.Watch)
 	s.running.Go(func() { s.Router.Run(s.ctx) })
@@ -66,7 +66,7 @@
 	defer s.mu.Unlock()
 	s.version++
 	revision := register.Revision{Epoch: 1, Version: s.version}
-	s.Source.Put(key, revision, revision, fields, true)
+	s.Source.Publish(key, revision, revision, fields, true)
 }
 
 // Repeat does a thing now and again and again, counting, until the testbed ends.
--- a/watch/follower.go
+++ b/watch/follower.go
@@ -10,87 +10,87 @@
 	"asterridge/rpc"
 )
 
-// Held is what a follower has of one key of its source.
-type Held struct {
-	Revision, Settled register.Revision
-	Fields            register.Fields
+// KeyState is what a follower has of one key of its source.
+type KeyState struct {
+	Revision, Committed register.Revision
+	Fields              register.Fields
 }
 
-// FollowerOptions of a follower.
-type FollowerOptions struct {
+// ClientOptions of a follower.
+type ClientOptions struct {
 	RPC     *rpc.Client
 	Address string
 	Path    string
-	Ask     func() Ask // name, role and what is applied
+	Request func() Request // name, role and what is applied
 	Wait    time.Duration
-	// News gets each answer with entries, after Held was brought up to it.
-	News func(f *Follower, answer Answer)
-	// Fresh is told after each answer, with the time when its ask was sent.
-	Fresh func(f *Follower, sent time.Time, remaining time.Duration)
+	// OnUpdate gets each answer with entries, after Held was brought up to it.
+	OnUpdate func(f *Client, answer Response)
+	// OnResponse is told after each answer, with the time when its ask was sent.
+	OnResponse func(f *Client, sent time.Time, remaining time.Duration)
 }
 
-// Follower keeps a copy of a source (§3.1, §3.2).
-type Follower struct {
-	Options FollowerOptions
-	mu      sync.Mutex
-	run     string
-	who     string
-	number  uint64
-	fresh   time.Time
-	keys    map[string]*Held
-	failure error
-	ended   chan struct{}
-	once    sync.Once
+// Client keeps a copy of a source (§3.1, §3.2).
+type Client struct {
+	Options     ClientOptions
+	mu          sync.Mutex
+	runID       string
+	incarnation string
+	offset      uint64
+	freshAt     time.Time
+	keys        map[string]*KeyState
+	lastError   error
+	stopped     chan struct{}
+	stopOnce    sync.Once
 }
 
-// NewFollower makes a follower; Run has it work.
-func NewFollower(options FollowerOptions) *Follower {
-	return &Follower{Options: options, keys: map[string]*Held{}, ended: make(chan struct{})}
+// NewClient makes a follower; Run has it work.
+func NewClient(options ClientOptions) *Client {
+	return &Client{Options: options, keys: map[string]*KeyState{}, stopped: make(chan struct{})}
 }
 
 // Stop ends Run.
-func (f *Follower) Stop() { f.once.Do(func() { close(f.ended) }) }
+func (f *Client) Stop() { f.stopOnce.Do(func() { close(f.stopped) }) }
 
 const (
-	askTime      = 2 * time.Second
-	snapshotTime = 20 * time.Second
-	pause        = 100 * time.Millisecond
+	requestTimeout  = 2 * time.Second
+	snapshotTimeout = 20 * time.Second
+	retryDelay      = 100 * time.Millisecond
 )
 
 // Run asks until the context ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Client) Run(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() {
 		select {
-		case <-f.ended:
+		case <-f.stopped:
 			stop()
 		case <-ctx.Done():
 		}
 	}()
 	for ctx.Err() == nil {
-		if f.step(ctx) == nil {
+		if f.poll(ctx) == nil {
 			continue
 		}
-		_ = rpc.Sleep(ctx, pause) // the loop looks at the context
+		_ = rpc.Sleep(ctx, retryDelay) // the loop looks at the context
 	}
 }
 
-func (f *Follower) step(ctx context.Context) error {
-	ask := f.Options.Ask()
-	limit := askTime
+func (f *Client) poll(ctx context.Context) error {
+	request := f.Options.Request()
+	timeout := requestTimeout
 	f.mu.Lock()
-	ask.Run, ask.From, ask.WaitMs = f.run, f.number, f.Options.Wait.Milliseconds()
+	request.RunID, request.After, request.WaitMs = f.runID, f.offset, f.Options.Wait.Milliseconds()
 	f.mu.Unlock()
-	if ask.From == 0 {
-		limit = snapshotTime
+	if request.After == 0 {
+		timeout = snapshotTimeout
 	}
-	ctx, stop := context.WithTimeout(ctx, limit)
+	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	sent := time.Now()
-	answer, err := rpc.Call[Answer](ctx, f.Options.RPC, f.Options.Address, f.Options.Path, ask)
+	response, err := rpc.Call[Response](ctx, f.Options.RPC, f.Options.Address, f.Options.Path, request)
 	f.mu.Lock()
-	f.failure = err
+	f.lastError = err
 	if err != nil {
 		if apierror.Is(err, apierror.Unreachable) && ctx.Err() != nil {
 			f.Options.RPC.HTTP.CloseIdleConnections()
@@ -98,79 +98,79 @@
 		f.mu.Unlock()
 		return err
 	}
-	if answer.Snapshot {
-		f.keys = map[string]*Held{}
+	if response.Snapshot {
+		f.keys = map[string]*KeyState{}
 	}
-	for _, e := range answer.Entries {
-		h := f.keys[e.Key]
-		if h == nil {
-			h = &Held{Fields: register.Fields{}}
-			f.keys[e.Key] = h
+	for _, e := range response.Updates {
+		state := f.keys[e.Key]
+		if state == nil {
+			state = &KeyState{Fields: register.Fields{}}
+			f.keys[e.Key] = state
 		}
-		h.Revision, h.Settled = e.Revision, e.Settled
-		h.Fields.Apply(e.Fields)
+		state.Revision, state.Committed = e.Revision, e.Committed
+		state.Fields.Apply(e.Fields)
 	}
-	f.run, f.who, f.number = answer.Run, answer.Who, answer.Number
+	f.runID, f.incarnation, f.offset = response.RunID, response.Incarnation, response.Offset
 	f.mu.Unlock()
-	if (len(answer.Entries) > 0 || answer.Snapshot) && f.Options.News != nil {
-		f.Options.News(f, answer)
+	if (len(response.Updates) > 0 || response.Snapshot) && f.Options.OnUpdate != nil {
+		f.Options.OnUpdate(f, response)
 	}
 	f.mu.Lock()
-	f.fresh = sent // only now: what counts as fresh has been acted on
+	f.freshAt = sent // only now: what counts as fresh has been acted on
 	f.mu.Unlock()
-	if f.Options.Fresh != nil {
-		f.Options.Fresh(f, sent, time.Duration(answer.RemainingMs)*time.Millisecond)
+	if f.Options.OnResponse != nil {
+		f.Options.OnResponse(f, sent, time.Duration(response.ValidForMs)*time.Millisecond)
 	}
 	return nil
 }
 
-// FreshOf is FreshAt if the source speaks for that one, else zero: an empty machine at a member's address is not the member.
-func (f *Follower) FreshOf(who string) time.Time {
+// FreshAsOf is FreshAt if the source speaks for that one, else zero: an empty machine at a member's address is not the member.
+func (f *Client) FreshAsOf(incarnation string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.who != who {
+	if f.incarnation != incarnation {
 		return time.Time{}
 	}
-	return f.fresh
+	return f.freshAt
 }
 
 // FreshAt is when the last answered ask was sent; zero if none was.
-func (f *Follower) FreshAt() time.Time {
+func (f *Client) FreshAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.fresh
+	return f.freshAt
 }
 
-// Failure is why the last ask failed, or nil.
-func (f *Follower) Failure() error {
+// LastError is why the last ask failed, or nil.
+func (f *Client) LastError() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.failure
+	return f.lastError
 }
 
 // Revisions gives the revision and settled revision of a key.
-func (f *Follower) Revisions(key string) (revision, settled register.Revision) {
+func (f *Client) Revisions(key string) (revision, settled register.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if h := f.keys[key]; h != nil {
-		return h.Revision, h.Settled
+		return h.Revision, h.Committed
 	}
 	return
 }
 
 // Read gives a copy of a key's content.
-func (f *Follower) Read(key string) Held {
+func (f *Client) Read(key string) KeyState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.keys[key]
 	if h == nil {
-		return Held{Fields: register.Fields{}}
+		return KeyState{Fields: register.Fields{}}
 	}
-	return Held{h.Revision, h.Settled, h.Fields.Clone()}
+	return KeyState{h.Revision, h.Committed, h.Fields.Clone()}
 }
 
 // Keys lists the keys there are.
-func (f *Follower) Keys() []string {
+func (f *Client) Keys() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	keys := make([]string, 0, len(f.keys))
--- a/watch/source.go
+++ b/watch/source.go
@@ -13,126 +13,126 @@
 	"asterridge/register"
 )
 
-// Ask is a follower's question: what is after number From? It acknowledges all up to From.
-type Ask struct {
+// Request is a follower's question: what is after number From? It acknowledges all up to From.
+type Request struct {
 	Name    string                       `json:"name"`
 	Role    string                       `json:"role"`
-	Run     string                       `json:"run"`
-	From    uint64                       `json:"from"`
+	RunID   string                       `json:"run"`
+	After   uint64                       `json:"from"`
 	WaitMs  int64                        `json:"wait_ms"`
 	Applied map[string]register.Revision `json:"applied,omitempty"` // what the follower acts on
 	Status  json.RawMessage              `json:"status,omitempty"`  // a few words for the operators
 }
 
-// Answer is one consistent cut of a source.
-type Answer struct {
-	Run         string  `json:"run"`
-	Who         string  `json:"who,omitempty"` // whose state this is: a core's incarnation while it is a member
-	Number      uint64  `json:"number"`
-	Snapshot    bool    `json:"image,omitempty"`
-	Entries     []Entry `json:"entries,omitempty"`
-	RemainingMs int64   `json:"remaining_ms,omitempty"` // how much longer the source vouches for this
+// Response is one consistent cut of a source.
+type Response struct {
+	RunID       string      `json:"run"`
+	Incarnation string      `json:"who,omitempty"` // whose state this is: a core's incarnation while it is a member
+	Offset      uint64      `json:"number"`
+	Snapshot    bool        `json:"image,omitempty"`
+	Updates     []KeyUpdate `json:"entries,omitempty"`
+	ValidForMs  int64       `json:"remaining_ms,omitempty"` // how much longer the source vouches for this
 }
 
-// Entry is a key's changed fields.
-type Entry struct {
-	Key      string            `json:"key"`
-	Revision register.Revision `json:"stamp"`
-	Settled  register.Revision `json:"settled"`
-	Fields   register.Fields   `json:"fields,omitempty"`
-	AgesMs   map[string]int64  `json:"ages_ms,omitempty"` // of fields without a revision
+// KeyUpdate is a key's changed fields.
+type KeyUpdate struct {
+	Key       string            `json:"key"`
+	Revision  register.Revision `json:"stamp"`
+	Committed register.Revision `json:"settled"`
+	Fields    register.Fields   `json:"fields,omitempty"`
+	AgesMs    map[string]int64  `json:"ages_ms,omitempty"` // of fields without a revision
 }
 
 const (
-	maxTombs = 4096
-	soonTime = 300 * time.Millisecond // that hints wait for each other
+	maxTombstones = 4096
+	deferDelay    = 300 * time.Millisecond // that hints wait for each other
 )
 
-// Source has the newest value of each field by number (§3.1).
-type Source struct {
-	options   SourceOptions
-	run       string
-	mu        sync.Mutex
-	number    uint64
-	ripe      uint64               // asks behind it are answered at once
-	soon      bool                 // there is more, whose time will come
-	floor     uint64               // tombstones up to here are dropped
-	tombs     *btree.BTreeG[place] // fields that are gone, by number
-	keys      map[string]*sourced
-	order     *btree.BTreeG[place]
-	news      chan struct{}
-	followers map[string]FollowerState
+// Server has the newest value of each field by number (§3.1).
+type Server struct {
+	options         ServerOptions
+	runID           string
+	mu              sync.Mutex
+	offset          uint64
+	wakeOffset      uint64                  // asks behind it are answered at once
+	deferredPending bool                    // there is more, whose time will come
+	compactedOffset uint64                  // tombstones up to here are dropped
+	tombstones      *btree.BTreeG[position] // fields that are gone, by number
+	keys            map[string]*publishedKey
+	order           *btree.BTreeG[position]
+	updated         chan struct{}
+	clients         map[string]ClientState
 }
 
-type sourced struct {
-	revision, settled register.Revision
-	number            uint64
-	cells             map[string]cell
+type publishedKey struct {
+	revision, committed register.Revision
+	offset              uint64
+	fields              map[string]fieldState
 }
 
-type cell struct {
-	value  json.RawMessage
-	number uint64
-	at     time.Time
+type fieldState struct {
+	value     json.RawMessage
+	offset    uint64
+	changedAt time.Time
 }
 
-type place struct {
-	number     uint64
+type position struct {
+	offset     uint64
 	key, field string
 }
 
-func isBefore(a, b place) bool { return a.number < b.number }
+func before(a, b position) bool { return a.offset < b.offset }
 
-// FollowerState is what a source knows of a follower.
-type FollowerState struct {
-	Name    string                       `json:"name"`
-	Role    string                       `json:"role"`
-	Acked   uint64                       `json:"acked"`
-	Lag     uint64                       `json:"behind"`
-	AgeMs   int64                        `json:"age_ms"`
-	Applied map[string]register.Revision `json:"applied,omitempty"`
-	Status  json.RawMessage              `json:"status,omitempty"`
-	at      time.Time
+// ClientState is what a source knows of a follower.
+type ClientState struct {
+	Name               string                       `json:"name"`
+	Role               string                       `json:"role"`
+	AcknowledgedOffset uint64                       `json:"acked"`
+	Lag                uint64                       `json:"behind"`
+	AgeMs              int64                        `json:"age_ms"`
+	Applied            map[string]register.Revision `json:"applied,omitempty"`
+	Status             json.RawMessage              `json:"status,omitempty"`
+	lastRequest        time.Time
 }
 
-// SourceOptions of a source; both may be nil.
-type SourceOptions struct {
-	Who       func() string
-	Remaining func() time.Duration // how much longer what is here is vouched for
+// ServerOptions of a source; both may be nil.
+type ServerOptions struct {
+	Incarnation func() string
+	ValidFor    func() time.Duration // how much longer what is here is vouched for
 }
 
-// NewSource makes an empty source.
-func NewSource(options SourceOptions) *Source {
-	return &Source{
-		options: options, run: rand.Text(), keys: map[string]*sourced{}, news: make(chan struct{}),
-		order:     btree.NewG(32, isBefore),
-		tombs:     btree.NewG(32, isBefore),
-		followers: map[string]FollowerState{},
+// NewServer makes an empty source.
+func NewServer(options ServerOptions) *Server {
+	return &Server{
+		options: options, runID: rand.Text(), keys: map[string]*publishedKey{}, updated: make(chan struct{}),
+		order:      btree.NewG(32, before),
+		tombstones: btree.NewG(32, before),
+		clients:    map[string]ClientState{},
 	}
 }
 
-// Run names this life of the source.
-func (s *Source) Run() string { return s.run }
+// RunID names this life of the source.
+func (s *Server) RunID() string { return s.runID }
 
-// Put takes a change of a key; a whole one also takes away fields that it does not have.
-func (s *Source) Put(key string, revision, settled register.Revision, change register.Fields, full bool) {
+// Publish takes a change of a key; a whole one also takes away fields that it does not have.
+func (s *Server) Publish(key string, revision, settled register.Revision, change register.Fields, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.put(key, revision, settled, change, full)
+	s.publish(key, revision, settled, change, full)
 	s.wake()
 }
 
-// PutSoon is Put for hints without a revision, that may wait a little for others and for what cannot wait.
-func (s *Source) PutSoon(key string, change register.Fields, full bool) {
+// PublishDeferred is Put for hints without a revision, that may wait a little for others and for what cannot wait.
+func (s *Server) PublishDeferred(key string, change register.Fields, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.put(key, register.Revision{}, register.Revision{}, change, full)
-	if !s.soon {
-		s.soon = true
-		time.AfterFunc(soonTime, func() {
+	s.publish(key, register.Revision{}, register.Revision{}, change, full)
+	if !s.deferredPending {
+		s.deferredPending = true
+		time.AfterFunc(deferDelay, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.soon {
+			if s.deferredPending {
 				s.wake()
 			}
 		})
@@ -140,22 +140,22 @@
 }
 
 // wake answers the asks that are held; s.mu is held.
-func (s *Source) wake() {
-	s.ripe, s.soon = s.number, false
-	close(s.news)
-	s.news = make(chan struct{})
+func (s *Server) wake() {
+	s.wakeOffset, s.deferredPending = s.offset, false
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
-// put is Put without waking anybody; s.mu is held.
-func (s *Source) put(key string, revision, settled register.Revision, change register.Fields, complete bool) {
+// publish is Put without waking anybody; s.mu is held.
+func (s *Server) publish(key string, revision, settled register.Revision, change register.Fields, complete bool) {
 	k := s.keys[key]
 	if k == nil {
-		k = &sourced{cells: map[string]cell{}}
+		k = &publishedKey{fields: map[string]fieldState{}}
 		s.keys[key] = k
 	}
 	if complete {
 		full := register.Fields{}
-		for field, c := range k.cells {
+		for field, c := range k.fields {
 			if c.value != nil {
 				full[field] = nil
 			}
@@ -164,63 +164,63 @@
 		change = full
 	}
 	for field, value := range change {
-		s.set(key, k, field, value)
+		s.setField(key, k, field, value)
 	}
-	k.revision, k.settled = revision, settled
-	s.number++
-	s.order.Delete(place{number: k.number})
-	k.number = s.number
-	s.order.ReplaceOrInsert(place{s.number, key, ""})
-	for s.tombs.Len() > maxTombs {
-		s.dropTomb()
+	k.revision, k.committed = revision, settled
+	s.offset++
+	s.order.Delete(position{offset: k.offset})
+	k.offset = s.offset
+	s.order.ReplaceOrInsert(position{s.offset, key, ""})
+	for s.tombstones.Len() > maxTombstones {
+		s.compactTombstone()
 	}
 }
 
-func (s *Source) set(key string, k *sourced, field string, value json.RawMessage) {
-	old, ok := k.cells[field]
+func (s *Server) setField(key string, k *publishedKey, field string, value json.RawMessage) {
+	old, ok := k.fields[field]
 	if register.IsDeleted(value) {
 		value = nil
 		if !ok || old.value == nil {
 			return
 		}
 	} else if ok && old.value == nil {
-		s.tombs.Delete(place{number: old.number})
+		s.tombstones.Delete(position{offset: old.offset})
 	} else if ok && string(old.value) == string(value) && k.revision != (register.Revision{}) {
 		return
 	}
 	if ok {
-		s.order.Delete(place{number: old.number})
+		s.order.Delete(position{offset: old.offset})
 	}
-	s.number++
-	k.cells[field] = cell{value, s.number, time.Now()}
-	s.order.ReplaceOrInsert(place{s.number, key, field})
+	s.offset++
+	k.fields[field] = fieldState{value, s.offset, time.Now()}
+	s.order.ReplaceOrInsert(position{s.offset, key, field})
 	if value == nil {
-		s.tombs.ReplaceOrInsert(place{s.number, key, field})
+		s.tombstones.ReplaceOrInsert(position{s.offset, key, field})
 	}
 }
 
-func (s *Source) dropTomb() {
-	p, _ := s.tombs.DeleteMin()
-	delete(s.keys[p.key].cells, p.field)
+func (s *Server) compactTombstone() {
+	p, _ := s.tombstones.DeleteMin()
+	delete(s.keys[p.key].fields, p.field)
 	s.order.Delete(p)
-	s.floor = p.number
+	s.compactedOffset = p.offset
 }
 
-// Pull answers an ask, at once if there is news, or after the wait.
-func (s *Source) Pull(ctx context.Context, ask Ask) (Answer, error) {
+// Watch answers an ask, at once if there is news, or after the wait.
+func (s *Server) Watch(ctx context.Context, request Request) (Response, error) {
 	s.mu.Lock()
-	same := ask.Run == s.run && ask.From >= s.floor && ask.From <= s.number
-	state := FollowerState{Name: ask.Name, Role: ask.Role, Applied: ask.Applied, Status: ask.Status, at: time.Now()}
-	if same {
-		state.Acked = ask.From
+	resumable := request.RunID == s.runID && request.After >= s.compactedOffset && request.After <= s.offset
+	state := ClientState{Name: request.Name, Role: request.Role, Applied: request.Applied, Status: request.Status, lastRequest: time.Now()}
+	if resumable {
+		state.AcknowledgedOffset = request.After
 	}
-	s.followers[ask.Name] = state
-	if same && ask.From >= s.ripe && ask.WaitMs > 0 {
-		news := s.news
+	s.clients[request.Name] = state
+	if resumable && request.After >= s.wakeOffset && request.WaitMs > 0 {
+		updated := s.updated
 		s.mu.Unlock()
-		timer := time.NewTimer(time.Duration(min(ask.WaitMs, 1000)) * time.Millisecond)
+		timer := time.NewTimer(time.Duration(min(request.WaitMs, 1000)) * time.Millisecond)
 		select {
-		case <-news:
+		case <-updated:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -228,58 +228,58 @@
 		s.mu.Lock()
 	}
 	s.mu.Unlock()
-	var remaining time.Duration
-	if s.options.Remaining != nil {
-		remaining = s.options.Remaining() // before the cut: what is vouched for is in it
+	var validFor time.Duration
+	if s.options.ValidFor != nil {
+		validFor = s.options.ValidFor() // before the cut: what is vouched for is in it
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	same = same && ask.From >= s.floor
-	answer := Answer{Run: s.run, Number: s.number, Snapshot: !same, RemainingMs: remaining.Milliseconds()}
-	if s.options.Who != nil {
-		answer.Who = s.options.Who()
+	resumable = resumable && request.After >= s.compactedOffset
+	response := Response{RunID: s.runID, Offset: s.offset, Snapshot: !resumable, ValidForMs: validFor.Milliseconds()}
+	if s.options.Incarnation != nil {
+		response.Incarnation = s.options.Incarnation()
 	}
-	from := ask.From
-	if !same {
-		from = 0
+	after := request.After
+	if !resumable {
+		after = 0
 	}
-	now, at := time.Now(), map[string]int{}
-	s.order.AscendGreaterOrEqual(place{number: from + 1}, func(p place) bool {
+	now, index := time.Now(), map[string]int{}
+	s.order.AscendGreaterOrEqual(position{offset: after + 1}, func(p position) bool {
 		k := s.keys[p.key]
-		i, ok := at[p.key]
+		i, ok := index[p.key]
 		if !ok {
-			i = len(answer.Entries)
-			at[p.key] = i
-			answer.Entries = append(answer.Entries, Entry{Key: p.key, Revision: k.revision, Settled: k.settled, Fields: register.Fields{}})
+			i = len(response.Updates)
+			index[p.key] = i
+			response.Updates = append(response.Updates, KeyUpdate{Key: p.key, Revision: k.revision, Committed: k.committed, Fields: register.Fields{}})
 		}
 		if p.field == "" {
 			return true
 		}
-		e, c := &answer.Entries[i], k.cells[p.field]
+		e, c := &response.Updates[i], k.fields[p.field]
 		e.Fields[p.field] = c.value
 		if k.revision == (register.Revision{}) {
 			if e.AgesMs == nil {
 				e.AgesMs = map[string]int64{}
 			}
-			e.AgesMs[p.field] = now.Sub(c.at).Milliseconds()
+			e.AgesMs[p.field] = now.Sub(c.changedAt).Milliseconds()
 		}
 		return true
 	})
-	return answer, nil
+	return response, nil
 }
 
-// FollowerStates lists the followers heard within the given time; others are forgotten.
-func (s *Source) FollowerStates(within time.Duration) []FollowerState {
+// ClientStates lists the followers heard within the given time; others are forgotten.
+func (s *Server) ClientStates(within time.Duration) []ClientState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var all []FollowerState
-	for name, f := range s.followers {
-		age := time.Since(f.at)
+	var all []ClientState
+	for name, f := range s.clients {
+		age := time.Since(f.lastRequest)
 		if age > within {
-			delete(s.followers, name)
+			delete(s.clients, name)
 			continue
 		}
-		f.AgeMs, f.Lag = age.Milliseconds(), s.number-f.Acked
+		f.AgeMs, f.Lag = age.Milliseconds(), s.offset-f.AcknowledgedOffset
 		all = append(all, f)
 	}
 	return all
--- a/watch/source_test.go
+++ b/watch/source_test.go
@@ -12,55 +12,55 @@
 
 func TestSourceGivesChangesAfterANumberAndSnapshots(t *testing.T) {
 	is := is.New(t)
-	s := NewSource(SourceOptions{})
+	s := NewServer(ServerOptions{})
 	revision := register.Revision{Epoch: 1, Version: 1}
-	s.Put("k", revision, revision, register.Fields{"a": []byte(`1`), "b": []byte(`2`)}, true)
-	first, err := s.Pull(t.Context(), Ask{Name: "f"})
+	s.Publish("k", revision, revision, register.Fields{"a": []byte(`1`), "b": []byte(`2`)}, true)
+	first, err := s.Watch(t.Context(), Request{Name: "f"})
 	is.NoErr(err)
 	is.True(first.Snapshot)
-	is.Equal(len(first.Entries[0].Fields), 2)
+	is.Equal(len(first.Updates[0].Fields), 2)
 	next := register.Revision{Epoch: 1, Version: 2}
-	s.Put("k", next, next, register.Fields{"a": nil}, false)
-	second, err := s.Pull(t.Context(), Ask{Name: "f", Run: first.Run, From: first.Number})
+	s.Publish("k", next, next, register.Fields{"a": nil}, false)
+	second, err := s.Watch(t.Context(), Request{Name: "f", RunID: first.RunID, After: first.Offset})
 	is.NoErr(err)
 	is.True(!second.Snapshot)
-	is.Equal(len(second.Entries), 1)
-	is.Equal(second.Entries[0].Revision, next)
-	is.Equal(len(second.Entries[0].Fields), 1) // b did not change
-	is.True(register.IsDeleted(second.Entries[0].Fields["a"]))
+	is.Equal(len(second.Updates), 1)
+	is.Equal(second.Updates[0].Revision, next)
+	is.Equal(len(second.Updates[0].Fields), 1) // b did not change
+	is.True(register.IsDeleted(second.Updates[0].Fields["a"]))
 }
 
 // A slow follower costs the source nothing: what it missed is merged, and behind the last dropped tombstone it gets a snapshot.
 func TestSlowFollowersGetMergedChangesOrASnapshot(t *testing.T) {
 	is := is.New(t)
-	s := NewSource(SourceOptions{})
+	s := NewServer(ServerOptions{})
 	put := func(version uint64, fields register.Fields) {
 		revision := register.Revision{Epoch: 1, Version: version}
-		s.Put("k", revision, revision, fields, false)
+		s.Publish("k", revision, revision, fields, false)
 	}
 	put(1, register.Fields{"hot": []byte(`0`), "cold": []byte(`0`)})
-	first, err := s.Pull(t.Context(), Ask{Name: "f"})
+	first, err := s.Watch(t.Context(), Request{Name: "f"})
 	is.NoErr(err)
 	for n := uint64(2); n < 5000; n++ {
 		put(n, register.Fields{"hot": fmt.Appendf(nil, "%d", n)})
 	}
-	merged, err := s.Pull(t.Context(), Ask{Name: "f", Run: first.Run, From: first.Number})
+	merged, err := s.Watch(t.Context(), Request{Name: "f", RunID: first.RunID, After: first.Offset})
 	is.NoErr(err)
 	is.True(!merged.Snapshot)
-	is.Equal(len(merged.Entries), 1)
-	is.Equal(string(merged.Entries[0].Fields["hot"]), "4999")
-	is.Equal(len(merged.Entries[0].Fields), 1)
+	is.Equal(len(merged.Updates), 1)
+	is.Equal(string(merged.Updates[0].Fields["hot"]), "4999")
+	is.Equal(len(merged.Updates[0].Fields), 1)
 	is.True(s.order.Len() <= 3) // one place for the key and one for each field
-	for n := uint64(0); n < maxTombs+100; n++ {
+	for n := uint64(0); n < maxTombstones+100; n++ {
 		put(5000+2*n, register.Fields{fmt.Sprint(n): []byte(`1`)})
 		put(5001+2*n, register.Fields{fmt.Sprint(n): nil})
 	}
-	late, err := s.Pull(t.Context(), Ask{Name: "f", Run: first.Run, From: merged.Number})
+	late, err := s.Watch(t.Context(), Request{Name: "f", RunID: first.RunID, After: merged.Offset})
 	is.NoErr(err)
 	is.True(late.Snapshot) // removals that it never heard of are dropped by now
-	is.True(s.order.Len() <= maxTombs+3)
-	other, err := s.Pull(t.Context(), Ask{Name: "f", Run: "another life", From: late.Number})
+	is.True(s.order.Len() <= maxTombstones+3)
+	other, err := s.Watch(t.Context(), Request{Name: "f", RunID: "another life", After: late.Offset})
 	is.NoErr(err)
 	is.True(other.Snapshot)
-	is.Equal(s.FollowerStates(time.Minute)[0].Lag, other.Number)
+	is.Equal(s.ClientStates(time.Minute)[0].Lag, other.Offset)
 }
