--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -36,7 +36,7 @@
 	plain   *http.Client
 	source  *watch.Server
 	table   *throttle.Table
-	ring    *gossip.Ring
+	ring    *gossip.Detector
 	disk    disk.Disk // may be nil: then what was learned of the cores is lost with the process
 
 	mu           sync.Mutex
@@ -166,7 +166,7 @@
 // asked is whom to ask for the members: the seeds, what the ring has heard of, and what was kept from an earlier life.
 func (a *Agent) asked() []string {
 	all := slices.Clone(a.host.Seeds)
-	for _, d := range a.ring.All()[1:] {
+	for _, d := range a.ring.Nodes()[1:] {
 		all = append(all, d.Address)
 	}
 	if a.disk != nil {
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -50,7 +50,7 @@
 	cores       *watch.Server // for the other cores: every key
 	data        *watch.Server // for the agents
 	table       *throttle.Table
-	ring        *gossip.Ring
+	ring        *gossip.Detector
 	isDamaged   atomic.Bool // a torn file: this core's word counts for nobody until it has caught up (§2.5)
 	learning    sync.Mutex
 	carrying    sync.Mutex
--- a/daemon/found.go
+++ b/daemon/found.go
@@ -146,7 +146,7 @@
 // than a second.
 func (c *Core) askAround(ctx context.Context, founders []string) <-chan Hello {
 	asked := slices.Concat(founders, c.host.Seeds)
-	for _, d := range c.ring.All()[1:] {
+	for _, d := range c.ring.Nodes()[1:] {
 		asked = append(asked, d.Address)
 	}
 	slices.Sort(asked)
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -69,7 +69,7 @@
 	for _, s := range c.data.ClientStates(proxyTime) {
 		all = append(all, gauge{name: "core_agent_behind", value: float64(s.Lag), label: [2]string{"agent", s.Name}})
 	}
-	sent, alarms := c.ring.Figures()
+	sent, alarms := c.ring.Stats()
 	return append(all, gauge{name: "ring_messages_sent", value: float64(sent)}, gauge{name: "ring_alarms", value: float64(alarms)})
 }
 
--- a/gossip/ring.go
+++ b/gossip/ring.go
@@ -17,100 +17,100 @@
 	"asterridge/register"
 )
 
-// Daemon is one process of the fleet. Life rises when it has to contradict news of its end.
-type Daemon struct {
-	Name    string `json:"name"`
-	Role    string `json:"role"`
-	Zone    string `json:"zone"`
-	Address string `json:"address"`
-	Life    uint64 `json:"life"`
-	Down    bool   `json:"down,omitempty"`
+// Node is one process of the fleet. Life rises when it has to contradict news of its end.
+type Node struct {
+	Name        string `json:"name"`
+	Role        string `json:"role"`
+	Zone        string `json:"zone"`
+	Address     string `json:"address"`
+	Incarnation uint64 `json:"life"`
+	Down        bool   `json:"down,omitempty"`
 }
 
-// Beat is a heartbeat with news; Answer gives news back. To one that it did not know, a daemon answers with all it knows.
-type Beat struct {
-	From Daemon   `json:"from"`
-	News []Daemon `json:"news,omitempty"`
-	Full bool     `json:"full,omitempty"` // all that the sender knows; it wants the same back
+// Heartbeat is a heartbeat with news; Answer gives news back. To one that it did not know, a daemon answers with all it knows.
+type Heartbeat struct {
+	From    Node   `json:"from"`
+	Updates []Node `json:"news,omitempty"`
+	Full    bool   `json:"full,omitempty"` // all that the sender knows; it wants the same back
 }
 
-// Answer to a beat.
-type Answer struct {
-	News []Daemon `json:"news,omitempty"`
+// HeartbeatReply to a beat.
+type HeartbeatReply struct {
+	Updates []Node `json:"news,omitempty"`
 }
 
-// Doubt asks another watcher how long a daemon has been silent towards it.
-type Doubt struct {
-	Name string `json:"name"`
-	Life uint64 `json:"life"`
+// Suspicion asks another watcher how long a daemon has been silent towards it.
+type Suspicion struct {
+	Name        string `json:"name"`
+	Incarnation uint64 `json:"life"`
 }
 
-// Silence answers a doubt; IsWatcher is false from one that has no word of the daemon.
-type Silence struct {
+// SuspicionReply answers a doubt; IsWatcher is false from one that has no word of the daemon.
+type SuspicionReply struct {
 	SilentMs int64 `json:"silent_ms"`
 	Watcher  bool  `json:"watcher"`
 }
 
-// Calls is the way to other daemons.
-type Calls interface {
-	Beat(ctx context.Context, address string, b Beat) (Answer, error)
-	Doubt(ctx context.Context, address string, d Doubt) (Silence, error)
+// Transport is the way to other daemons.
+type Transport interface {
+	SendHeartbeat(ctx context.Context, address string, b Heartbeat) (HeartbeatReply, error)
+	SendSuspicion(ctx context.Context, address string, d Suspicion) (SuspicionReply, error)
 }
 
 // Options of a ring's member.
 type Options struct {
-	Self     Daemon
-	Seeds    []string
-	Calls    Calls
-	Step     time.Duration // between beats
-	Watchers int
-	Seed     uint64 // of the draw of a daemon to compare all with
-	Log      zerolog.Logger
+	Self      Node
+	Seeds     []string
+	Transport Transport
+	Interval  time.Duration // between beats
+	Watchers  int
+	Seed      uint64 // of the draw of a daemon to compare all with
+	Log       zerolog.Logger
 }
 
-// Ring is one daemon's view of all.
-type Ring struct {
-	options Options
-	mu      sync.Mutex
-	self    Daemon
-	place   uint64
-	known   map[string]*entry
-	order   []*entry // as around gives it; nil after a change
-	random  *rand.Rand
-	round   int
-	sent    int // messages sent, for measuring
-	alarms  int // daemons that this one took for down
+// Detector is one daemon's view of all.
+type Detector struct {
+	options      Options
+	mu           sync.Mutex
+	self         Node
+	position     uint64
+	nodes        map[string]*entry
+	sorted       []*entry // as around gives it; nil after a change
+	random       *rand.Rand
+	round        int
+	messagesSent int // messages sent, for measuring
+	alarms       int // daemons that this one took for down
 }
 
 type entry struct {
-	Daemon
-	place   uint64    // on the ring
-	heard   time.Time // a beat came to us, or word that it is up
-	rumours int       // how often its news is still passed on
-	flaps   float64   // how often it came back of late
-	flapped time.Time
+	Node
+	position      uint64    // on the ring
+	lastHeard     time.Time // a beat came to us, or word that it is up
+	transmitsLeft int       // how often its news is still passed on
+	flaps         float64   // how often it came back of late
+	lastFlap      time.Time
 }
 
 const (
-	silentSteps = 4 // beats that may be missed
-	mostNews    = 12
-	flapMemory  = 30 * time.Second
-	mostDamping = 8
-	fullRounds  = 10 // rounds between two comparisons of all
-	callTime    = 800 * time.Millisecond
+	missedHeartbeats = 4 // beats that may be missed
+	maxUpdates       = 12
+	flapHalfLife     = 30 * time.Second
+	maxDamping       = 8
+	fullSyncRounds   = 10 // rounds between two comparisons of all
+	callTimeout      = 800 * time.Millisecond
 )
 
 // New makes a member that knows only itself.
-func New(options Options) *Ring {
-	return &Ring{options: options, self: options.Self, place: placeOf(options.Self.Name), known: map[string]*entry{}, random: rand.New(rand.NewPCG(options.Seed, 9))}
+func New(options Options) *Detector {
+	return &Detector{options: options, self: options.Self, position: positionOf(options.Self.Name), nodes: map[string]*entry{}, random: rand.New(rand.NewPCG(options.Seed, 9))}
 }
 
 // Run beats until the context ends.
-func (r *Ring) Run(ctx context.Context) {
-	ticker := time.NewTicker(r.options.Step)
+func (r *Detector) Run(ctx context.Context) {
+	ticker := time.NewTicker(r.options.Interval)
 	defer ticker.Stop()
 	for {
-		r.step(ctx)
+		r.tick(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -119,76 +119,76 @@
 	}
 }
 
-// step sends one round of heartbeats and looks after those that this daemon watches.
-func (r *Ring) step(ctx context.Context) {
+// tick sends one round of heartbeats and looks after those that this daemon watches.
+func (r *Detector) tick(ctx context.Context) {
 	r.mu.Lock()
 	targets := addresses(r.watchers(r.self.Name, r.self.Zone))
 	if len(targets) < r.options.Watchers {
 		targets = append(targets, r.options.Seeds...)
 	}
-	var doubts []Daemon
+	var suspects []Node
 	now := time.Now()
-	for _, e := range r.known {
-		if !e.Down && now.Sub(e.heard) > r.patience(e, now) && r.isWatcher(e) {
-			doubts = append(doubts, e.Daemon)
+	for _, e := range r.nodes {
+		if !e.Down && now.Sub(e.lastHeard) > r.timeout(e, now) && r.isWatcher(e) {
+			suspects = append(suspects, e.Node)
 		}
 	}
 	r.round++
-	full := ""
-	if r.round%fullRounds == 0 {
+	fullSyncTarget := ""
+	if r.round%fullSyncRounds == 0 {
 		if live := r.others(false); len(live) > 0 {
-			full = live[r.random.IntN(len(live))].Address
-			r.sent++
+			fullSyncTarget = live[r.random.IntN(len(live))].Address
+			r.messagesSent++
 		}
 	}
-	r.sent += len(targets)
+	r.messagesSent += len(targets)
 	r.mu.Unlock()
-	var all sync.WaitGroup
+	var pending sync.WaitGroup
 	for _, address := range targets {
-		all.Go(func() { r.beat(ctx, address, false) })
+		pending.Go(func() { r.heartbeat(ctx, address, false) })
 	}
-	if full != "" {
-		all.Go(func() { r.beat(ctx, full, true) })
+	if fullSyncTarget != "" {
+		pending.Go(func() { r.heartbeat(ctx, fullSyncTarget, true) })
 	}
-	for _, d := range doubts {
-		all.Go(func() { r.doubt(ctx, d) })
+	for _, d := range suspects {
+		pending.Go(func() { r.suspect(ctx, d) })
 	}
-	all.Wait()
+	pending.Wait()
 }
 
-func addresses(all []*entry) (found []string) {
+func addresses(all []*entry) (list []string) {
 	for _, e := range all {
-		found = append(found, e.Address)
+		list = append(list, e.Address)
 	}
-	return found
+	return list
 }
 
-func placeOf(name string) uint64 { return register.Weight("ring", name) }
+func positionOf(name string) uint64 { return register.Weight("ring", name) }
 
-// around lists this daemon and the live ones by their place on the ring; r.mu is held.
-func (r *Ring) around() []*entry {
-	if r.order == nil {
-		r.order = append(r.order, &entry{Daemon: r.self, place: r.place})
-		for _, e := range r.known {
+// sortedNodes lists this daemon and the live ones by their place on the ring; r.mu is held.
+func (r *Detector) sortedNodes() []*entry {
+	if r.sorted == nil {
+		r.sorted = append(r.sorted, &entry{Node: r.self, position: r.position})
+		for _, e := range r.nodes {
 			if !e.Down {
-				r.order = append(r.order, e)
+				r.sorted = append(r.sorted, e)
 			}
 		}
-		slices.SortFunc(r.order, func(a, b *entry) int { return cmp.Compare(a.place, b.place) })
+		slices.SortFunc(r.sorted, func(a, b *entry) int { return cmp.Compare(a.position, b.position) })
 	}
-	return r.order
+	return r.sorted
 }
 
 // watchers are the first live daemons after a name's place on the ring, spread over zones as far as there are zones; r.mu is held.
-func (r *Ring) watchers(name, zone string) []*entry {
-	place, order := placeOf(name), r.around()
-	first := sort.Search(len(order), func(i int) bool { return order[i].place >= place })
+func (r *Detector) watchers(name, zone string) []*entry {
+	position, order := positionOf(name), r.sortedNodes()
+	first := sort.Search(len(order), func(i int) bool { return order[i].position >= position })
 	var chosen []*entry
 	zones := map[string]bool{zone: true}
-	for _, free := range []bool{false, true} { // first of zones that are not taken, then of any
+	for _, anyZone := range []bool{false, true} { // first of zones that are not taken, then of any
 		for i := 0; i < len(order) && len(chosen) < r.options.Watchers; i++ {
 			e := order[(first+i)%len(order)]
-			if e.Name != name && (free || !zones[e.Zone]) && !slices.Contains(chosen, e) {
+			if e.Name != name && (anyZone || !zones[e.Zone]) && !slices.Contains(chosen, e) {
 				chosen = append(chosen, e)
 				zones[e.Zone] = true
 			}
@@ -197,157 +197,157 @@
 	return chosen
 }
 
-func (r *Ring) isWatcher(of *entry) bool {
+func (r *Detector) isWatcher(of *entry) bool {
 	return slices.ContainsFunc(r.watchers(of.Name, of.Zone), func(e *entry) bool { return e.Name == r.self.Name })
 }
 
-// patience is how long a daemon may be silent; longer for one that comes and goes.
-func (r *Ring) patience(e *entry, now time.Time) time.Duration {
+// timeout is how long a daemon may be silent; longer for one that comes and goes.
+func (r *Detector) timeout(e *entry, now time.Time) time.Duration {
 	flaps := e.flaps
-	for past := now.Sub(e.flapped); past > flapMemory && flaps > 0.1; past -= flapMemory {
+	for past := now.Sub(e.lastFlap); past > flapHalfLife && flaps > 0.1; past -= flapHalfLife {
 		flaps /= 2
 	}
-	return time.Duration(float64(silentSteps*r.options.Step) * min(1+flaps, mostDamping))
+	return time.Duration(float64(missedHeartbeats*r.options.Interval) * min(1+flaps, maxDamping))
 }
 
-func (r *Ring) beat(ctx context.Context, address string, full bool) {
+func (r *Detector) heartbeat(ctx context.Context, address string, full bool) {
 	r.mu.Lock()
-	b := Beat{From: r.self, Full: full}
+	b := Heartbeat{From: r.self, Full: full}
 	if full {
-		b.News = r.others(true)
+		b.Updates = r.others(true)
 	} else {
-		b.News = r.news()
+		b.Updates = r.nextUpdates()
 	}
 	r.mu.Unlock()
-	short, stop := context.WithTimeout(ctx, callTime)
+	short, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	answer, err := r.options.Calls.Beat(short, address, b)
+	answer, err := r.options.Transport.SendHeartbeat(short, address, b)
 	if err != nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, d := range answer.News {
-		r.learn(d)
+	for _, d := range answer.Updates {
+		r.apply(d)
 	}
 }
 
-// news picks what was passed on least often; r.mu is held.
-func (r *Ring) news() []Daemon {
-	var fresh []*entry
-	for _, e := range r.known {
-		if e.rumours > 0 {
-			fresh = append(fresh, e)
+// nextUpdates picks what was passed on least often; r.mu is held.
+func (r *Detector) nextUpdates() []Node {
+	var pending []*entry
+	for _, e := range r.nodes {
+		if e.transmitsLeft > 0 {
+			pending = append(pending, e)
 		}
 	}
-	sort.Slice(fresh, func(i, j int) bool { return fresh[i].rumours > fresh[j].rumours })
-	var news []Daemon
-	for _, e := range fresh[:min(len(fresh), mostNews)] {
-		e.rumours--
-		news = append(news, e.Daemon)
+	sort.Slice(pending, func(i, j int) bool { return pending[i].transmitsLeft > pending[j].transmitsLeft })
+	var updates []Node
+	for _, e := range pending[:min(len(pending), maxUpdates)] {
+		e.transmitsLeft--
+		updates = append(updates, e.Node)
 	}
-	return news
+	return updates
 }
 
-// learn takes word of a daemon; r.mu is held.
-func (r *Ring) learn(d Daemon) {
+// apply takes word of a daemon; r.mu is held.
+func (r *Detector) apply(d Node) {
 	if d.Name == r.self.Name {
-		if d.Down && d.Life >= r.self.Life || !d.Down && d.Life > r.self.Life {
-			r.order, r.self.Life = nil, d.Life+1 // we are not down, and not what we were before a restart
+		if d.Down && d.Incarnation >= r.self.Incarnation || !d.Down && d.Incarnation > r.self.Incarnation {
+			r.sorted, r.self.Incarnation = nil, d.Incarnation+1 // we are not down, and not what we were before a restart
 		}
 		return
 	}
-	e := r.known[d.Name]
+	e := r.nodes[d.Name]
 	if e == nil {
-		e = &entry{Daemon: d, place: placeOf(d.Name), heard: time.Now()}
-		r.known[d.Name], r.order = e, nil
-		r.spread(e)
+		e = &entry{Node: d, position: positionOf(d.Name), lastHeard: time.Now()}
+		r.nodes[d.Name], r.sorted = e, nil
+		r.disseminate(e)
 		return
 	}
-	if d.Life < e.Life || d.Life == e.Life && (e.Down || !d.Down) {
+	if d.Incarnation < e.Incarnation || d.Incarnation == e.Incarnation && (e.Down || !d.Down) {
 		return
 	}
 	if e.Down && !d.Down {
-		e.flaps = min(e.flaps+1, mostDamping)
-		e.flapped = time.Now()
+		e.flaps = min(e.flaps+1, maxDamping)
+		e.lastFlap = time.Now()
 	}
 	if d.Down != e.Down {
 		r.options.Log.Info().Str("event", "liveness").Str("of", d.Name).Bool("is_down", d.Down).Msg("")
 	}
-	e.Daemon, r.order = d, nil
+	e.Node, r.sorted = d, nil
 	if !d.Down {
-		e.heard = time.Now()
+		e.lastHeard = time.Now()
 	}
-	r.spread(e)
+	r.disseminate(e)
 }
 
-// spread has an entry's news passed on often enough to reach all: a few times the logarithm of the fleet.
-func (r *Ring) spread(e *entry) { e.rumours = 3 * bits.Len(uint(len(r.known)+1)) }
+// disseminate has an entry's news passed on often enough to reach all: a few times the logarithm of the fleet.
+func (r *Detector) disseminate(e *entry) { e.transmitsLeft = 3 * bits.Len(uint(len(r.nodes)+1)) }
 
-// Heard answers a heartbeat.
-func (r *Ring) Heard(_ context.Context, b Beat) (Answer, error) {
+// HandleHeartbeat answers a heartbeat.
+func (r *Detector) HandleHeartbeat(_ context.Context, b Heartbeat) (HeartbeatReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, ok := r.known[b.From.Name]
-	r.learn(b.From)
-	for _, d := range b.News {
-		r.learn(d)
+	_, ok := r.nodes[b.From.Name]
+	r.apply(b.From)
+	for _, d := range b.Updates {
+		r.apply(d)
 	}
-	e := r.known[b.From.Name]
+	e := r.nodes[b.From.Name]
 	if e == nil {
-		return Answer{}, nil // our own beat, by way of a seed that is ourselves
+		return HeartbeatReply{}, nil // our own beat, by way of a seed that is ourselves
 	}
-	if e.Down || e.Life > b.From.Life {
-		return Answer{News: []Daemon{e.Daemon}}, nil // it has to contradict this before it counts
+	if e.Down || e.Incarnation > b.From.Incarnation {
+		return HeartbeatReply{Updates: []Node{e.Node}}, nil // it has to contradict this before it counts
 	}
-	e.heard = time.Now()
+	e.lastHeard = time.Now()
 	if ok && !b.Full {
-		return Answer{News: r.news()}, nil
+		return HeartbeatReply{Updates: r.nextUpdates()}, nil
 	}
-	return Answer{News: append(r.others(true), r.self)}, nil
+	return HeartbeatReply{Updates: append(r.others(true), r.self)}, nil
 }
 
 // others lists the daemons known besides this one, in order of name; r.mu is held.
-func (r *Ring) others(withDown bool) []Daemon {
-	var all []Daemon
-	for _, e := range r.known {
+func (r *Detector) others(withDown bool) []Node {
+	var all []Node
+	for _, e := range r.nodes {
 		if withDown || !e.Down {
-			all = append(all, e.Daemon)
+			all = append(all, e.Node)
 		}
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
 	return all
 }
 
-// Doubted answers another watcher's doubt.
-func (r *Ring) Doubted(_ context.Context, d Doubt) (Silence, error) {
+// HandleSuspicion answers another watcher's doubt.
+func (r *Detector) HandleSuspicion(_ context.Context, d Suspicion) (SuspicionReply, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.known[d.Name]
+	e := r.nodes[d.Name]
 	if e == nil || !r.isWatcher(e) {
-		return Silence{}, nil
+		return SuspicionReply{}, nil
 	}
-	return Silence{SilentMs: time.Since(e.heard).Milliseconds(), Watcher: true}, nil
+	return SuspicionReply{SilentMs: time.Since(e.lastHeard).Milliseconds(), Watcher: true}, nil
 }
 
-// doubt takes a daemon for down if most of its watchers that can be asked have not heard it either.
-func (r *Ring) doubt(ctx context.Context, d Daemon) {
+// suspect takes a daemon for down if most of its watchers that can be asked have not heard it either.
+func (r *Detector) suspect(ctx context.Context, d Node) {
 	r.mu.Lock()
-	e := r.known[d.Name]
-	var others []Daemon // copies: the entries move on while the others are asked
+	e := r.nodes[d.Name]
+	var others []Node // copies: the entries move on while the others are asked
 	for _, w := range r.watchers(d.Name, d.Zone) {
-		others = append(others, w.Daemon)
+		others = append(others, w.Node)
 	}
-	patience := r.patience(e, time.Now())
-	r.sent += len(others) - 1
+	patience := r.timeout(e, time.Now())
+	r.messagesSent += len(others) - 1
 	r.mu.Unlock()
 	agreeing, asked := 1, 1
 	for _, w := range others {
 		if w.Name == r.self.Name {
 			continue
 		}
-		short, stop := context.WithTimeout(ctx, callTime)
-		s, err := r.options.Calls.Doubt(short, w.Address, Doubt{d.Name, d.Life})
+		short, stop := context.WithTimeout(ctx, callTimeout)
+		s, err := r.options.Transport.SendSuspicion(short, w.Address, Suspicion{d.Name, d.Incarnation})
 		stop()
 		if err != nil {
 			continue
@@ -362,24 +362,24 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if e.Life != d.Life || e.Down || time.Since(e.heard) < patience {
+	if e.Incarnation != d.Incarnation || e.Down || time.Since(e.lastHeard) < patience {
 		return
 	}
 	r.alarms++
 	d.Down = true
-	r.learn(d)
+	r.apply(d)
 }
 
-// All lists the daemons known, this one first.
-func (r *Ring) All() []Daemon {
+// Nodes lists the daemons known, this one first.
+func (r *Detector) Nodes() []Node {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Daemon{r.self}, r.others(true)...)
+	return append([]Node{r.self}, r.others(true)...)
 }
 
-// Figures for measuring: messages sent, and alarms raised by this daemon.
-func (r *Ring) Figures() (sent, alarms int) {
+// Stats for measuring: messages sent, and alarms raised by this daemon.
+func (r *Detector) Stats() (sent, alarms int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sent, r.alarms
+	return r.messagesSent, r.alarms
 }
--- a/gossip/ring_test.go
+++ b/gossip/ring_test.go
@@ -23,7 +23,7 @@
 	mu     sync.Mutex
 	random *rand.Rand
 	loss   float64
-	rings  map[string]*Ring
+	rings  map[string]*Detector
 	dead   map[string]bool
 }
 
@@ -32,7 +32,7 @@
 	from string
 }
 
-func (c caller) reach(address string) (*Ring, error) {
+func (c caller) reach(address string) (*Detector, error) {
 	time.Sleep(5 * time.Millisecond)
 	c.f.mu.Lock()
 	defer c.f.mu.Unlock()
@@ -42,20 +42,20 @@
 	return c.f.rings[address], nil
 }
 
-func (c caller) Beat(ctx context.Context, address string, b Beat) (Answer, error) {
+func (c caller) SendHeartbeat(ctx context.Context, address string, b Heartbeat) (HeartbeatReply, error) {
 	r, err := c.reach(address)
 	if err != nil {
-		return Answer{}, err
+		return HeartbeatReply{}, err
 	}
-	return r.Heard(ctx, b)
+	return r.HandleHeartbeat(ctx, b)
 }
 
-func (c caller) Doubt(ctx context.Context, address string, d Doubt) (Silence, error) {
+func (c caller) SendSuspicion(ctx context.Context, address string, d Suspicion) (SuspicionReply, error) {
 	r, err := c.reach(address)
 	if err != nil {
-		return Silence{}, err
+		return SuspicionReply{}, err
 	}
-	return r.Doubted(ctx, d)
+	return r.HandleSuspicion(ctx, d)
 }
 
 func (f *field) setDead(name string, dead bool) {
@@ -65,8 +65,8 @@
 }
 
 func (f *field) start(ctx context.Context, name, zone string, seeds []string) {
-	r := New(Options{Self: Daemon{Name: name, Role: "agent", Zone: zone, Address: name}, Seeds: seeds, Calls: caller{f, name},
-		Step: 500 * time.Millisecond, Watchers: 3, Seed: register.Weight("seed", name), Log: zerolog.Nop()})
+	r := New(Options{Self: Node{Name: name, Role: "agent", Zone: zone, Address: name}, Seeds: seeds, Transport: caller{f, name},
+		Interval: 500 * time.Millisecond, Watchers: 3, Seed: register.Weight("seed", name), Log: zerolog.Nop()})
 	f.mu.Lock()
 	f.rings[name] = r
 	f.mu.Unlock()
@@ -77,7 +77,7 @@
 func (f *field) seenDown(name string) (n int) {
 	for other, r := range f.rings {
 		r.mu.Lock()
-		if e := r.known[name]; other != name && e != nil && e.Down {
+		if e := r.nodes[name]; other != name && e != nil && e.Down {
 			n++
 		}
 		r.mu.Unlock()
@@ -95,7 +95,7 @@
 				is := is.New(t)
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
-				f := &field{random: rand.New(rand.NewPCG(uint64(size), 1)), loss: 0.05, rings: map[string]*Ring{}, dead: map[string]bool{}}
+				f := &field{random: rand.New(rand.NewPCG(uint64(size), 1)), loss: 0.05, rings: map[string]*Detector{}, dead: map[string]bool{}}
 				for i := range size {
 					f.start(ctx, fmt.Sprintf("d%d", i), fmt.Sprintf("z%d", i%4), []string{"d0", "d1", "d2"})
 				}
@@ -104,7 +104,7 @@
 					all := 0
 					for _, r := range f.rings {
 						r.mu.Lock()
-						all += len(r.known) + 1
+						all += len(r.nodes) + 1
 						r.mu.Unlock()
 					}
 					if all == size*size {
@@ -116,7 +116,7 @@
 				learned := time.Since(began)
 				sum := func() (sent, alarms int) {
 					for _, r := range f.rings {
-						s, a := r.Figures()
+						s, a := r.Stats()
 						sent, alarms = sent+s, alarms+a
 					}
 					return
@@ -161,17 +161,17 @@
 // The kept order gives the watchers that sorting all daemons anew would give, also after some went down and came back.
 func TestWatchersAreThoseOfTheSortedRing(t *testing.T) {
 	is, random := is.New(t), rand.New(rand.NewPCG(1, 2))
-	r := New(Options{Self: Daemon{Name: "self", Zone: "zone-0"}, Watchers: 3})
+	r := New(Options{Self: Node{Name: "self", Zone: "zone-0"}, Watchers: 3})
 	sorted := func(name, zone string) (chosen []string) {
-		place := placeOf(name)
-		order := []*entry{{Daemon: r.self, place: r.place}}
-		for _, e := range r.known {
+		place := positionOf(name)
+		order := []*entry{{Node: r.self, position: r.position}}
+		for _, e := range r.nodes {
 			if !e.Down {
 				order = append(order, e)
 			}
 		}
 		order = slices.DeleteFunc(order, func(e *entry) bool { return e.Name == name })
-		slices.SortFunc(order, func(a, b *entry) int { return cmp.Compare(a.place-place, b.place-place) })
+		slices.SortFunc(order, func(a, b *entry) int { return cmp.Compare(a.position-place, b.position-place) })
 		zones := map[string]bool{zone: true}
 		for _, free := range []bool{false, true} {
 			for _, e := range order {
@@ -184,8 +184,8 @@
 	}
 	for round := range 400 {
 		i := random.IntN(40)
-		d := Daemon{Name: fmt.Sprintf("d%02d", i), Zone: fmt.Sprintf("zone-%d", i%4), Life: uint64(round), Down: random.IntN(3) == 0}
-		r.learn(d)
+		d := Node{Name: fmt.Sprintf("d%02d", i), Zone: fmt.Sprintf("zone-%d", i%4), Incarnation: uint64(round), Down: random.IntN(3) == 0}
+		r.apply(d)
 		for _, name := range []string{"self", d.Name, "d07"} {
 			var found []string
 			for _, e := range r.watchers(name, d.Zone) {
