--- a/disk/files.go
+++ b/disk/files.go
@@ -49,12 +49,12 @@
 }
 
 func (systemFiles) ReadDir(path string) ([]Entry, error) {
-	found, err := os.ReadDir(path)
+	list, err := os.ReadDir(path)
 	if err != nil {
 		return nil, err
 	}
-	entries := make([]Entry, 0, len(found))
-	for _, entry := range found {
+	entries := make([]Entry, 0, len(list))
+	for _, entry := range list {
 		entries = append(entries, Entry{Name: entry.Name(), Dir: entry.IsDir()})
 	}
 	return entries, nil
