--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -12,7 +12,7 @@
 	s := daemon.NewSettings("agent", "keeps the links to the cores and feeds the proxy beside it")
 	local := s.Address("local", "`ip:port` on loopback, for the proxy beside")
 	data := s.Text("data", "", "`folder` where it keeps the cores' addresses; none if empty")
-	s.Needed("name", "zone", "address", "seeds", "local")
+	s.Require("name", "zone", "address", "seeds", "local")
 	daemon.Main(s, func(ctx context.Context) error {
 		var kept disk.Disk
 		if *data != "" {
--- a/cmd/core/main.go
+++ b/cmd/core/main.go
@@ -13,7 +13,7 @@
 	s := daemon.NewSettings("core", "keeps control state on a disk; four of them, one a zone")
 	data := s.Text("data", "", "data `folder`; all files live below it")
 	age := s.Integer("claim_age_s", 3600, 10, 7*24*3600, "how many `seconds` callers' keys are remembered, at the least")
-	s.Needed("name", "zone", "address", "seeds", "data")
+	s.Require("name", "zone", "address", "seeds", "data")
 	daemon.Main(s, func(ctx context.Context) error {
 		folder, err := disk.NewFolder(*data)
 		if err != nil {
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -200,7 +200,7 @@
 	if c.setup.Platform {
 		step = platformBounds.Beat
 	}
-	return daemon.Host{Name: name, Fleet: fleetName, Zone: fmt.Sprintf("zone-%d", i%zones+1), Address: address, RingStep: step, Seeds: c.setup.Cores[:min(3, len(c.setup.Cores))],
+	return daemon.Host{Name: name, Fleet: fleetName, Zone: fmt.Sprintf("zone-%d", i%zones+1), Address: address, GossipInterval: step, Seeds: c.setup.Cores[:min(3, len(c.setup.Cores))],
 		Net: network, Log: c.log.With().Str("daemon", name).Logger()}
 }
 
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -15,7 +15,7 @@
 	grace := s.Integer("grace_ms", 8000, 0, 600000, "how many `ms` running streams have after a stop")
 	index := s.Integer("index", 200000, 0, 10000000, "entries of the index of kept prompts; 0: none")
 	room := s.Integer("room_mb", 256, 1, 1<<20, "`MiB` of callers' bodies held at a time; a tenant gets a quarter at most")
-	s.Needed("name", "zone", "address", "agent", "admin")
+	s.Require("name", "zone", "address", "agent", "admin")
 	daemon.Main(s, func(ctx context.Context) error {
 		callers, err := s.Listen()
 		if err != nil {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -84,7 +84,7 @@
 	warm := s.Integer("warm_ms", 1000, 0, 600000, "`ms` of slowness after a start or load")
 	blocks := s.Integer("blocks", 2000, 1, 1000000, "blocks of prompts kept")
 	file := s.Text("ledger", "", "`file` that the ledger is added to")
-	s.Needed("name", "address")
+	s.Require("name", "address")
 	daemon.Main(s, func(ctx context.Context) error {
 		add, shut := ledger[fake.Run](*file)
 		defer shut()
@@ -115,7 +115,7 @@
 	seed := s.Integer("seed", 1, 0, 1<<40, "seed of the mix")
 	prefix := s.Text("prefix", "c", "what tags begin with")
 	file := s.Text("ledger", "", "`file` that the ledger is added to")
-	s.Needed("proxies", "keys")
+	s.Require("proxies", "keys")
 	daemon.Main(s, func(ctx context.Context) error {
 		ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM)
 		defer stop()
@@ -155,7 +155,7 @@
 	s := daemon.NewSettings("standin platform", "tells the cores which replicas there are")
 	cores := s.Text("cores", "", "`ip:port`s of cores, with commas")
 	file := s.Text("file", "", "`file` with {\"replicas\":[…]}")
-	s.Needed("cores", "file")
+	s.Require("cores", "file")
 	daemon.Main(s, func(ctx context.Context) error {
 		wire := rpc.NewClient(s.Host.Fleet, s.Host.Net)
 		told := ""
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -87,7 +87,7 @@
 		links: map[string]*watch.Client{}, applied: map[string]register.Revision{}, undecided: map[string]doubt{},
 		why: "no core found yet", proxies: register.Fields{}, silent: map[string]bool{}, readers: map[string]string{}, replicas: map[string]context.CancelFunc{}, watched: map[string]config.Replica{},
 	}
-	a.ring = newRing(host, "agent", a.wire)
+	a.ring = NewDetector(host, "agent", a.wire)
 	a.source = watch.NewServer(watch.ServerOptions{ValidFor: a.remaining})
 	a.table = throttle.NewTable(func(e throttle.Entry) {
 		raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
@@ -110,18 +110,18 @@
 	mux.Handle("POST /agent/hold", rpc.Handler(fleet, a.tellHold))
 	mux.Handle("POST /agent/claim", rpc.Handler(fleet, a.claim))
 	outer := http.NewServeMux()
-	serveRing(outer, fleet, a.ring)
-	serveMetrics(outer, a.figures)
+	HandleGossip(outer, fleet, a.ring)
+	HandleMetrics(outer, a.figures)
 	outer.Handle("POST /agent/query", rpc.Handler(fleet, a.query))
 	outer.Handle("POST /core/hello", rpc.Handler(fleet, a.hello))
 	rpc.HandleReady(outer, func() bool { return a.remaining() > 0 })
-	go every(ctx, helloTime, func() { a.discover(ctx) })
-	go every(ctx, keptStep, a.changeReaders)
+	go Every(ctx, helloTime, func() { a.discover(ctx) })
+	go Every(ctx, keptStep, a.changeReaders)
 	go a.ring.Run(ctx)
-	go every(ctx, time.Minute, func() { a.table.Prune(time.Hour) })
-	go func() { _ = serve(ctx, listener, outer, time.Second) }()
+	go Every(ctx, time.Minute, func() { a.table.Prune(time.Hour) })
+	go func() { _ = Serve(ctx, listener, outer, time.Second) }()
 	a.host.Log.Info().Str("event", "agent_up").Str("address", a.host.Address).Msg("")
-	return serve(ctx, local, mux, time.Second)
+	return Serve(ctx, local, mux, time.Second)
 }
 
 // seeOff goes on beside a proxy that is stopping, so that it stays current until its last request is answered.
--- a/daemon/agent_reports.go
+++ b/daemon/agent_reports.go
@@ -76,5 +76,5 @@
 		last = body.Report
 	}
 	step()
-	every(ctx, reportStep, step)
+	Every(ctx, reportStep, step)
 }
--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -61,10 +61,10 @@
 	l := &loader{core: c, reservedSince: map[string]time.Time{}, ordered: map[string]time.Time{}, resting: map[string]time.Time{}, made: map[string]bool{},
 		candidate: c.newCandidate("loading", loadLeaseLength)}
 	list := &lister{core: c}
-	go every(ctx, listStep, func() { list.step(ctx) })
+	go Every(ctx, listStep, func() { list.step(ctx) })
 	go c.readKept(ctx)
-	go every(ctx, occupancyStep, func() { c.tellOccupancy(ctx) })
-	go every(ctx, loadStep, func() { l.step(ctx) })
+	go Every(ctx, occupancyStep, func() { c.tellOccupancy(ctx) })
+	go Every(ctx, loadStep, func() { l.step(ctx) })
 }
 
 // orderLoads writes reservations of the loader.
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -109,7 +109,7 @@
 		listNews: make(chan struct{}), nudges: make(chan struct{}, 1), noting: make(chan struct{}, 1),
 	}
 	c.table = throttle.NewTable(c.holdNews)
-	c.ring = newRing(host, "core", c.wire)
+	c.ring = NewDetector(host, "core", c.wire)
 	who := watch.ServerOptions{Incarnation: func() string {
 		if c.membership().self == nil || c.isDamaged.Load() {
 			return ""
@@ -156,7 +156,7 @@
 	}
 	c.incarnation = string(raw)
 	_, err = c.disk.Get(selfFolder, founderFile)
-	c.mayFound = err == nil || !c.host.Founded
+	c.mayFound = err == nil || !c.host.Bootstrapped
 	if err != nil && !apierror.Is(err, apierror.NotFound) && !apierror.Is(err, apierror.Torn) {
 		return apierror.Wrap(err, apierror.DiskFailed, "founder")
 	}
@@ -165,7 +165,7 @@
 
 // newIncarnation names a disk that is empty. The mark of the fleet's first start comes first: a disk with an incarnation and no mark is later.
 func (c *Core) newIncarnation() ([]byte, error) {
-	if !c.host.Founded {
+	if !c.host.Bootstrapped {
 		if err := c.disk.Put(selfFolder, founderFile, nil); err != nil {
 			return nil, err
 		}
@@ -253,7 +253,7 @@
 	}
 	go c.ring.Run(ctx)
 	c.host.Log.Info().Str("event", "core_up").Str("address", c.host.Address).Str("incarnation", c.incarnation).Msg("")
-	return serve(ctx, listener, handler, time.Second)
+	return Serve(ctx, listener, handler, time.Second)
 }
 
 func (c *Core) handler() http.Handler {
@@ -266,8 +266,8 @@
 	mux.Handle("POST /register/confirm", rpc.Handler(fleet, c.confirm))
 	mux.Handle("POST /register/accept", rpc.Handler(fleet, c.accept))
 	mux.Handle("POST /register/settle", rpc.Handler(fleet, c.settle))
-	serveRing(mux, fleet, c.ring)
-	serveMetrics(mux, c.figures)
+	HandleGossip(mux, fleet, c.ring)
+	HandleMetrics(mux, c.figures)
 	mux.Handle("POST /query", rpc.Handler(fleet, c.Query))
 	rpc.HandleReady(mux, func() bool {
 		now := c.membership()
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -65,17 +65,17 @@
 		plain:     newPlain(c.host.Net),
 		candidate: c.newCandidate("rollout", leaseLength),
 	}
-	go every(ctx, c.options.ClaimAge/20, func() { c.pruneClaims(ctx) })
+	go Every(ctx, c.options.ClaimAge/20, func() { c.pruneClaims(ctx) })
 	if c.options.Backend != nil {
 		return // its replicas take their orders from the loader
 	}
 	go c.runRetirements(ctx)
-	go every(ctx, leaseLength/5, func() {
+	go Every(ctx, leaseLength/5, func() {
 		if c.membership().self != nil {
 			r.candidate.Campaign(ctx)
 		}
 	})
-	every(ctx, rolloutStep, func() { r.step(ctx) })
+	Every(ctx, rolloutStep, func() { r.step(ctx) })
 }
 
 // lateness is the weights that replicas of a pool were last seen behind, and since when without a break.
--- a/daemon/found.go
+++ b/daemon/found.go
@@ -58,7 +58,7 @@
 // found makes the first list of members, once all four founders tell the same (§2.6).
 func (c *Core) found(ctx context.Context) {
 	told := false
-	every(ctx, helloTime, func() {
+	Every(ctx, helloTime, func() {
 		if now := c.membership(); len(now.members) > 0 {
 			if now.self == nil && !c.isLeaving.Load() {
 				if !told {
@@ -70,7 +70,7 @@
 			}
 			return
 		}
-		founders := c.host.Founders
+		founders := c.host.BootstrapPeers
 		if founders == nil {
 			founders = append([]string{c.host.Address}, c.host.Seeds...)
 		}
--- a/daemon/fuzz_test.go
+++ b/daemon/fuzz_test.go
@@ -17,7 +17,7 @@
 		}
 		s := NewSettings("core", "for a test")
 		slots := s.Integer("slots", 5, 1, 10, "slots")
-		s.Needed("name", "zone", "address")
+		s.Require("name", "zone", "address")
 		err := s.Read([]string{"-settings", path})
 		if err == nil && (*slots < 1 || *slots > 10 || s.Host.Name == "") {
 			t.Errorf("read %d slots, name %q", *slots, s.Host.Name)
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -28,7 +28,7 @@
 func (c *Core) readKept(ctx context.Context) {
 	reading := map[string]context.CancelFunc{}
 	var drawn map[string]string // at the step before: a core that is being cut off misses the others one after another, and draws more for a moment
-	every(ctx, keptStep, func() {
+	Every(ctx, keptStep, func() {
 		if c.membership().self != nil && !c.isWithMajority() {
 			return // agents may hear this core as before: it reads on what it has read, and nothing else
 		}
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -11,53 +11,53 @@
 	"asterridge/router"
 )
 
-// gauge is one figure; label is a name and a value, or empty.
-type gauge struct {
-	name  string
-	value float64
-	label [2]string
+// Gauge is one figure; label is a name and a value, or empty.
+type Gauge struct {
+	Name  string
+	Value float64
+	Label [2]string
 }
 
-// gauges collects figures when they are asked for.
-type gauges func() []gauge
+// Gauges collects figures when they are asked for.
+type Gauges func() []Gauge
 
 // Describe sends nothing: which figures there are depends on what has happened.
-func (gauges) Describe(chan<- *prometheus.Desc) {}
+func (Gauges) Describe(chan<- *prometheus.Desc) {}
 
 // Collect gives the figures of this moment.
-func (g gauges) Collect(out chan<- prometheus.Metric) {
+func (g Gauges) Collect(out chan<- prometheus.Metric) {
 	for _, one := range g() {
 		var names, values []string
-		if one.label[0] != "" {
-			names, values = []string{one.label[0]}, []string{one.label[1]}
+		if one.Label[0] != "" {
+			names, values = []string{one.Label[0]}, []string{one.Label[1]}
 		}
-		out <- prometheus.MustNewConstMetric(prometheus.NewDesc("asterridge_"+one.name, "", names, nil), prometheus.GaugeValue, one.value, values...)
+		out <- prometheus.MustNewConstMetric(prometheus.NewDesc("asterridge_"+one.Name, "", names, nil), prometheus.GaugeValue, one.Value, values...)
 	}
 }
 
-// serveMetrics answers GET /metrics in the published text format.
-func serveMetrics(mux *http.ServeMux, figures gauges) {
+// HandleMetrics answers GET /metrics in the published text format.
+func HandleMetrics(mux *http.ServeMux, figures Gauges) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(figures)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 }
 
-func truth(so bool) float64 {
+func BoolValue(so bool) float64 {
 	if so {
 		return 1
 	}
 	return 0
 }
 
-func (c *Core) figures() []gauge {
+func (c *Core) figures() []Gauge {
 	now := c.membership()
-	all := []gauge{
-		{name: "core_is_member", value: truth(now.self != nil)},
-		{name: "core_members", value: float64(len(now.members))},
-		{name: "core_members_live", value: float64(len(c.live()))},
-		{name: "core_keys_owned", value: float64(len(c.owner.OwnedKeys()))},
-		{name: "core_holds", value: float64(len(c.table.All()))},
-		{name: "core_blueprint_version", value: float64(c.acceptor.Revision(config.Key).Version)},
+	all := []Gauge{
+		{Name: "core_is_member", Value: BoolValue(now.self != nil)},
+		{Name: "core_members", Value: float64(len(now.members))},
+		{Name: "core_members_live", Value: float64(len(c.live()))},
+		{Name: "core_keys_owned", Value: float64(len(c.owner.OwnedKeys()))},
+		{Name: "core_holds", Value: float64(len(c.table.All()))},
+		{Name: "core_blueprint_version", Value: float64(c.acceptor.Revision(config.Key).Version)},
 	}
 	unsettled := 0
 	for _, key := range c.acceptor.Keys() {
@@ -65,16 +65,16 @@
 			unsettled++
 		}
 	}
-	all = append(all, gauge{name: "core_keys_unsettled", value: float64(unsettled)})
+	all = append(all, Gauge{Name: "core_keys_unsettled", Value: float64(unsettled)})
 	for _, s := range c.data.ClientStates(proxyTime) {
-		all = append(all, gauge{name: "core_agent_behind", value: float64(s.Lag), label: [2]string{"agent", s.Name}})
+		all = append(all, Gauge{Name: "core_agent_behind", Value: float64(s.Lag), Label: [2]string{"agent", s.Name}})
 	}
 	sent, alarms := c.ring.Stats()
-	return append(all, gauge{name: "ring_messages_sent", value: float64(sent)}, gauge{name: "ring_alarms", value: float64(alarms)})
+	return append(all, Gauge{Name: "ring_messages_sent", Value: float64(sent)}, Gauge{Name: "ring_alarms", Value: float64(alarms)})
 }
 
-func (a *Agent) figures() []gauge {
-	all := []gauge{{name: "agent_current_ms", value: float64(max(0, a.remaining()).Milliseconds())}, {name: "agent_holds", value: float64(len(a.table.All()))}}
+func (a *Agent) figures() []Gauge {
+	all := []Gauge{{Name: "agent_current_ms", Value: float64(max(0, a.remaining()).Milliseconds())}, {Name: "agent_holds", Value: float64(len(a.table.All()))}}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.members {
@@ -82,19 +82,19 @@
 		if f := a.links[m.Address]; f != nil && !f.FreshAsOf(m.Incarnation).IsZero() {
 			age = float64(time.Since(f.FreshAsOf(m.Incarnation)).Milliseconds())
 		}
-		all = append(all, gauge{name: "agent_link_age_ms", value: age, label: [2]string{"core", m.Name}})
+		all = append(all, Gauge{Name: "agent_link_age_ms", Value: age, Label: [2]string{"core", m.Name}})
 	}
 	return all
 }
 
-func proxyFigures(r *router.Router) gauges {
-	return func() []gauge {
-		all := []gauge{{name: "proxy_is_current", value: truth(r.IsCurrent())}, {name: "proxy_is_ready", value: truth(r.IsReady())}}
+func proxyFigures(r *router.Router) Gauges {
+	return func() []Gauge {
+		all := []Gauge{{Name: "proxy_is_current", Value: BoolValue(r.IsCurrent())}, {Name: "proxy_is_ready", Value: BoolValue(r.IsReady())}}
 		for name, n := range r.Counts() {
-			all = append(all, gauge{name: "proxy_count", value: float64(n), label: [2]string{"what", name}})
+			all = append(all, Gauge{Name: "proxy_count", Value: float64(n), Label: [2]string{"what", name}})
 		}
 		for tenant, n := range r.Waiting() {
-			all = append(all, gauge{name: "proxy_waiting", value: float64(n), label: [2]string{"tenant", tenant}})
+			all = append(all, Gauge{Name: "proxy_waiting", Value: float64(n), Label: [2]string{"tenant", tenant}})
 		}
 		return all
 	}
--- a/daemon/proxy.go
+++ b/daemon/proxy.go
@@ -59,8 +59,8 @@
 	go p.Router.Run(running)
 	mux := http.NewServeMux()
 	mux.Handle("/", p.Router.Admin())
-	serveMetrics(mux, proxyFigures(p.Router))
-	go func() { _ = serve(running, admin, mux, time.Second) }()
+	HandleMetrics(mux, proxyFigures(p.Router))
+	go func() { _ = Serve(running, admin, mux, time.Second) }()
 	server := newCallerServer(p.Router.Handler(), func() callerTimes { return timesOf(p.Router.Limits(), p.options) })
 	failed := make(chan error, 1)
 	watched := callerListener{router.Watch(server, callers)}
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -79,7 +79,7 @@
 	case "retirement":
 		a.Rows = c.retirementRows(ctx)
 	case "daemons":
-		a.Rows = ringRows(c.ring)
+		a.Rows = NodeRows(c.ring)
 	case "owners":
 		for _, key := range c.acceptor.Keys() {
 			r := c.acceptor.Read(key)
--- a/daemon/retirer.go
+++ b/daemon/retirer.go
@@ -27,7 +27,7 @@
 	r := &retirer{core: c, candidate: c.newCandidate("retirement", leaseLength), since: map[uint64]time.Time{}}
 	var seen register.Revision
 	hasAdapters := false
-	go every(ctx, leaseLength/5, func() {
+	go Every(ctx, leaseLength/5, func() {
 		if revision := c.acceptor.Revision(config.Key); revision != seen {
 			plan, err := config.FromFields(c.acceptor.Read(config.Key).Fields)
 			seen, hasAdapters = revision, err == nil && len(plan.Adapters) > 0
@@ -36,7 +36,7 @@
 			r.candidate.Campaign(ctx)
 		}
 	})
-	every(ctx, retireStep, func() {
+	Every(ctx, retireStep, func() {
 		if _, own := r.candidate.Held(); own {
 			r.step(ctx)
 		}
--- a/daemon/ring.go
+++ b/daemon/ring.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	ringStep = 500 * time.Millisecond
-	watchers = 3
+	defaultGossipInterval = 500 * time.Millisecond
+	gossipWatchers        = 3
 )
 
-// ringCalls are the ring's messages over the wire.
-type ringCalls struct{ wire *rpc.Client }
+// gossipTransport are the ring's messages over the wire.
+type gossipTransport struct{ wire *rpc.Client }
 
-func (c ringCalls) SendHeartbeat(ctx context.Context, address string, b gossip.Heartbeat) (gossip.HeartbeatReply, error) {
+func (c gossipTransport) SendHeartbeat(ctx context.Context, address string, b gossip.Heartbeat) (gossip.HeartbeatReply, error) {
 	return rpc.Call[gossip.HeartbeatReply](ctx, c.wire, address, "/ring/beat", b)
 }
 
-func (c ringCalls) SendSuspicion(ctx context.Context, address string, d gossip.Suspicion) (gossip.SuspicionReply, error) {
+func (c gossipTransport) SendSuspicion(ctx context.Context, address string, d gossip.Suspicion) (gossip.SuspicionReply, error) {
 	return rpc.Call[gossip.SuspicionReply](ctx, c.wire, address, "/ring/doubt", d)
 }
 
-// newRing makes a daemon's place on the ring and opens its endpoints.
-func newRing(host Host, role string, wire *rpc.Client) *gossip.Detector {
-	step := host.RingStep
+// NewDetector makes a daemon's place on the ring and opens its endpoints.
+func NewDetector(host Host, role string, wire *rpc.Client) *gossip.Detector {
+	step := host.GossipInterval
 	if step == 0 {
-		step = ringStep
+		step = defaultGossipInterval
 	}
 	return gossip.New(gossip.Options{
 		Self:  gossip.Node{Name: host.Name, Role: role, Zone: host.Zone, Address: host.Address},
-		Seeds: host.Seeds, Transport: ringCalls{wire}, Interval: step, Watchers: watchers, Log: host.Log, Seed: register.Weight("seed", host.Name),
+		Seeds: host.Seeds, Transport: gossipTransport{wire}, Interval: step, Watchers: gossipWatchers, Log: host.Log, Seed: register.Weight("seed", host.Name),
 	})
 }
 
-func serveRing(mux *http.ServeMux, fleet string, r *gossip.Detector) {
+func HandleGossip(mux *http.ServeMux, fleet string, r *gossip.Detector) {
 	mux.Handle("POST /ring/beat", rpc.Handler(fleet, r.HandleHeartbeat))
 	mux.Handle("POST /ring/doubt", rpc.Handler(fleet, r.HandleSuspicion))
 }
 
-func ringRows(r *gossip.Detector) (rows []router.Row) {
+func NodeRows(r *gossip.Detector) (rows []router.Row) {
 	for _, d := range r.Nodes() {
 		rows = append(rows, router.Row{"name": d.Name, "role": d.Role, "zone": d.Zone, "address": d.Address, "live": !d.Down, "life": d.Incarnation})
 	}
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -23,43 +23,43 @@
 
 // Settings are a program's flags, which a settings file may give too; a flag beats the file.
 type Settings struct {
-	set    *flag.FlagSet
-	usage  func()
-	file   *string
-	level  *string
-	Host   Host
-	listen string
-	seeds  *string
-	check  []func() error
+	flags        *flag.FlagSet
+	usage        func()
+	settingsFile *string
+	level        *string
+	Host         Host
+	listen       string
+	seeds        *string
+	checks       []func() error
 }
 
 // NewSettings has the flags that every daemon knows.
 func NewSettings(program, purpose string) *Settings {
-	s := &Settings{set: flag.NewFlagSet(program, flag.ContinueOnError)}
+	s := &Settings{flags: flag.NewFlagSet(program, flag.ContinueOnError)}
 	s.usage = func() {
-		fmt.Fprintf(s.set.Output(), "%s: %s\n\nFlags (a settings file is a JSON object with the same names):\n", program, purpose)
-		s.set.PrintDefaults()
-	}
-	s.file = s.set.String("settings", "", "settings `file`")
-	s.level = s.set.String("log", "info", "least `level` logged: debug, info, warn, error")
-	s.set.StringVar(&s.Host.Name, "name", "", "this daemon's `name`, unique in the fleet")
-	s.set.StringVar(&s.Host.Fleet, "fleet", "asterridge", "the fleet's `name`; messages from another fleet are refused")
-	s.set.StringVar(&s.Host.Zone, "zone", "", "the `zone` of this machine")
-	s.set.StringVar(&s.Host.Address, "address", "", "`ip:port` at which other machines reach this daemon")
-	s.set.StringVar(&s.listen, "listen", "", "`ip:port` to listen at, where that is another than -address; a daemon calls others from the IP that it listens at")
-	s.seeds = s.set.String("seeds", "", "up to three `ip:port`s of other daemons, with commas")
+		fmt.Fprintf(s.flags.Output(), "%s: %s\n\nFlags (a settings file is a JSON object with the same names):\n", program, purpose)
+		s.flags.PrintDefaults()
+	}
+	s.settingsFile = s.flags.String("settings", "", "settings `file`")
+	s.level = s.flags.String("log", "info", "least `level` logged: debug, info, warn, error")
+	s.flags.StringVar(&s.Host.Name, "name", "", "this daemon's `name`, unique in the fleet")
+	s.flags.StringVar(&s.Host.Fleet, "fleet", "asterridge", "the fleet's `name`; messages from another fleet are refused")
+	s.flags.StringVar(&s.Host.Zone, "zone", "", "the `zone` of this machine")
+	s.flags.StringVar(&s.Host.Address, "address", "", "`ip:port` at which other machines reach this daemon")
+	s.flags.StringVar(&s.listen, "listen", "", "`ip:port` to listen at, where that is another than -address; a daemon calls others from the IP that it listens at")
+	s.seeds = s.flags.String("seeds", "", "up to three `ip:port`s of other daemons, with commas")
 	return s
 }
 
 // Text adds a flag.
-func (s *Settings) Text(name, value, usage string) *string { return s.set.String(name, value, usage) }
+func (s *Settings) Text(name, value, usage string) *string { return s.flags.String(name, value, usage) }
 
 // Integer adds a flag with a range.
 func (s *Settings) Integer(name string, value, least, most int, usage string) *int {
-	n := s.set.Int(name, value, usage)
-	s.check = append(s.check, func() error {
+	n := s.flags.Int(name, value, usage)
+	s.checks = append(s.checks, func() error {
 		if *n < least || *n > most {
-			return bad(name, "%d is not within %d to %d", *n, least, most)
+			return fieldError(name, "%d is not within %d to %d", *n, least, most)
 		}
 		return nil
 	})
@@ -68,24 +68,24 @@
 
 // Address adds a flag that takes ip:port.
 func (s *Settings) Address(name, usage string) *string {
-	text := s.set.String(name, "", usage)
-	s.check = append(s.check, func() error { return checkAddress(name, *text) })
+	text := s.flags.String(name, "", usage)
+	s.checks = append(s.checks, func() error { return checkAddress(name, *text) })
 	return text
 }
 
-// Needed marks flags that may not stay empty.
-func (s *Settings) Needed(names ...string) {
+// Require marks flags that may not stay empty.
+func (s *Settings) Require(names ...string) {
 	for _, name := range names {
-		s.check = append(s.check, func() error {
-			if s.set.Lookup(name).Value.String() == "" {
-				return bad(name, "is needed")
+		s.checks = append(s.checks, func() error {
+			if s.flags.Lookup(name).Value.String() == "" {
+				return fieldError(name, "is needed")
 			}
 			return nil
 		})
 	}
 }
 
-func bad(name, format string, args ...any) error {
+func fieldError(name, format string, args ...any) error {
 	f := apierror.New(apierror.Settings, format, args...)
 	f.Field = name
 	return f
@@ -100,25 +100,25 @@
 		err = errors.New("not an IP number and a port")
 	}
 	if err != nil {
-		return bad(name, "%q: %v", text, err)
+		return fieldError(name, "%q: %v", text, err)
 	}
 	return nil
 }
 
 // Read takes the command line and the file. Errors name the field.
 func (s *Settings) Read(args []string) error {
-	s.set.SetOutput(io.Discard) // one line of our own, without the whole list of flags
-	err := s.set.Parse(args)
+	s.flags.SetOutput(io.Discard) // one line of our own, without the whole list of flags
+	err := s.flags.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
-		s.set.SetOutput(os.Stdout)
+		s.flags.SetOutput(os.Stdout)
 		s.usage()
 		return err
 	}
 	if err != nil {
 		return apierror.Wrap(err, apierror.Settings, "flags")
 	}
-	if s.set.NArg() > 0 {
-		return bad(s.set.Arg(0), "is no flag")
+	if s.flags.NArg() > 0 {
+		return fieldError(s.flags.Arg(0), "is no flag")
 	}
 	if err := s.readFile(); err != nil {
 		return err
@@ -132,7 +132,7 @@
 		}
 	}
 	if len(s.Host.Seeds) > 3 {
-		return bad("seeds", "at most three, not %d", len(s.Host.Seeds))
+		return fieldError("seeds", "at most three, not %d", len(s.Host.Seeds))
 	}
 	if err := checkAddress("address", s.Host.Address); err != nil {
 		return err
@@ -140,14 +140,14 @@
 	if err := checkAddress("listen", s.listen); err != nil {
 		return err
 	}
-	for _, check := range s.check {
+	for _, check := range s.checks {
 		if err := check(); err != nil {
 			return err
 		}
 	}
 	level, err := zerolog.ParseLevel(*s.level)
 	if err != nil || *s.level == "" {
-		return bad("log", "%q is no level", *s.level)
+		return fieldError("log", "%q is no level", *s.level)
 	}
 	s.Host.Log = Logger(os.Stderr, level).With().Str("daemon", s.Host.Name).Logger()
 	network := &rpc.TCP{}
@@ -169,23 +169,23 @@
 func (s *Settings) Listen() (net.Listener, error) { return s.Host.Net.Listen(s.listenAt()) }
 
 func (s *Settings) readFile() error {
-	if *s.file == "" {
+	if *s.settingsFile == "" {
 		return nil
 	}
-	text, err := os.ReadFile(*s.file)
+	text, err := os.ReadFile(*s.settingsFile)
 	if err != nil {
-		return bad("settings", "%v", err)
+		return fieldError("settings", "%v", err)
 	}
 	isGiven := map[string]bool{}
-	s.set.Visit(func(f *flag.Flag) { isGiven[f.Name] = true })
+	s.flags.Visit(func(f *flag.Flag) { isGiven[f.Name] = true })
 	met := map[string]bool{}
 	err = jx.DecodeBytes(text).Obj(func(d *jx.Decoder, name string) error {
 		if met[name] {
-			return bad(name, "stands twice in %s", filepath.Base(*s.file))
+			return fieldError(name, "stands twice in %s", filepath.Base(*s.settingsFile))
 		}
 		met[name] = true
-		if s.set.Lookup(name) == nil || name == "settings" {
-			return bad(name, "is no setting")
+		if s.flags.Lookup(name) == nil || name == "settings" {
+			return fieldError(name, "is no setting")
 		}
 		var value string
 		switch d.Next() {
@@ -196,17 +196,17 @@
 			raw, err = d.Raw()
 			value = raw.String()
 		default:
-			return bad(name, "needs a string, a number or true or false")
+			return fieldError(name, "needs a string, a number or true or false")
 		}
 		if err != nil || isGiven[name] {
 			return err
 		}
-		if err := s.set.Set(name, value); err != nil {
-			return bad(name, "%v", err)
+		if err := s.flags.Set(name, value); err != nil {
+			return fieldError(name, "%v", err)
 		}
 		return nil
 	})
-	return apierror.Wrap(err, apierror.Settings, filepath.Base(*s.file))
+	return apierror.Wrap(err, apierror.Settings, filepath.Base(*s.settingsFile))
 }
 
 // Logger writes one key=value line an event.
--- a/daemon/settings_test.go
+++ b/daemon/settings_test.go
@@ -33,7 +33,7 @@
 	} {
 		s := NewSettings("core", "for a test")
 		slots := s.Integer("slots", 5, 1, 10, "slots")
-		s.Needed("name", "zone", "address")
+		s.Require("name", "zone", "address")
 		args := c.args
 		if c.file != "" {
 			args = append([]string{"-settings", file(c.file)}, args...)
@@ -62,7 +62,7 @@
 		s.Address("agent", "")
 		s.Address("admin", "")
 		s.Integer("grace_ms", 0, 0, 600000, "")
-		s.Needed("name", "zone", "address")
+		s.Require("name", "zone", "address")
 		is.NoErr(s.Read([]string{"-settings", path}))
 	}
 }
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -169,7 +169,7 @@
 		p.Seeds = append(p.Seeds, At(CoreIP(j)))
 	}
 	if f.Options.Founders != nil {
-		p.Founders, p.Seeds = f.Options.Founders, f.Options.Founders
+		p.BootstrapPeers, p.Seeds = f.Options.Founders, f.Options.Founders
 	}
 	if f.Options.PlaceCore != nil {
 		f.Options.PlaceCore(i, &p)
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -232,7 +232,7 @@
 	o := numberedOptions(204, 4)
 	o.PlaceCore = func(i int, p *daemon.Host) {
 		if i == 4 {
-			p.Zone, p.Founded = "zone-2", true
+			p.Zone, p.Bootstrapped = "zone-2", true
 		}
 	}
 	inNumbered(t, o, func(is *is.I, f *Fleet) {
@@ -301,7 +301,7 @@
 	t.Parallel()
 	founded := true
 	o := numberedOptions(206, 3)
-	o.PlaceCore = func(_ int, p *daemon.Host) { p.Founded = founded }
+	o.PlaceCore = func(_ int, p *daemon.Host) { p.Bootstrapped = founded }
 	inNumbered(t, o, func(is *is.I, f *Fleet) {
 		time.Sleep(30 * time.Second)
 		for i := range 3 {
--- a/sim/replacement_test.go
+++ b/sim/replacement_test.go
@@ -39,7 +39,7 @@
 		if i < cores && f.number == 0 {
 			return
 		}
-		p.Founded, p.Seeds, p.Zone = true, nil, fmt.Sprintf("zone-%d", i%cores+1)
+		p.Bootstrapped, p.Seeds, p.Zone = true, nil, fmt.Sprintf("zone-%d", i%cores+1)
 		for _, j := range f.live {
 			if j != i && len(p.Seeds) < 3 {
 				p.Seeds = append(p.Seeds, At(CoreIP(j)))
@@ -378,7 +378,7 @@
 	for _, stalled := range []bool{false, true} {
 		inReplaceable(t, 307, 4, 1, func(is *is.I, f *replaceable) {
 			host, disk := f.place("core-5", CoreIP(4), "zone-1"), NewDisk()
-			host.Founded, host.Seeds = true, f.Options.Founders
+			host.Bootstrapped, host.Seeds = true, f.Options.Founders
 			options := f.Options.Core
 			options.LeaveLimit, options.ClaimAge = 3*time.Second, time.Hour
 			core := must(daemon.NewCore(host, disk.Open(), options))
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -171,7 +171,7 @@
 	calls := newDoubled(320, 6*time.Second)
 	o.Wrap, o.Core.Lease = calls.wrap, loadLease
 	later := false
-	o.PlaceCore = func(_ int, p *daemon.Host) { p.Founded = later }
+	o.PlaceCore = func(_ int, p *daemon.Host) { p.Bootstrapped = later }
 	inNumbered(t, o, func(is *is.I, f *Fleet) {
 		f.untilMembership(10*time.Second, "core-1 core-2 core-3")
 		later = true
