--- a/cmd/core/main.go
+++ b/cmd/core/main.go
@@ -19,7 +19,7 @@
 		if err != nil {
 			return err
 		}
-		core, err := daemon.NewCore(s.Host, folder, daemon.CoreOptions{ClaimAge: time.Duration(*age) * time.Second})
+		core, err := daemon.NewCore(s.Host, folder, daemon.CoreOptions{ClaimRetention: time.Duration(*age) * time.Second})
 		if err != nil {
 			return err
 		}
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -249,7 +249,7 @@
 	if err != nil {
 		return err
 	}
-	options := daemon.CoreOptions{ClaimAge: time.Hour}
+	options := daemon.CoreOptions{ClaimRetention: time.Hour}
 	if c.setup.Platform {
 		options = platformBounds.Core()
 		options.Backend = c.backend
--- a/daemon/acceptors.go
+++ b/daemon/acceptors.go
@@ -51,24 +51,24 @@
 }
 
 func (p remoteAcceptor) Prepare(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	return rpc.Call[register.Record](ctx, p.core.wire, p.address, "/register/promise",
+	return rpc.Call[register.Record](ctx, p.core.rpc, p.address, "/register/promise",
 		RegisterMessage{From: p.core.incarnation, Members: p.version, Key: key, Epoch: epoch, Has: has})
 }
 
 func (p remoteAcceptor) Confirm(ctx context.Context, key string, epoch uint64) error {
-	_, err := rpc.Call[struct{}](ctx, p.core.wire, p.address, "/register/confirm",
+	_, err := rpc.Call[struct{}](ctx, p.core.rpc, p.address, "/register/confirm",
 		RegisterMessage{From: p.core.incarnation, Members: p.version, Key: key, Epoch: epoch})
 	return err
 }
 
 func (p remoteAcceptor) Accept(ctx context.Context, change register.Change) error {
-	_, err := rpc.Call[struct{}](ctx, p.core.wire, p.address, "/register/accept",
+	_, err := rpc.Call[struct{}](ctx, p.core.rpc, p.address, "/register/accept",
 		RegisterMessage{From: p.core.incarnation, Members: p.version, Change: &change})
 	return err
 }
 
 func (p remoteAcceptor) Commit(ctx context.Context, key string, revision register.Revision) {
-	_, _ = rpc.Call[struct{}](ctx, p.core.wire, p.address, "/register/settle",
+	_, _ = rpc.Call[struct{}](ctx, p.core.rpc, p.address, "/register/settle",
 		RegisterMessage{From: p.core.incarnation, Members: p.version, Key: key, Has: revision})
 }
 
@@ -86,9 +86,9 @@
 	if m.Members > now.version {
 		now = c.awaitList(m.Members) // the asker has heard a moment sooner that a list is settled
 	}
-	if m.Members > now.version && c.refreshing.TryLock() {
+	if m.Members > now.version && c.refreshMu.TryLock() {
 		go func() { // what follows from here says nothing of it while a change is under way that is not settled
-			defer c.refreshing.Unlock()
+			defer c.refreshMu.Unlock()
 			c.callOnMembers(context.Background(), now)
 		}()
 	}
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -78,7 +78,7 @@
 		options.Undecided = undecidedLimit
 	}
 	if options.LinkWait == 0 {
-		options.LinkWait = pullWait
+		options.LinkWait = DefaultWatchWait
 	}
 	a := &Agent{
 		disk: d, options: options,
@@ -128,7 +128,7 @@
 func (a *Agent) seeOff() {
 	for end := time.Now().Add(a.options.Grace); time.Now().Before(end); {
 		ok := false
-		for _, s := range a.source.ClientStates(liveTime) {
+		for _, s := range a.source.ClientStates(LivenessTimeout) {
 			ok = ok || s.Role == "proxy"
 		}
 		if !ok || rpc.Sleep(context.Background(), helloTime) != nil {
@@ -171,7 +171,7 @@
 	}
 	if a.disk != nil {
 		var kept []string
-		raw, err := a.disk.Get(selfFolder, coresFile)
+		raw, err := a.disk.Get(IdentityFolder, coresFile)
 		if err == nil && json.Unmarshal(raw, &kept) == nil {
 			all = append(all, kept...)
 		}
@@ -190,7 +190,7 @@
 	}
 	raw, _ := json.Marshal(addresses) // strings always encode
 	go func() {
-		if err := a.disk.Put(selfFolder, coresFile, raw); err != nil {
+		if err := a.disk.Put(IdentityFolder, coresFile, raw); err != nil {
 			a.host.Log.Warn().Str("event", "cores_not_kept").Err(err).Msg("")
 		}
 	}()
@@ -235,14 +235,14 @@
 func (a *Agent) ask() watch.Request {
 	status := AgentStatus{Address: a.host.Address, Zone: a.host.Zone, Current: a.remaining() > 0}
 	ask := watch.Request{Name: a.host.Name, Role: "agent"}
-	for _, s := range a.source.ClientStates(liveTime) {
+	for _, s := range a.source.ClientStates(LivenessTimeout) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
 			status.Proxy, ask.Applied = &p, s.Applied
 		}
 	}
 	a.mu.Lock()
-	status.Why = a.why
+	status.NotCurrentReason = a.why
 	a.mu.Unlock()
 	ask.Status, _ = json.Marshal(status) // a plain struct always encodes
 	return ask
--- a/daemon/agent_calls.go
+++ b/daemon/agent_calls.go
@@ -19,7 +19,7 @@
 // tellHold passes a throttle on to all cores at once, so that one that is gone delays nobody; the scope's owner also keeps it. One answer is enough.
 func (a *Agent) tellHold(ctx context.Context, n throttle.Notice) (struct{}, error) {
 	a.table.Merge(n, throttle.Longest)
-	cores := a.liveCores(holdPrefix + n.Scope)
+	cores := a.liveCores(ThrottlePrefix + n.Scope)
 	if len(cores) == 0 {
 		return struct{}{}, apierror.New(apierror.Unreachable, "no core answers")
 	}
@@ -30,7 +30,7 @@
 			path = "/op/hold"
 		}
 		go func() {
-			short, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*majorityWait)
+			short, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*QuorumTimeout)
 			defer stop()
 			_, err := rpc.Call[struct{}](short, a.wire, m.Address, path, n)
 			told <- err
@@ -51,7 +51,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.members {
-		if f := a.links[m.Address]; f != nil && (slices.Contains(answering, f) || time.Since(f.FreshAsOf(m.Incarnation)) < liveTime) {
+		if f := a.links[m.Address]; f != nil && (slices.Contains(answering, f) || time.Since(f.FreshAsOf(m.Incarnation)) < LivenessTimeout) {
 			live = append(live, m)
 		}
 	}
@@ -62,7 +62,7 @@
 // claim passes a claim on to its group's owner.
 func (a *Agent) claim(ctx context.Context, q router.Claim) (struct{}, error) {
 	o := ClaimOrder{Claim: q}
-	for _, s := range a.source.ClientStates(proxyTime) {
+	for _, s := range a.source.ClientStates(ProxyTimeout) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
 			o.Proxy = p.Proxy + "." + p.Run
@@ -79,7 +79,7 @@
 	var answer A
 	err := error(apierror.New(apierror.Unreachable, "no core answers"))
 	for _, m := range cores[:min(2, len(cores))] {
-		short, stop := context.WithTimeout(ctx, 2*majorityWait)
+		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
 		answer, err = rpc.Call[A](short, a.wire, m.Address, path, q)
 		stop()
 		if err == nil || !mayPass(err) {
@@ -91,7 +91,7 @@
 
 // query passes a core's question on to the proxy.
 func (a *Agent) query(ctx context.Context, q router.Query) ([]router.Row, error) {
-	for _, s := range a.source.ClientStates(proxyTime) {
+	for _, s := range a.source.ClientStates(ProxyTimeout) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil && p.Admin != "" {
 			return rpc.Call[[]router.Row](ctx, a.wire, p.Admin, "/proxy/query", q)
--- a/daemon/agent_currency.go
+++ b/daemon/agent_currency.go
@@ -20,7 +20,7 @@
 // noteSilence tells the proxy when a member falls silent or returns, so long as a majority answers. An agent that did not hear a majority just
 // now was itself frozen, cut off or not there: that members return to its hearing one by one says nothing of them. a.mu is held.
 func (a *Agent) noteSilence() {
-	now, settling := time.Now(), liveTime+a.options.LinkWait
+	now, settling := time.Now(), LivenessTimeout+a.options.LinkWait
 	fresh, changed := 0, false
 	for _, m := range a.members {
 		f := a.links[m.Address]
@@ -62,7 +62,7 @@
 	keys := map[string]bool{}
 	for _, f := range a.links {
 		for _, key := range f.Keys() {
-			keys[key] = keys[key] || isForAgents(key)
+			keys[key] = keys[key] || IsPublished(key)
 		}
 	}
 	var until time.Time
--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -76,7 +76,7 @@
 // tellOccupancy asks replicas for their load, and tells all agents, where their slots are too few for each proxy to have one to itself:
 // what a proxy sees by itself is then not enough to go by (§5.3). Each replica is asked by the core that would own its news.
 func (c *Core) tellOccupancy(ctx context.Context) {
-	if !c.isWithMajority() {
+	if !c.hasQuorum() {
 		return
 	}
 	c.mu.Lock()
@@ -105,7 +105,7 @@
 	}
 	asked.Wait()
 	if len(fields) > 0 {
-		c.data.PublishDeferred(router.OccupancyKey, fields, false)
+		c.agentUpdates.PublishDeferred(router.OccupancyKey, fields, false)
 	}
 }
 
@@ -202,7 +202,7 @@
 	if now, owned := l.candidate.Held(); len(change) == 0 || !owned || now < fence {
 		return // another holder may have written marks since the survey: frozen meanwhile, this one writes nothing
 	}
-	short, stop := context.WithTimeout(ctx, majorityWait)
+	short, stop := context.WithTimeout(ctx, QuorumTimeout)
 	defer stop()
 	_, err := c.loads(short, change)
 	c.note("loads", config.LoadsKey, c.acceptor.Revision(config.LoadsKey), err)
--- a/daemon/bounds.go
+++ b/daemon/bounds.go
@@ -54,7 +54,7 @@
 // Core gives the core's options.
 func (b Bounds) Core() CoreOptions {
 	return CoreOptions{
-		ClaimAge: time.Hour, SelfAdmitting: true, Lease: b.Lease, LinkWait: 200 * time.Millisecond,
-		Tolerance: b.Tolerance, LeaveLimit: min(leaveLimit, b.Grace/2),
+		ClaimRetention: time.Hour, AutoMembership: true, Lease: b.Lease, WatchWait: 200 * time.Millisecond,
+		Tolerance: b.Tolerance, LeaveTimeout: min(leaveLimit, b.Grace/2),
 	}
 }
--- a/daemon/bounds_test.go
+++ b/daemon/bounds_test.go
@@ -17,9 +17,9 @@
 	is.Equal(a.Undecided, 4*time.Second)
 	is.Equal(p.OldWeights, 14*time.Second)
 	is.Equal(c.Lease, 3*time.Second)
-	is.True(c.SelfAdmitting)
+	is.True(c.AutoMembership)
 	is.Equal(c.Tolerance.Machines, 2)
-	is.True(c.LeaveLimit > 0 && c.LeaveLimit < b.Grace)
+	is.True(c.LeaveTimeout > 0 && c.LeaveTimeout < b.Grace)
 	is.Equal(p.Index, 28400)
 	is.Equal(p.Room, int64(71<<20))
 	is.True(p.Linger < p.Grace && p.Grace < b.Grace && p.Grace < a.Grace && a.Grace < b.Grace) // the agent ends after its proxy
--- a/daemon/carry.go
+++ b/daemon/carry.go
@@ -21,13 +21,13 @@
 // carry has every key settled on a majority of the new list, and then says so in the list; only then may it change again (§2.8).
 func (c *Core) carry(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
-	if record.Fields[carryField] == nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.carrying.TryLock() {
+	if record.Fields[carryField] == nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.transferMu.TryLock() {
 		return
 	}
 	go func() {
-		defer c.carrying.Unlock()
-		if c.carried.version != record.Revision.Version {
-			c.carried = carried{record.Revision.Version, map[string]bool{}}
+		defer c.transferMu.Unlock()
+		if c.transferred.version != record.Revision.Version {
+			c.transferred = carried{record.Revision.Version, map[string]bool{}}
 		}
 		if !c.carryKeys(ctx) {
 			return // the next beat goes on with those that are left
@@ -40,7 +40,7 @@
 		})
 		c.note("carried", config.MembersKey, revision, err)
 		if err == nil {
-			c.nudge() // for the next change of members; after a failure the next step is soon enough
+			c.wake() // for the next change of members; after a failure the next step is soon enough
 		}
 	}()
 }
@@ -49,15 +49,15 @@
 func (c *Core) carryKeys(ctx context.Context) bool {
 	var left []string
 	for key := range c.allRegisters() {
-		if key != config.MembersKey && !c.carried.keys[key] {
+		if key != config.MembersKey && !c.transferred.keys[key] {
 			left = append(left, key)
 		}
 	}
 	done := make(chan string, len(left))
 	failed := forEachKey(left, func(key string) error {
-		short, stop := context.WithTimeout(ctx, 2*majorityWait)
+		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
 		defer stop()
-		_, err := rpc.Call[SettleAnswer](short, c.wire, c.host.Address, "/op/settle", SettleOrder{Key: key, Carry: true})
+		_, err := rpc.Call[SettleAnswer](short, c.rpc, c.host.Address, "/op/settle", SettleOrder{Key: key, Carry: true})
 		if err != nil {
 			c.host.Log.Warn().Str("event", "carry_failed").Str("key", key).Err(err).Msg("")
 			return err
@@ -67,7 +67,7 @@
 	})
 	close(done)
 	for key := range done {
-		c.carried.keys[key] = true
+		c.transferred.keys[key] = true
 	}
 	return failed == 0
 }
@@ -80,7 +80,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, f := range c.followers {
+	for _, f := range c.peers {
 		for _, key := range f.Keys() {
 			if key != router.HoldKey && !strings.HasPrefix(key, router.KeptPrefix) {
 				keys[key] = true
--- a/daemon/catchup.go
+++ b/daemon/catchup.go
@@ -52,12 +52,12 @@
 		return nil
 	}
 	if err := c.acceptor.Adopt(key, held.Revision, held.Fields); err != nil {
-		if _, said := c.saidFailed.LoadOrStore(key, true); !said { // a full disk fails each beat
+		if _, said := c.loggedFailures.LoadOrStore(key, true); !said { // a full disk fails each beat
 			c.host.Log.Error().Str("event", "catch_up_failed").Str("key", key).Err(err).Msg("")
 		}
 		return err
 	}
-	c.saidFailed.Delete(key)
+	c.loggedFailures.Delete(key)
 	c.host.Log.Info().Str("event", "caught_up").Str("key", key).Uint64("version", held.Revision.Version).Msg("")
 	return nil
 }
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -97,7 +97,7 @@
 
 // isRunning says whether a proxy was heard of lately.
 func (c *Core) isRunning(proxy string) bool {
-	for _, s := range c.data.ClientStates(proxyTime) {
+	for _, s := range c.agentUpdates.ClientStates(ProxyTimeout) {
 		var status AgentStatus
 		if json.Unmarshal(s.Status, &status) == nil && status.Proxy != nil && status.Proxy.Proxy+"."+status.Proxy.Run == proxy {
 			return true
@@ -111,7 +111,7 @@
 func (c *Core) pruneClaims(ctx context.Context) {
 	known := map[string]time.Time{}
 	for _, key := range c.acceptor.Keys() {
-		if !strings.HasPrefix(key, claimsPrefix) || !c.isDrawn(key) {
+		if !strings.HasPrefix(key, claimsPrefix) || !c.isAssigned(key) {
 			continue
 		}
 		old := register.Fields{}
@@ -119,12 +119,12 @@
 			var claim claimRecord
 			_ = json.Unmarshal(raw, &claim) // a broken one is dropped by its age like the others
 			request := field + "/" + claim.Nonce
-			since, ok := c.claims[request]
+			since, ok := c.claimsSeen[request]
 			if !ok {
 				since = time.Now()
 			}
 			known[request] = since
-			if age := time.Since(since); age > c.options.ClaimAge || claim.State == claimFree && age > freedAge {
+			if age := time.Since(since); age > c.options.ClaimRetention || claim.State == claimFree && age > freedAge {
 				old[field] = raw
 			}
 		}
@@ -133,7 +133,7 @@
 			c.note("claims_pruned", key, revision, err)
 		}
 	}
-	c.claims = known
+	c.claimsSeen = known
 }
 
 // unchanged gives the removal of the fields that still are as they were seen.
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -24,45 +24,45 @@
 )
 
 const (
-	liveTime      = time.Second // a core not heard for so long is not picked as an owner
-	majorityWait  = 1500 * time.Millisecond
-	beatTime      = 300 * time.Millisecond
-	leastBeatTime = 20 * time.Millisecond // between a beat and one that is asked for
-	proxyTime     = 3 * time.Second
-	pullWait      = 100 * time.Millisecond
-	selfFolder    = "self"
-	incarnFile    = "incarnation"
-	founderFile   = "founder" // there since the fleet's very first start
-	holdPrefix    = "hold/"
+	LivenessTimeout  = time.Second // a core not heard for so long is not picked as an owner
+	QuorumTimeout    = 1500 * time.Millisecond
+	tickInterval     = 300 * time.Millisecond
+	minTickInterval  = 20 * time.Millisecond // between a beat and one that is asked for
+	ProxyTimeout     = 3 * time.Second
+	DefaultWatchWait = 100 * time.Millisecond
+	IdentityFolder   = "self"
+	incarnationFile  = "incarnation"
+	founderFile      = "founder" // there since the fleet's very first start
+	ThrottlePrefix   = "hold/"
 )
 
 // Core keeps the control state on its disk.
 type Core struct {
-	host        Host
-	options     CoreOptions
-	disk        disk.Disk
-	incarnation string
-	mayFound    bool // this disk is from the fleet's very first start (§2.6)
-	wire        *rpc.Client
-	plain       *http.Client // for the replicas of adapters (§6.6)
-	acceptor    *register.Acceptor
-	owner       *register.Owner
-	cores       *watch.Server // for the other cores: every key
-	data        *watch.Server // for the agents
-	table       *throttle.Table
-	ring        *gossip.Detector
-	isDamaged   atomic.Bool // a torn file: this core's word counts for nobody until it has caught up (§2.5)
-	learning    sync.Mutex
-	carrying    sync.Mutex
-	carried     carried // with carrying
-	tending     sync.Mutex
-	refreshing  sync.Mutex                 // held while the members are asked for a newer list
-	noting      chan struct{}              // of one place, held while who is silent is written down
-	members     atomic.Pointer[membership] // nil until the fleet is founded
-	number      atomic.Uint32              // this core's among the members; no longer a member, it keeps the number, which nobody is given again
+	host          Host
+	options       CoreOptions
+	disk          disk.Disk
+	incarnation   string
+	mayBootstrap  bool // this disk is from the fleet's very first start (§2.6)
+	rpc           *rpc.Client
+	replicaClient *http.Client // for the replicas of adapters (§6.6)
+	acceptor      *register.Acceptor
+	owner         *register.Owner
+	peerUpdates   *watch.Server // for the other cores: every key
+	agentUpdates  *watch.Server // for the agents
+	throttles     *throttle.Table
+	detector      *gossip.Detector
+	isDamaged     atomic.Bool // a torn file: this core's word counts for nobody until it has caught up (§2.5)
+	membershipMu  sync.Mutex
+	transferMu    sync.Mutex
+	transferred   carried // with carrying
+	reconcileMu   sync.Mutex
+	refreshMu     sync.Mutex                 // held while the members are asked for a newer list
+	recordingSlot chan struct{}              // of one place, held while who is silent is written down
+	members       atomic.Pointer[membership] // nil until the fleet is founded
+	memberID      atomic.Uint32              // this core's among the members; no longer a member, it keeps the number, which nobody is given again
 
-	isLeaving   atomic.Bool
-	hasSnapshot atomic.Bool // at the last beat: a majority was heard, and all that it has settled is here
+	isLeaving atomic.Bool
+	caughtUp  atomic.Bool // at the last beat: a majority was heard, and all that it has settled is here
 
 	declare       func(context.Context, config.Declaration) (Accepted, error)
 	name          func(context.Context, ModelOrder) (Accepted, error)
@@ -70,59 +70,59 @@
 	resolve       func(context.Context, SettleOrder) (SettleAnswer, error)
 	changeMembers func(context.Context, MembersOrder) (Accepted, error)
 
-	kept       keptNews
-	saidFailed sync.Map // keys whose catching up has failed, as the log has it
-	toldNamed  sync.Map // versions of models whose coming was told to the agents
+	prefixes          keptNews
+	loggedFailures    sync.Map // keys whose catching up has failed, as the log has it
+	announcedVersions sync.Map // versions of models whose coming was told to the agents
 
-	claims map[string]time.Time // when this process first saw a request's claim; of the pruning alone
+	claimsSeen map[string]time.Time // when this process first saw a request's claim; of the pruning alone
 
-	mu        sync.Mutex
-	followers map[string]*watch.Client // by member name
-	met       map[string]string        // founding: address → incarnation
-	unsettled map[string]time.Time
-	joiners   map[string]joiner // by name: cores that would be members
-	silence   silence           // of the members
-	listNews  chan struct{}     // closed when another list of members counts
-	nudges    chan struct{}     // holds one if a beat is asked for
-	proxies   register.Fields
+	mu                sync.Mutex
+	peers             map[string]*watch.Client // by member name
+	bootstrapContacts map[string]string        // founding: address → incarnation
+	uncommittedSince  map[string]time.Time
+	joiners           map[string]joiner // by name: cores that would be members
+	liveness          silence           // of the members
+	membershipChanged chan struct{}     // closed when another list of members counts
+	wakeups           chan struct{}     // holds one if a beat is asked for
+	proxies           register.Fields
 }
 
 // CoreOptions of a core.
 type CoreOptions struct {
-	ClaimAge time.Duration // how long callers' keys are remembered, at the least
-	// SelfAdmitting lets the core's members admit joiners and retire the lost by themselves (§2.8).
-	SelfAdmitting bool
-	Backend       Backend                     // the platform and its replicas, where they do not speak our own interface
-	Lease         time.Duration               // between the last order of one holder of a duty and the first of the next
-	Endpoints     func(*Core, *http.ServeMux) // more of them, in a manner of speaking that is not ours
-	LinkWait      time.Duration               // how long the ask of another core is held; 0: 100 ms
-	Tolerance     Tolerance                   // what may be lost at once
-	LeaveLimit    time.Duration               // how long a core that is told to stop may take to leave the members
-	Hold          *config.Hold                // the waiting rule of a fleet that is declared by numbers and does not set it
+	ClaimRetention time.Duration // how long callers' keys are remembered, at the least
+	// AutoMembership lets the core's members admit joiners and retire the lost by themselves (§2.8).
+	AutoMembership bool
+	Backend        Backend                     // the platform and its replicas, where they do not speak our own interface
+	Lease          time.Duration               // between the last order of one holder of a duty and the first of the next
+	Endpoints      func(*Core, *http.ServeMux) // more of them, in a manner of speaking that is not ours
+	WatchWait      time.Duration               // how long the ask of another core is held; 0: 100 ms
+	Tolerance      Tolerance                   // what may be lost at once
+	LeaveTimeout   time.Duration               // how long a core that is told to stop may take to leave the members
+	Throttle       *config.Hold                // the waiting rule of a fleet that is declared by numbers and does not set it
 }
 
 // NewCore opens the disk and loads what it has.
 func NewCore(host Host, d disk.Disk, options CoreOptions) (*Core, error) {
 	c := &Core{
-		host: host, options: options, disk: d, wire: rpc.NewClient(host.Fleet, host.Net), plain: newPlain(host.Net),
-		followers: map[string]*watch.Client{}, met: map[string]string{}, unsettled: map[string]time.Time{}, joiners: map[string]joiner{},
-		listNews: make(chan struct{}), nudges: make(chan struct{}, 1), noting: make(chan struct{}, 1),
+		host: host, options: options, disk: d, rpc: rpc.NewClient(host.Fleet, host.Net), replicaClient: newPlain(host.Net),
+		peers: map[string]*watch.Client{}, bootstrapContacts: map[string]string{}, uncommittedSince: map[string]time.Time{}, joiners: map[string]joiner{},
+		membershipChanged: make(chan struct{}), wakeups: make(chan struct{}, 1), recordingSlot: make(chan struct{}, 1),
 	}
-	c.table = throttle.NewTable(c.holdNews)
-	c.ring = NewDetector(host, "core", c.wire)
+	c.throttles = throttle.NewTable(c.publishThrottle)
+	c.detector = NewDetector(host, "core", c.rpc)
 	who := watch.ServerOptions{Incarnation: func() string {
 		if c.membership().self == nil || c.isDamaged.Load() {
 			return ""
 		}
 		return c.incarnation
 	}}
-	c.cores, c.data = watch.NewServer(who), watch.NewServer(who)
-	if err := c.identify(); err != nil {
+	c.peerUpdates, c.agentUpdates = watch.NewServer(who), watch.NewServer(who)
+	if err := c.loadIdentity(); err != nil {
 		return nil, err
 	}
 	c.recallSilent()
 	var err error
-	c.acceptor, err = register.OpenAcceptor(register.AcceptorOptions{Disk: d, OnChange: c.acceptorNews, OnSkipped: func(folder, file string, err error) {
+	c.acceptor, err = register.OpenAcceptor(register.AcceptorOptions{Disk: d, OnChange: c.publishAccepted, OnSkipped: func(folder, file string, err error) {
 		host.Log.Warn().Str("event", "file_left_out").Str("folder", folder).Str("file", file).Err(err).Msg("")
 	}})
 	if err != nil {
@@ -130,83 +130,83 @@
 	}
 	c.isDamaged.Store(c.acceptor.IsDamaged())
 	c.owner = register.NewOwner(register.OwnerOptions{
-		MemberID: c.number.Load, Acceptor: c.acceptor, Peers: c.acceptors, Timeout: majorityWait,
+		MemberID: c.memberID.Load, Acceptor: c.acceptor, Peers: c.acceptors, Timeout: QuorumTimeout,
 	})
 	for _, key := range c.acceptor.Keys() {
-		if scope, isHold := strings.CutPrefix(key, holdPrefix); isHold {
-			c.resumeHold(scope)
+		if scope, isHold := strings.CutPrefix(key, ThrottlePrefix); isHold {
+			c.restoreThrottle(scope)
 		}
 	}
-	c.noteNamed(c.acceptor.Read(config.ModelsKey).Fields)
+	c.publishModelVersions(c.acceptor.Read(config.ModelsKey).Fields)
 	c.learnMembers()
 	return c, nil
 }
 
-// identify reads or makes the disk's incarnation, and whether it is from the fleet's very first start (§2.6).
-func (c *Core) identify() error {
-	raw, err := c.disk.Get(selfFolder, incarnFile)
+// loadIdentity reads or makes the disk's incarnation, and whether it is from the fleet's very first start (§2.6).
+func (c *Core) loadIdentity() error {
+	raw, err := c.disk.Get(IdentityFolder, incarnationFile)
 	switch {
 	case apierror.Is(err, apierror.NotFound):
-		raw, err = c.newIncarnation()
+		raw, err = c.createIncarnation()
 	case err == nil:
-		err = c.disk.Sync(selfFolder) // a process before this one may have died while it wrote it
+		err = c.disk.Sync(IdentityFolder) // a process before this one may have died while it wrote it
 	}
 	if err != nil {
 		return apierror.Wrap(err, apierror.DiskFailed, "incarnation")
 	}
 	c.incarnation = string(raw)
-	_, err = c.disk.Get(selfFolder, founderFile)
-	c.mayFound = err == nil || !c.host.Bootstrapped
+	_, err = c.disk.Get(IdentityFolder, founderFile)
+	c.mayBootstrap = err == nil || !c.host.Bootstrapped
 	if err != nil && !apierror.Is(err, apierror.NotFound) && !apierror.Is(err, apierror.Torn) {
 		return apierror.Wrap(err, apierror.DiskFailed, "founder")
 	}
 	return nil
 }
 
-// newIncarnation names a disk that is empty. The mark of the fleet's first start comes first: a disk with an incarnation and no mark is later.
-func (c *Core) newIncarnation() ([]byte, error) {
+// createIncarnation names a disk that is empty. The mark of the fleet's first start comes first: a disk with an incarnation and no mark is later.
+func (c *Core) createIncarnation() ([]byte, error) {
 	if !c.host.Bootstrapped {
-		if err := c.disk.Put(selfFolder, founderFile, nil); err != nil {
+		if err := c.disk.Put(IdentityFolder, founderFile, nil); err != nil {
 			return nil, err
 		}
 	}
 	raw := []byte(rand.Text())
-	return raw, c.disk.Put(selfFolder, incarnFile, raw)
+	return raw, c.disk.Put(IdentityFolder, incarnationFile, raw)
 }
 
-// acceptorNews passes what the disk has accepted on to the links. It is called under the key's lock.
-func (c *Core) acceptorNews(key string, at register.Record, change register.Fields, full bool) {
-	c.cores.Publish(key, at.Revision, at.Committed, change, full)
-	if isForAgents(key) {
-		c.data.Publish(key, at.Revision, at.Committed, withoutTexts(change), full)
+// publishAccepted passes what the disk has accepted on to the links. It is called under the key's lock.
+func (c *Core) publishAccepted(key string, at register.Record, change register.Fields, full bool) {
+	c.peerUpdates.Publish(key, at.Revision, at.Committed, change, full)
+	if IsPublished(key) {
+		c.agentUpdates.Publish(key, at.Revision, at.Committed, withoutTexts(change), full)
 	}
 	if key == config.MembersKey && c.acceptor != nil {
 		go func() {
 			c.learnMembers()
-			c.nudge()
+			c.wake()
 		}()
 	}
 	if key == config.ModelsKey && c.acceptor != nil {
-		c.noteNamed(change)
+		c.publishModelVersions(change)
 	}
 }
 
-// noteNamed tells the agents when a version of a model came to this disk, or when this life began that found it there. The oldest word of all
+// publishModelVersions tells the agents when a version of a model came to this disk, or when this life began that found it there. The oldest word of all
 // cores counts: one that has started anew adds nothing to it. Where all have, the cores were disturbed meanwhile, and the time of old versions
 // counts from the first one's start (§6.5).
-func (c *Core) noteNamed(change register.Fields) {
+func (c *Core) publishModelVersions(change register.Fields) {
 	models, err := config.Load[config.Model](change)
 	if err != nil {
 		return
 	}
 	fields := register.Fields{}
 	for name, m := range models {
-		if _, told := c.toldNamed.LoadOrStore(router.NamedField(name, m.Version), true); !told {
+		if _, told := c.announcedVersions.LoadOrStore(router.NamedField(name, m.Version), true); !told {
 			fields[router.NamedField(name, m.Version)] = json.RawMessage("0")
 		}
 	}
 	if len(fields) > 0 {
-		c.data.Publish(router.NamedKey, register.Revision{}, register.Revision{}, fields, false)
+		c.agentUpdates.Publish(router.NamedKey, register.Revision{}, register.Revision{}, fields, false)
 	}
 }
 
@@ -221,22 +221,22 @@
 	return kept
 }
 
-func isForAgents(key string) bool {
+func IsPublished(key string) bool {
 	return key == config.Key || key == config.ModelsKey || key == config.LoadsKey || key == config.RetirementKey || key == config.ReplicasKey || key == config.MembersKey || strings.HasPrefix(key, config.KeysPrefix)
 }
 
-func (c *Core) holdNews(e throttle.Entry) {
+func (c *Core) publishThrottle(e throttle.Entry) {
 	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
 	fields := register.Fields{e.Scope: raw}
-	c.cores.Publish(router.HoldKey, register.Revision{}, register.Revision{}, fields, false)
-	c.data.Publish(router.HoldKey, register.Revision{}, register.Revision{}, fields, false)
+	c.peerUpdates.Publish(router.HoldKey, register.Revision{}, register.Revision{}, fields, false)
+	c.agentUpdates.Publish(router.HoldKey, register.Revision{}, register.Revision{}, fields, false)
 }
 
-// resumeHold counts what a hold on disk had left from the start again: later, never earlier (§4.2).
-func (c *Core) resumeHold(scope string) {
+// restoreThrottle counts what a hold on disk had left from the start again: later, never earlier (§4.2).
+func (c *Core) restoreThrottle(scope string) {
 	var n throttle.Notice
-	if raw := c.acceptor.Read(holdPrefix + scope).Fields["hold"]; raw != nil && json.Unmarshal(raw, &n) == nil {
-		c.table.Merge(n, throttle.Longest)
+	if raw := c.acceptor.Read(ThrottlePrefix + scope).Fields["hold"]; raw != nil && json.Unmarshal(raw, &n) == nil {
+		c.throttles.Merge(n, throttle.Longest)
 	}
 }
 
@@ -245,13 +245,13 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	go c.found(ctx)
-	go c.runBeats(ctx)
+	go c.runTicks(ctx)
 	handler := c.handler()
 	go c.runDuties(ctx)
 	if c.options.Backend != nil {
 		c.runBackend(ctx)
 	}
-	go c.ring.Run(ctx)
+	go c.detector.Run(ctx)
 	c.host.Log.Info().Str("event", "core_up").Str("address", c.host.Address).Str("incarnation", c.incarnation).Msg("")
 	return Serve(ctx, listener, handler, time.Second)
 }
@@ -259,14 +259,14 @@
 func (c *Core) handler() http.Handler {
 	mux, fleet := http.NewServeMux(), c.host.Fleet
 	mux.Handle("POST /core/hello", rpc.Handler(fleet, c.hello))
-	mux.Handle("POST /core/pull", rpc.Handler(fleet, c.data.Watch))
-	mux.Handle("POST /core/whole", rpc.Handler(fleet, c.cores.Watch))
+	mux.Handle("POST /core/pull", rpc.Handler(fleet, c.agentUpdates.Watch))
+	mux.Handle("POST /core/whole", rpc.Handler(fleet, c.peerUpdates.Watch))
 	mux.Handle("POST /core/hold", rpc.Handler(fleet, c.shareHold))
 	mux.Handle("POST /register/promise", rpc.Handler(fleet, c.promise))
 	mux.Handle("POST /register/confirm", rpc.Handler(fleet, c.confirm))
 	mux.Handle("POST /register/accept", rpc.Handler(fleet, c.accept))
 	mux.Handle("POST /register/settle", rpc.Handler(fleet, c.settle))
-	HandleGossip(mux, fleet, c.ring)
+	HandleGossip(mux, fleet, c.detector)
 	HandleMetrics(mux, c.figures)
 	mux.Handle("POST /query", rpc.Handler(fleet, c.Query))
 	rpc.HandleReady(mux, func() bool {
@@ -276,27 +276,27 @@
 	if c.options.Backend != nil {
 		mux.Handle("POST /core/list", rpc.Handler(fleet, c.listFor))
 	}
-	op(mux, c, config.Key, func(ConfigOrder) string { return config.Key }, c.orderConfig, false)
-	op(mux, c, "keys", func(o KeyOrder) string { return config.KeysPrefix + o.Tenant }, c.orderKey, true)
-	op(mux, c, "replicas", func(ReplicasOrder) string { return config.ReplicasKey }, c.orderReplicas, true)
-	op(mux, c, "claim", func(o ClaimOrder) string { return claimGroup(o) }, c.orderClaim, true)
-	op(mux, c, "hold", func(n throttle.Notice) string { return holdPrefix + n.Scope }, c.orderHold, true)
-	op(mux, c, "term", func(o LeaseOrder) string { return leasePrefix + o.Duty }, c.orderLease, false)
-	c.changeMembers = op(mux, c, "members", func(MembersOrder) string { return config.MembersKey }, c.orderMembers, false)
-	c.resolve = op(mux, c, "settle", func(o SettleOrder) string { return o.Key }, c.orderSettle, true)
-	c.declare = op(mux, c, "declaration", func(config.Declaration) string { return config.Key }, c.orderDeclaration, true)
-	c.name = op(mux, c, "models", func(ModelOrder) string { return config.ModelsKey }, c.orderModel, true)
-	c.loads = op(mux, c, "loads", func(register.Fields) string { return config.LoadsKey }, c.orderLoads, true)
-	op(mux, c, "retirement", func(RetirementOrder) string { return config.RetirementKey }, c.orderRetirement, false)
-	op(mux, c, "advance", func(AdvanceOrder) string { return config.RetirementKey }, c.orderAdvance, true)
+	registerOperation(mux, c, config.Key, func(ConfigOrder) string { return config.Key }, c.orderConfig, false)
+	registerOperation(mux, c, "keys", func(o KeyOrder) string { return config.KeysPrefix + o.Tenant }, c.orderKey, true)
+	registerOperation(mux, c, "replicas", func(ReplicasOrder) string { return config.ReplicasKey }, c.orderReplicas, true)
+	registerOperation(mux, c, "claim", func(o ClaimOrder) string { return claimGroup(o) }, c.orderClaim, true)
+	registerOperation(mux, c, "hold", func(n throttle.Notice) string { return ThrottlePrefix + n.Scope }, c.orderHold, true)
+	registerOperation(mux, c, "term", func(o LeaseOrder) string { return leasePrefix + o.Duty }, c.orderLease, false)
+	c.changeMembers = registerOperation(mux, c, "members", func(MembersOrder) string { return config.MembersKey }, c.orderMembers, false)
+	c.resolve = registerOperation(mux, c, "settle", func(o SettleOrder) string { return o.Key }, c.orderSettle, true)
+	c.declare = registerOperation(mux, c, "declaration", func(config.Declaration) string { return config.Key }, c.orderDeclaration, true)
+	c.name = registerOperation(mux, c, "models", func(ModelOrder) string { return config.ModelsKey }, c.orderModel, true)
+	c.loads = registerOperation(mux, c, "loads", func(register.Fields) string { return config.LoadsKey }, c.orderLoads, true)
+	registerOperation(mux, c, "retirement", func(RetirementOrder) string { return config.RetirementKey }, c.orderRetirement, false)
+	registerOperation(mux, c, "advance", func(AdvanceOrder) string { return config.RetirementKey }, c.orderAdvance, true)
 	if c.options.Endpoints != nil {
 		c.options.Endpoints(c, mux)
 	}
 	return mux
 }
 
-// op serves a change at /op/NAME, where any core takes it to the key's owner, and at /own/NAME, where this core does it itself.
-func op[Q, A any](mux *http.ServeMux, c *Core, name string, keyOf func(Q) string, do func(context.Context, Q) (A, error), idempotent bool) func(context.Context, Q) (A, error) {
+// registerOperation serves a change at /op/NAME, where any core takes it to the key's owner, and at /own/NAME, where this core does it itself.
+func registerOperation[Q, A any](mux *http.ServeMux, c *Core, name string, keyOf func(Q) string, do func(context.Context, Q) (A, error), idempotent bool) func(context.Context, Q) (A, error) {
 	anywhere := func(ctx context.Context, q Q) (A, error) {
 		var none A
 		if now := c.membership(); now.self == nil && len(now.members) == 0 {
@@ -308,9 +308,9 @@
 		if owner == c.host.Name {
 			return do(ctx, q)
 		}
-		short, stop := context.WithTimeout(ctx, 2*majorityWait)
+		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
 		defer stop()
-		answer, err := rpc.Call[A](short, c.wire, c.addressOf(owner), "/own/"+name, q)
+		answer, err := rpc.Call[A](short, c.rpc, c.addressOf(owner), "/own/"+name, q)
 		var dial *net.OpError
 		unasked := errors.As(err, &dial) && dial.Op == "dial"
 		switch {
@@ -341,47 +341,47 @@
 	return ""
 }
 
-func (c *Core) linkWait() time.Duration {
-	if c.options.LinkWait > 0 {
-		return c.options.LinkWait
+func (c *Core) watchWait() time.Duration {
+	if c.options.WatchWait > 0 {
+		return c.options.WatchWait
 	}
-	return pullWait
+	return DefaultWatchWait
 }
 
-// isWithMajority says whether this core is a member and hears a majority of the members. One that does not has no part in what a single core
+// hasQuorum says whether this core is a member and hears a majority of the members. One that does not has no part in what a single core
 // does for all: it would draw itself for everything.
-func (c *Core) isWithMajority() bool {
+func (c *Core) hasQuorum() bool {
 	now := c.membership()
 	return now.self != nil && len(c.live()) > len(now.members)/2
 }
 
-// isDrawn says whether this core is the one that looks after a key.
-func (c *Core) isDrawn(key string) bool {
-	return c.isWithMajority() && register.Pick(key, c.live()) == c.host.Name
+// isAssigned says whether this core is the one that looks after a key.
+func (c *Core) isAssigned(key string) bool {
+	return c.hasQuorum() && register.Pick(key, c.live()) == c.host.Name
 }
 
-// runBeats beats at each step, and at once when something has changed that the next beat would act upon.
-func (c *Core) runBeats(ctx context.Context) {
-	step := time.NewTicker(beatTime)
+// runTicks beats at each step, and at once when something has changed that the next beat would act upon.
+func (c *Core) runTicks(ctx context.Context) {
+	step := time.NewTicker(tickInterval)
 	defer step.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-step.C:
-		case <-c.nudges:
+		case <-c.wakeups:
 		}
-		c.beat(ctx)
-		if rpc.Sleep(ctx, leastBeatTime) != nil {
+		c.tick(ctx)
+		if rpc.Sleep(ctx, minTickInterval) != nil {
 			return
 		}
 	}
 }
 
-// nudge asks for a beat soon.
-func (c *Core) nudge() {
+// wake asks for a beat soon.
+func (c *Core) wake() {
 	select {
-	case c.nudges <- struct{}{}:
+	case c.wakeups <- struct{}{}:
 	default: // one is asked for already
 	}
 }
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -18,50 +18,50 @@
 	defer c.mu.Unlock()
 	var names []string
 	for _, m := range c.membership().members {
-		f := c.followers[m.Name]
-		if m.Incarnation == c.incarnation || f != nil && time.Since(f.FreshAsOf(m.Incarnation)) < liveTime {
+		f := c.peers[m.Name]
+		if m.Incarnation == c.incarnation || f != nil && time.Since(f.FreshAsOf(m.Incarnation)) < LivenessTimeout {
 			names = append(names, m.Name)
 		}
 	}
 	return names
 }
 
-// beat looks after links, catching up, unsettled keys, claims and the list of proxies.
-func (c *Core) beat(ctx context.Context) {
+// tick looks after links, catching up, unsettled keys, claims and the list of proxies.
+func (c *Core) tick(ctx context.Context) {
 	now := c.membership()
 	c.mu.Lock()
-	for name, f := range c.followers {
+	for name, f := range c.peers {
 		if !now.has(name, f.Options.Address) {
 			f.Stop()
-			delete(c.followers, name)
+			delete(c.peers, name)
 		}
 	}
 	for _, m := range now.members {
-		if m.Incarnation != c.incarnation && c.followers[m.Name] == nil {
+		if m.Incarnation != c.incarnation && c.peers[m.Name] == nil {
 			f := watch.NewClient(watch.ClientOptions{
-				RPC: c.wire, Address: m.Address, Path: "/core/whole", Wait: c.linkWait(),
+				RPC: c.rpc, Address: m.Address, Path: "/core/whole", Wait: c.watchWait(),
 				OnUpdate: func(f *watch.Client, answer watch.Response) {
-					takeHolds(c.table)(f, answer)
+					takeHolds(c.throttles)(f, answer)
 					c.takeShared(answer)
 					if answer.Snapshot {
-						c.nudge() // there is much to catch up on
+						c.wake() // there is much to catch up on
 					}
 				},
 				Request: func() watch.Request { return watch.Request{Name: c.host.Name, Role: "core"} },
 			})
-			c.followers[m.Name] = f
+			c.peers[m.Name] = f
 			go f.Run(ctx)
 		}
 	}
-	peers := make([]*watch.Client, 0, len(c.followers))
-	for _, f := range c.followers {
+	peers := make([]*watch.Client, 0, len(c.peers))
+	for _, f := range c.peers {
 		peers = append(peers, f)
 	}
 	c.mu.Unlock()
 	failed, fresh := 0, 0
 	for _, f := range peers {
 		failed += c.catchUp(f)
-		if time.Since(f.FreshAt()) < liveTime {
+		if time.Since(f.FreshAt()) < LivenessTimeout {
 			fresh++
 		}
 	}
@@ -69,7 +69,7 @@
 		c.isDamaged.Store(c.acceptor.IsDamaged())
 	}
 	hasSnapshot := failed == 0 && fresh > len(now.members)/2
-	news := c.hasSnapshot.Swap(hasSnapshot) != hasSnapshot
+	news := c.caughtUp.Swap(hasSnapshot) != hasSnapshot
 	c.watchSilence(now.members)
 	if now.self == nil {
 		if hasSnapshot && news && !c.isLeaving.Load() {
@@ -77,43 +77,43 @@
 		}
 		return // a joiner follows, and has no other part
 	}
-	c.settleLate(ctx)
+	c.commitOverdue(ctx)
 	c.carry(ctx)
-	if c.options.SelfAdmitting {
+	if c.options.AutoMembership {
 		c.tendMembers(ctx)
 	}
-	c.listProxies()
-	c.table.Prune(time.Hour)
+	c.publishProxies()
+	c.throttles.Prune(time.Hour)
 }
 
-// settleLate asks the owner to settle keys that stay undecided here (§2.3).
-func (c *Core) settleLate(ctx context.Context) {
+// commitOverdue asks the owner to settle keys that stay undecided here (§2.3).
+func (c *Core) commitOverdue(ctx context.Context) {
 	for _, key := range c.acceptor.Keys() {
-		late := false
+		overdue := false
 		c.mu.Lock()
 		if !c.acceptor.Uncommitted(key) {
-			delete(c.unsettled, key)
-		} else if since, ok := c.unsettled[key]; !ok {
-			c.unsettled[key] = time.Now()
+			delete(c.uncommittedSince, key)
+		} else if since, ok := c.uncommittedSince[key]; !ok {
+			c.uncommittedSince[key] = time.Now()
 		} else {
-			late = time.Since(since) >= beatTime
+			overdue = time.Since(since) >= tickInterval
 		}
 		c.mu.Unlock()
-		if late {
+		if overdue {
 			owner := register.Pick(key, c.live())
 			go func() {
-				short, stop := context.WithTimeout(ctx, majorityWait)
+				short, stop := context.WithTimeout(ctx, QuorumTimeout)
 				defer stop()
-				_, _ = rpc.Call[SettleAnswer](short, c.wire, c.addressOf(owner), "/own/settle", SettleOrder{Key: key, Has: c.acceptor.Revision(key)})
+				_, _ = rpc.Call[SettleAnswer](short, c.rpc, c.addressOf(owner), "/own/settle", SettleOrder{Key: key, Has: c.acceptor.Revision(key)})
 			}()
 		}
 	}
 }
 
-// listProxies tells the agents which proxies share the replicas (§5.3).
-func (c *Core) listProxies() {
+// publishProxies tells the agents which proxies share the replicas (§5.3).
+func (c *Core) publishProxies() {
 	fields := register.Fields{}
-	for _, s := range c.data.ClientStates(proxyTime) {
+	for _, s := range c.agentUpdates.ClientStates(ProxyTimeout) {
 		var status AgentStatus
 		if s.Role == "agent" && json.Unmarshal(s.Status, &status) == nil && status.Proxy != nil && !status.Proxy.Stop {
 			fields[status.Proxy.Proxy] = json.RawMessage(`true`)
@@ -124,15 +124,15 @@
 	c.proxies = fields
 	c.mu.Unlock()
 	if len(change) > 0 {
-		c.data.Publish(router.ProxiesKey, register.Revision{}, register.Revision{}, change, false)
+		c.agentUpdates.Publish(router.ProxiesKey, register.Revision{}, register.Revision{}, change, false)
 	}
 }
 
 // AgentStatus is what an agent tells the cores of itself and its proxy.
 type AgentStatus struct {
-	Address string         `json:"address"`
-	Zone    string         `json:"zone"`
-	Current bool           `json:"current"`
-	Why     string         `json:"why,omitempty"`
-	Proxy   *router.Status `json:"proxy,omitempty"`
+	Address          string         `json:"address"`
+	Zone             string         `json:"zone"`
+	Current          bool           `json:"current"`
+	NotCurrentReason string         `json:"why,omitempty"`
+	Proxy            *router.Status `json:"proxy,omitempty"`
 }
--- a/daemon/declare.go
+++ b/daemon/declare.go
@@ -16,8 +16,8 @@
 func (c *Core) orderDeclaration(ctx context.Context, d config.Declaration) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.Key, func(now register.Fields, version uint64) (register.Fields, error) {
 		change, err := config.Declare(now, version, d)
-		if err == nil && len(change) > 0 && now["hold"] == nil && c.options.Hold != nil {
-			change.Apply(config.Field("hold", c.options.Hold))
+		if err == nil && len(change) > 0 && now["hold"] == nil && c.options.Throttle != nil {
+			change.Apply(config.Field("hold", c.options.Throttle))
 		}
 		return change, err
 	})
@@ -46,7 +46,7 @@
 
 // awaitRevision waits a short while until this core's disk has a key's settled content, of that version or a later one.
 func (c *Core) awaitRevision(ctx context.Context, key string, revision register.Revision) (register.Record, error) {
-	short, stop := context.WithTimeout(ctx, majorityWait)
+	short, stop := context.WithTimeout(ctx, QuorumTimeout)
 	defer stop()
 	for {
 		record := c.acceptor.Read(key)
@@ -54,7 +54,7 @@
 		if record.Revision == revision || later {
 			return record, nil
 		}
-		if err := rpc.Sleep(short, beatTime/10); err != nil {
+		if err := rpc.Sleep(short, tickInterval/10); err != nil {
 			return record, apierror.Wrap(err, apierror.Behind, key)
 		}
 	}
@@ -96,15 +96,15 @@
 	}
 	members, _, _ := readMembers(record.Fields)
 	order, wanted := c.nextMember(members)
-	if !wanted || !c.tending.TryLock() {
+	if !wanted || !c.reconcileMu.TryLock() {
 		return
 	}
 	go func() {
-		defer c.tending.Unlock()
-		short, stop := context.WithTimeout(ctx, 2*majorityWait)
+		defer c.reconcileMu.Unlock()
+		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
 		defer stop()
 		if _, err := c.orderMembers(short, order); err == nil { // a failure is logged there; the next step looks again
-			c.nudge()
+			c.wake()
 		}
 	}()
 }
@@ -132,7 +132,7 @@
 			return MembersOrder{Do: doAdmit, Name: s.Name}, true
 		}
 	}
-	if c.silence.steady >= steadyTime {
+	if c.liveness.steady >= steadyTime {
 		for _, m := range members {
 			if c.isLost(m, members) {
 				return MembersOrder{Do: doRetire, Name: m.Name}, true
@@ -145,11 +145,11 @@
 // isLost says whether a member has been silent for so long that it is to be retired: one that another came for, or one without whom the
 // others bear the tolerated losses, or more losses than with it once all that are lost like it are retired. c.mu is held.
 func (c *Core) isLost(m config.Member, members []config.Member) bool {
-	quiet := c.silence.of(m)
+	quiet := c.liveness.of(m)
 	if quiet < replaceTime {
 		return false
 	}
-	if c.silence.isReplaced(m, members) {
+	if c.liveness.isReplaced(m, members) {
 		return true
 	}
 	if quiet < lostTime {
@@ -159,8 +159,8 @@
 	if len(rest) < fewest {
 		return false
 	}
-	silent := c.silence.count(members, liveTime)
-	retired := min(c.silence.count(members, lostTime), len(members)-fewest)
+	silent := c.liveness.count(members, LivenessTimeout)
+	retired := min(c.liveness.count(members, lostTime), len(members)-fewest)
 	return spareOf(len(rest), silent-1) >= c.options.Tolerance.losses(rest) ||
 		spareOf(len(members)-retired, silent-retired) > spareOf(len(members), silent)
 }
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -40,7 +40,7 @@
 }
 
 func (b leaseStore) Acquire(ctx context.Context, duty string, made, met lease.Grant) (uint64, error) {
-	a, err := rpc.Call[Accepted](ctx, b.core.wire, b.core.host.Address, "/op/term", LeaseOrder{duty, made, met})
+	a, err := rpc.Call[Accepted](ctx, b.core.rpc, b.core.host.Address, "/op/term", LeaseOrder{duty, made, met})
 	return a.Version, err
 }
 
@@ -55,7 +55,7 @@
 }
 
 func (c *Core) newCandidate(duty string, length time.Duration) *lease.Candidate {
-	return lease.New(lease.Options{Role: duty, Holder: c.host.Name + "." + c.incarnation + "." + c.cores.RunID(), Length: length,
+	return lease.New(lease.Options{Role: duty, Holder: c.host.Name + "." + c.incarnation + "." + c.peerUpdates.RunID(), Length: length,
 		Margin: length / 8, Store: leaseStore{c}, Log: c.host.Log})
 }
 
@@ -65,7 +65,7 @@
 		plain:     newPlain(c.host.Net),
 		candidate: c.newCandidate("rollout", leaseLength),
 	}
-	go Every(ctx, c.options.ClaimAge/20, func() { c.pruneClaims(ctx) })
+	go Every(ctx, c.options.ClaimRetention/20, func() { c.pruneClaims(ctx) })
 	if c.options.Backend != nil {
 		return // its replicas take their orders from the loader
 	}
--- a/daemon/found.go
+++ b/daemon/found.go
@@ -37,7 +37,7 @@
 	now := c.membership()
 	return Hello{
 		Name: c.host.Name, Role: "core", Address: c.host.Address, Zone: c.host.Zone, Incarnation: c.incarnation,
-		Met: maps.Clone(c.met), MayFound: c.mayFound, Members: now.members, List: now.settled, HasSnapshot: c.hasSnapshot.Load(),
+		Met: maps.Clone(c.bootstrapContacts), MayFound: c.mayBootstrap, Members: now.members, List: now.settled, HasSnapshot: c.caughtUp.Load(),
 	}
 }
 
@@ -49,7 +49,7 @@
 		c.joiners[h.Name] = joiner{h, time.Now()}
 		c.mu.Unlock()
 		if before.Incarnation != h.Incarnation || before.HasSnapshot != h.HasSnapshot {
-			c.nudge()
+			c.wake()
 		}
 	}
 	return c.ownHello(), nil
@@ -74,7 +74,7 @@
 		if founders == nil {
 			founders = append([]string{c.host.Address}, c.host.Seeds...)
 		}
-		founder := c.mayFound && slices.Contains(founders, c.host.Address)
+		founder := c.mayBootstrap && slices.Contains(founders, c.host.Address)
 		met := map[string]string{c.host.Address: c.incarnation}
 		hellos := []Hello{{Name: c.host.Name, Address: c.host.Address, Zone: c.host.Zone, Incarnation: c.incarnation}}
 		for h := range c.askAround(ctx, founders) {
@@ -88,7 +88,7 @@
 			}
 		}
 		c.mu.Lock()
-		c.met = met
+		c.bootstrapContacts = met
 		c.mu.Unlock()
 		if !founder || len(met) != len(founders) {
 			return
@@ -134,11 +134,11 @@
 
 // followMembers has this core follow members that were told to it, unless it has become one of them meanwhile.
 func (c *Core) followMembers(members []config.Member) {
-	c.learning.Lock()
-	defer c.learning.Unlock()
+	c.membershipMu.Lock()
+	defer c.membershipMu.Unlock()
 	if c.membership().self == nil {
 		c.members.Store(&membership{members: members})
-		c.nudge()
+		c.wake()
 	}
 }
 
@@ -146,7 +146,7 @@
 // than a second.
 func (c *Core) askAround(ctx context.Context, founders []string) <-chan Hello {
 	asked := slices.Concat(founders, c.host.Seeds)
-	for _, d := range c.ring.Nodes()[1:] {
+	for _, d := range c.detector.Nodes()[1:] {
 		asked = append(asked, d.Address)
 	}
 	slices.Sort(asked)
@@ -164,7 +164,7 @@
 		all.Go(func() {
 			short, stop := context.WithTimeout(ctx, time.Second)
 			defer stop()
-			if h, err := rpc.Call[Hello](short, c.wire, address, "/core/hello", own); err == nil {
+			if h, err := rpc.Call[Hello](short, c.rpc, address, "/core/hello", own); err == nil {
 				answers <- h
 			}
 		})
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -29,12 +29,12 @@
 	reading := map[string]context.CancelFunc{}
 	var drawn map[string]string // at the step before: a core that is being cut off misses the others one after another, and draws more for a moment
 	Every(ctx, keptStep, func() {
-		if c.membership().self != nil && !c.isWithMajority() {
+		if c.membership().self != nil && !c.hasQuorum() {
 			return // agents may hear this core as before: it reads on what it has read, and nothing else
 		}
 		wanted := map[string]string{}
 		for name, address := range c.keptSources() {
-			if key := router.KeptPrefix + name; c.isDrawn(key) {
+			if key := router.KeptPrefix + name; c.isAssigned(key) {
 				wanted[key] = address
 			}
 		}
@@ -83,7 +83,7 @@
 func (c *Core) readSource(ctx context.Context, key, address string) {
 	var place KeptPlace
 	up, failures := false, 0
-	defer c.kept.drop(key)
+	defer c.prefixes.drop(key)
 	for ctx.Err() == nil {
 		short, stop := context.WithTimeout(ctx, 2*keptWait)
 		news, err := c.options.Backend.Kept(short, address, place, keptWait)
@@ -94,7 +94,7 @@
 		if err != nil {
 			if failures++; failures == keptGone && up {
 				c.host.Log.Warn().Str("event", "source_gone").Str("source", key).Err(err).Msg("")
-				c.tellKept(key, c.kept.drop(key), true)
+				c.tellKept(key, c.prefixes.drop(key), true)
 				up, place = false, KeptPlace{}
 			}
 			_ = rpc.Sleep(ctx, keptPause) // the loop looks at the context
@@ -105,7 +105,7 @@
 		}
 		full := news.Snapshot || !up
 		place, failures, up = news.Place, 0, true
-		fields := c.kept.take(key, news.Kept, full)
+		fields := c.prefixes.take(key, news.Kept, full)
 		if full {
 			fields[router.KeptUp] = json.RawMessage("1")
 		}
@@ -118,9 +118,9 @@
 
 // tellKept tells the agents, and of stores the other cores, what a source keeps now.
 func (c *Core) tellKept(key string, fields register.Fields, full bool) {
-	c.data.PublishDeferred(key, fields, full)
+	c.agentUpdates.PublishDeferred(key, fields, full)
 	if isStore(key) {
-		c.cores.PublishDeferred(key, fields, full)
+		c.peerUpdates.PublishDeferred(key, fields, full)
 		c.learnShared(key, fields, full)
 	}
 }
@@ -129,8 +129,8 @@
 
 // learnShared takes what a store keeps: it was left there since others may share it. What this core has held back of it is told now.
 func (c *Core) learnShared(key string, fields register.Fields, full bool) {
-	for source, more := range c.kept.share(key, fields, full) {
-		c.data.PublishDeferred(source, more, false)
+	for source, more := range c.prefixes.share(key, fields, full) {
+		c.agentUpdates.PublishDeferred(source, more, false)
 	}
 }
 
--- a/daemon/leave.go
+++ b/daemon/leave.go
@@ -24,7 +24,7 @@
 	go func() {
 		defer end()
 		<-stopped.Done()
-		short, stop := context.WithTimeout(serving, c.options.LeaveLimit)
+		short, stop := context.WithTimeout(serving, c.options.LeaveTimeout)
 		defer stop()
 		if err := c.Leave(short); err != nil {
 			c.host.Log.Info().Str("event", "stays_member").Err(err).Msg("")
@@ -36,7 +36,7 @@
 // Leave takes this core off the list of members and waits until every key is on a majority of those that are left. It fails if the rest
 // bears losses less well without this core than with a member that is silent for a while; the core is then a member still.
 func (c *Core) Leave(ctx context.Context) error {
-	if !c.options.SelfAdmitting {
+	if !c.options.AutoMembership {
 		return apierror.New(apierror.OutOfRange, "operators change the members here")
 	}
 	c.isLeaving.Store(true) // it does not ask to be admitted again
@@ -73,7 +73,7 @@
 func (c *Core) doesWellWithout(members []config.Member, name string) bool {
 	rest := slices.DeleteFunc(slices.Clone(members), func(m config.Member) bool { return m.Name == name })
 	c.mu.Lock()
-	silent := c.silence.count(rest, liveTime)
+	silent := c.liveness.count(rest, LivenessTimeout)
 	c.mu.Unlock()
 	spare := spareOf(len(rest), silent)
 	return len(rest) >= fewest && spare >= 0 &&
--- a/daemon/listing.go
+++ b/daemon/listing.go
@@ -28,7 +28,7 @@
 
 func (l *lister) step(ctx context.Context) {
 	c := l.core
-	if !c.isDrawn(config.ReplicasKey) {
+	if !c.isAssigned(config.ReplicasKey) {
 		return
 	}
 	short, stop := context.WithTimeout(ctx, listLimit)
@@ -46,7 +46,7 @@
 		l.tried++
 		return // the next step asks it
 	}
-	if _, err := rpc.Call[struct{}](short, c.wire, c.addressOf(l.delegate), "/core/list", struct{}{}); err != nil {
+	if _, err := rpc.Call[struct{}](short, c.rpc, c.addressOf(l.delegate), "/core/list", struct{}{}); err != nil {
 		l.delegate = ""
 	}
 }
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -90,8 +90,8 @@
 
 // learnMembers takes the members from the register. A list counts once it is settled; until then the one before it does.
 func (c *Core) learnMembers() {
-	c.learning.Lock()
-	defer c.learning.Unlock()
+	c.membershipMu.Lock()
+	defer c.membershipMu.Unlock()
 	record := c.acceptor.Read(config.MembersKey)
 	if record.Revision.Version == 0 {
 		return
@@ -101,7 +101,7 @@
 	if record.IsCommitted() {
 		now.settled = &settledMembers{record.Revision, record.Fields}
 	} else {
-		raw, _ := c.disk.Get(selfFolder, membersFile) // none, or a torn one: no list is known to be settled
+		raw, _ := c.disk.Get(IdentityFolder, membersFile) // none, or a torn one: no list is known to be settled
 		if settled, _ := strconv.ParseUint(string(raw), 10, 64); settled < now.version {
 			now.version--
 			if prior != nil {
@@ -119,7 +119,7 @@
 	for i := range now.members {
 		if now.members[i].Incarnation == c.incarnation {
 			now.self = &now.members[i]
-			c.number.Store(now.self.ID)
+			c.memberID.Store(now.self.ID)
 		}
 	}
 	if record.IsCommitted() {
@@ -128,8 +128,8 @@
 	c.members.Store(&now)
 	c.mu.Lock()
 	maps.DeleteFunc(c.joiners, func(_ string, s joiner) bool { return now.hasIncarnation(s.Incarnation) }) // should it leave again, it calls no more
-	close(c.listNews)
-	c.listNews = make(chan struct{})
+	close(c.membershipChanged)
+	c.membershipChanged = make(chan struct{})
 	c.mu.Unlock()
 	c.host.Log.Info().Str("event", "members").Uint64("version", now.version).Int("members", len(now.members)).Bool("is_member", now.self != nil).Msg("")
 }
@@ -137,15 +137,15 @@
 // recordList writes down which list is settled. Without it this core has to learn that from others after a restart.
 func (c *Core) recordList(now membership) {
 	raw, _ := json.Marshal(now.settled) // plain maps always encode
-	if err := c.disk.Put(selfFolder, listFile, raw); err != nil {
+	if err := c.disk.Put(IdentityFolder, listFile, raw); err != nil {
 		c.host.Log.Warn().Str("event", "list_not_recorded").Err(err).Msg("")
 	}
-	_ = c.disk.Put(selfFolder, membersFile, []byte(strconv.FormatUint(now.version, 10))) // as above: it only spares a question
+	_ = c.disk.Put(IdentityFolder, membersFile, []byte(strconv.FormatUint(now.version, 10))) // as above: it only spares a question
 }
 
 // recallList gives the content of the list of that version if this core wrote it down, else nil.
 func (c *Core) recallList(version uint64) *settledMembers {
-	raw, err := c.disk.Get(selfFolder, listFile)
+	raw, err := c.disk.Get(IdentityFolder, listFile)
 	var list settledMembers
 	if err != nil || json.Unmarshal(raw, &list) != nil || list.Revision.Version != version {
 		return nil
@@ -193,7 +193,7 @@
 	defer timer.Stop()
 	for {
 		c.mu.Lock()
-		news := c.listNews
+		news := c.membershipChanged
 		c.mu.Unlock()
 		now := c.membership()
 		if now.version >= version {
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -74,8 +74,8 @@
 // The names under which state is stored and sent stay as they are.
 func TestStoredNamesKeepTheirForm(t *testing.T) {
 	is := is.New(t)
-	is.Equal([]string{selfFolder, incarnFile, founderFile, membersFile, silentFile, coresFile}, []string{"self", "incarnation", "founder", "members", "silent", "cores"})
-	is.Equal([]string{carryField, nextField, holdPrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
+	is.Equal([]string{IdentityFolder, incarnationFile, founderFile, membersFile, silentFile, coresFile}, []string{"self", "incarnation", "founder", "members", "silent", "cores"})
+	is.Equal([]string{carryField, nextField, ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
 	is.Equal([]string{config.Key, config.ModelsKey, config.LoadsKey, config.RetirementKey, config.ReplicasKey, config.MembersKey, config.KeysPrefix},
 		[]string{"blue" + "print", "models", "loads", "retirement", "replicas", "members", "keys/"})
 	is.Equal([]string{router.HoldKey, router.NamedKey, router.ProxiesKey, router.ReportsKey, router.KeptPrefix, router.OccupancyKey},
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -156,7 +156,7 @@
 	if n.Scope == "" || n.ID == "" {
 		return false, apierror.New(apierror.Missing, "a hold needs a scope and a mark")
 	}
-	return c.table.Merge(n, throttle.Longest), nil
+	return c.throttles.Merge(n, throttle.Longest), nil
 }
 
 // orderHold merges a proxy's throttle, tells all agents by doing so, and keeps it on a majority (§4.2).
@@ -166,13 +166,13 @@
 	}
 	c.host.Log.Info().Str("event", "hold").Str("scope", n.Scope).Str("mark", n.ID).Int64("remaining_ms", n.RemainingMs).Str("reason", n.Reason).Msg("")
 	go func() {
-		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*majorityWait)
+		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*QuorumTimeout)
 		defer stop()
-		revision, err := c.owner.Change(ctx, holdPrefix+n.Scope, func(register.Fields, uint64) (register.Fields, error) {
+		revision, err := c.owner.Change(ctx, ThrottlePrefix+n.Scope, func(register.Fields, uint64) (register.Fields, error) {
 			return config.Field("hold", n), nil
 		})
 		if err != nil {
-			c.note("hold", holdPrefix+n.Scope, revision, err)
+			c.note("hold", ThrottlePrefix+n.Scope, revision, err)
 		}
 	}()
 	return struct{}{}, nil
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -38,19 +38,19 @@
 // Query answers from this core's own state, or asks all proxies through their agents.
 func (c *Core) Query(ctx context.Context, q Query) (QueryAnswer, error) {
 	var a QueryAnswer
-	followers := c.data.ClientStates(proxyTime)
+	followers := c.agentUpdates.ClientStates(ProxyTimeout)
 	switch q.What {
 	case "holds":
-		for _, n := range c.table.All() {
+		for _, n := range c.throttles.All() {
 			a.Rows = append(a.Rows, router.Row{"scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason, router.AttemptColumn: n.Attempt,
-				"raw": n.Raw, "mark": n.ID, "observed": n.Observed, "owner": register.Pick(holdPrefix+n.Scope, c.live())})
+				"raw": n.Raw, "mark": n.ID, "observed": n.Observed, "owner": register.Pick(ThrottlePrefix+n.Scope, c.live())})
 		}
 	case "acks":
 		version := c.acceptor.Revision(config.Key)
 		for _, s := range followers {
 			var status AgentStatus
 			_ = json.Unmarshal(s.Status, &status)
-			row := router.Row{"agent": s.Name, "behind": s.Lag, "age_ms": s.AgeMs, "current": status.Current, "why": status.Why,
+			row := router.Row{"agent": s.Name, "behind": s.Lag, "age_ms": s.AgeMs, "current": status.Current, "why": status.NotCurrentReason,
 				config.Key: s.Applied[config.Key].Version, "has_newest": s.Applied[config.Key] == version, "proxy": ""}
 			if status.Proxy != nil {
 				row["proxy"] = status.Proxy.Proxy
@@ -79,7 +79,7 @@
 	case "retirement":
 		a.Rows = c.retirementRows(ctx)
 	case "daemons":
-		a.Rows = NodeRows(c.ring)
+		a.Rows = NodeRows(c.detector)
 	case "owners":
 		for _, key := range c.acceptor.Keys() {
 			r := c.acceptor.Read(key)
@@ -99,7 +99,7 @@
 		}
 	case "fields":
 		for _, key := range c.acceptor.Keys() {
-			if isForAgents(key) {
+			if IsPublished(key) {
 				record := c.acceptor.Read(key)
 				a.Rows = append(a.Rows, router.FieldRows(c.host.Name, key, record.Revision, record.Fields)...)
 			}
@@ -112,7 +112,7 @@
 				continue
 			}
 			short, stop := context.WithTimeout(ctx, 2*time.Second)
-			rows, err := rpc.Call[[]router.Row](short, c.wire, status.Address, "/agent/query", ask)
+			rows, err := rpc.Call[[]router.Row](short, c.rpc, status.Address, "/agent/query", ask)
 			stop()
 			if err != nil {
 				a.Silent = append(a.Silent, s.Name)
--- a/daemon/retire.go
+++ b/daemon/retire.go
@@ -166,9 +166,9 @@
 
 // newestPlan gives the configuration as of all that was accepted before.
 func (c *Core) newestPlan(ctx context.Context) (*config.Config, error) {
-	short, stop := context.WithTimeout(ctx, majorityWait)
+	short, stop := context.WithTimeout(ctx, QuorumTimeout)
 	defer stop()
-	newest, err := rpc.Call[SettleAnswer](short, c.wire, c.host.Address, "/op/settle", SettleOrder{Key: config.Key})
+	newest, err := rpc.Call[SettleAnswer](short, c.rpc, c.host.Address, "/op/settle", SettleOrder{Key: config.Key})
 	if err != nil {
 		return nil, err
 	}
--- a/daemon/retirer.go
+++ b/daemon/retirer.go
@@ -95,7 +95,7 @@
 		return
 	}
 	o.Expect, o.Duty = s.version, config.Duty{Holder: r.candidate.Holder(), Lease: number}
-	a, err := rpc.Call[Accepted](ctx, r.core.wire, r.core.host.Address, "/op/advance", o)
+	a, err := rpc.Call[Accepted](ctx, r.core.rpc, r.core.host.Address, "/op/advance", o)
 	if err == nil {
 		r.least = a.Version
 	}
@@ -151,7 +151,7 @@
 		return
 	}
 	o.Lease = number
-	err := postJSON(ctx, r.core.plain, replica.Address+router.AdapterPath, o)
+	err := postJSON(ctx, r.core.replicaClient, replica.Address+router.AdapterPath, o)
 	r.core.host.Log.Info().Str("event", "adapter_order").Str("replica", replica.Name).Str("do", o.Do).Str("base", o.Base).Str("adapter", o.Adapter).
 		Str("build", o.Build).Uint64("lease", number).AnErr("failure", err).Msg("")
 }
--- a/daemon/silence.go
+++ b/daemon/silence.go
@@ -36,7 +36,7 @@
 // observe takes a look at all members. A step counts for two beats at most: a core that was frozen itself has heard nobody meanwhile, and
 // that says nothing of the others.
 func (s *silence) observe(now time.Time, members []config.Member, heardOf func(config.Member) time.Time, hasMajority bool) {
-	step := min(now.Sub(s.observed), 2*beatTime)
+	step := min(now.Sub(s.observed), 2*tickInterval)
 	s.observed = now
 	if s.steady += step; !hasMajority {
 		s.steady = 0
@@ -83,7 +83,7 @@
 // replaces another in order comes first.
 func (s *silence) isReplaced(m config.Member, members []config.Member) bool {
 	return slices.ContainsFunc(members, func(newer config.Member) bool {
-		return newer.ID > m.ID && newer.Zone == m.Zone && s.of(newer) < liveTime && s.members[newer.Name].listed <= s.of(m)+replaceTime
+		return newer.ID > m.ID && newer.Zone == m.Zone && s.of(newer) < LivenessTimeout && s.members[newer.Name].listed <= s.of(m)+replaceTime
 	})
 }
 
@@ -103,40 +103,40 @@
 	hasMajority := len(c.live()) >= majorityOf(len(members))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silence.observe(time.Now(), members, func(m config.Member) time.Time {
+	c.liveness.observe(time.Now(), members, func(m config.Member) time.Time {
 		if m.Incarnation == c.incarnation {
 			return time.Now()
 		}
-		if f := c.followers[m.Name]; f != nil {
+		if f := c.peers[m.Name]; f != nil {
 			return f.FreshAsOf(m.Incarnation)
 		}
 		return time.Time{}
 	}, hasMajority)
-	if long := c.silence.longSilent(); !maps.Equal(long, c.silence.noted) {
-		c.silence.noted = long
+	if long := c.liveness.longSilent(); !maps.Equal(long, c.liveness.noted) {
+		c.liveness.noted = long
 		go c.noteSilent()
 	}
 }
 
 // noteSilent writes down who is silent; the disk is not waited for by anything else.
 func (c *Core) noteSilent() {
-	c.noting <- struct{}{}
-	defer func() { <-c.noting }()
+	c.recordingSlot <- struct{}{}
+	defer func() { <-c.recordingSlot }()
 	c.mu.Lock()
-	raw, _ := json.Marshal(c.silence.noted) // a map of strings always encodes
+	raw, _ := json.Marshal(c.liveness.noted) // a map of strings always encodes
 	c.mu.Unlock()
-	if err := c.disk.Put(selfFolder, silentFile, raw); err != nil {
+	if err := c.disk.Put(IdentityFolder, silentFile, raw); err != nil {
 		c.host.Log.Warn().Str("event", "silence_not_noted").Err(err).Msg("")
 	}
 }
 
 // recallSilent reads who was silent before this life. Without the note, or with a torn one, the count begins at zero.
 func (c *Core) recallSilent() {
-	raw, err := c.disk.Get(selfFolder, silentFile)
+	raw, err := c.disk.Get(IdentityFolder, silentFile)
 	if err == nil {
-		err = json.Unmarshal(raw, &c.silence.noted)
+		err = json.Unmarshal(raw, &c.liveness.noted)
 	}
 	if err != nil {
-		c.silence.noted = nil
+		c.liveness.noted = nil
 	}
 }
--- a/daemon/survey.go
+++ b/daemon/survey.go
@@ -50,7 +50,7 @@
 		asked.Go(func() {
 			short, stop := context.WithTimeout(ctx, reportLimit)
 			defer stop()
-			body, err := askReport(short, c.plain, router.ChatDialect{}, replica, router.Report{})
+			body, err := askReport(short, c.replicaClient, router.ChatDialect{}, replica, router.Report{})
 			if err == nil {
 				mu.Lock()
 				s.said[name] = body.Report
--- a/daemon/tolerance_test.go
+++ b/daemon/tolerance_test.go
@@ -47,19 +47,19 @@
 		now = now.Add(after)
 		s.observe(now, members, func(m config.Member) time.Time { return heard[m.Name] }, hasMajority)
 	}
-	look(beatTime, true)
+	look(tickInterval, true)
 	is.Equal(s.of(members[1]), lostTime-resumeTime) // noted by an earlier life
 	is.Equal(s.of(members[0]), time.Duration(0))
 	heard["a"], heard["b"] = now, now
-	look(beatTime, true)
+	look(tickInterval, true)
 	is.Equal(s.count(members, 1), 0)
 	look(time.Minute, true) // frozen
-	is.Equal(s.of(members[0]), 2*beatTime)
-	is.Equal(s.count(members, 2*beatTime), 2)
+	is.Equal(s.of(members[0]), 2*tickInterval)
+	is.Equal(s.count(members, 2*tickInterval), 2)
 	is.True(s.steady >= steadyTime)
-	look(beatTime, false)
+	look(tickInterval, false)
 	is.Equal(s.steady, time.Duration(0))
 	members[0].Incarnation = "3" // another disk under its name
-	look(beatTime, true)
+	look(tickInterval, true)
 	is.Equal(s.of(members[0]), time.Duration(0))
 }
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -183,8 +183,8 @@
 		defer f.mu.Unlock()
 		f.Cores[i] = c
 	}
-	if o.ClaimAge == 0 {
-		o.ClaimAge = f.Options.ClaimAge
+	if o.ClaimRetention == 0 {
+		o.ClaimRetention = f.Options.ClaimAge
 	}
 	f.mu.Lock()
 	if i == len(f.Disks) { // a machine that was not there before
--- a/sim/lagging_member_test.go
+++ b/sim/lagging_member_test.go
@@ -23,7 +23,7 @@
 		t.Run(fmt.Sprintf("restarts=%v", restarts), func(t *testing.T) {
 			t.Parallel()
 			o := numberedOptions(9400, 3)
-			o.Proxies, o.Core.SelfAdmitting = 0, false
+			o.Proxies, o.Core.AutoMembership = 0, false
 			inNumbered(t, o, func(is *is.I, f *Fleet) {
 				founders := []string{"core-1", "core-2", "core-3"}
 				f.untilMembership(10*time.Second, strings.Join(founders, " "))
@@ -59,7 +59,7 @@
 	t.Parallel()
 	o := numberedOptions(9410, 4)
 	o.Founders = append(o.Founders, At(CoreIP(3)))
-	o.Proxies, o.Core.SelfAdmitting = 0, false
+	o.Proxies, o.Core.AutoMembership = 0, false
 	inNumbered(t, o, func(is *is.I, f *Fleet) {
 		f.untilMembership(10*time.Second, allFour)
 		f.declare(0, numbered(1, 0, true, "a"))
--- a/sim/replacement_test.go
+++ b/sim/replacement_test.go
@@ -380,7 +380,7 @@
 			host, disk := f.place("core-5", CoreIP(4), "zone-1"), NewDisk()
 			host.Bootstrapped, host.Seeds = true, f.Options.Founders
 			options := f.Options.Core
-			options.LeaveLimit, options.ClaimAge = 3*time.Second, time.Hour
+			options.LeaveTimeout, options.ClaimRetention = 3*time.Second, time.Hour
 			core := must(daemon.NewCore(host, disk.Open(), options))
 			listener := must(host.Net.Listen(host.Address))
 			ctx, stop := context.WithCancel(context.Background())
