--- a/cmd/fleet/chaos.go
+++ b/cmd/fleet/chaos.go
@@ -119,7 +119,7 @@
 // try orders a change of the members under whatever faults there are; what does not come about is made good at the end.
 func (c *chaos) try(do, name string) {
 	for range 6 {
-		if _, err := c.order(c.ctx, "members", daemon.MembersOrder{Do: do, Name: name}); err == nil {
+		if _, err := c.order(c.ctx, "members", daemon.MembershipChange{Do: do, Name: name}); err == nil {
 			return
 		}
 		after(c.ctx, 500*time.Millisecond)
--- a/cmd/fleet/faults.go
+++ b/cmd/fleet/faults.go
@@ -270,7 +270,7 @@
 			name, _ := row["name"].(string)
 			member := row["state"] == "member"
 			if member && (joiners[name] || row["live"] != true) {
-				_, _ = f.order(ctx, "members", daemon.MembersOrder{Do: "retire", Name: name})
+				_, _ = f.order(ctx, "members", daemon.MembershipChange{Do: "retire", Name: name})
 				return false
 			}
 			if member {
@@ -279,7 +279,7 @@
 		}
 		for name := range joiners {
 			if joiners[name] && count < 4 {
-				_, _ = f.order(ctx, "members", daemon.MembersOrder{Do: "admit", Name: name.(string)})
+				_, _ = f.order(ctx, "members", daemon.MembershipChange{Do: "admit", Name: name.(string)})
 				return false
 			}
 		}
--- a/cmd/fleet/scripts.go
+++ b/cmd/fleet/scripts.go
@@ -249,7 +249,7 @@
 	began := time.Now()
 	for _, do := range []string{"retire", "admit"} {
 		err := eventually(ctx, 20*time.Second, do+" core-3", func() bool {
-			_, err := f.order(ctx, "members", daemon.MembersOrder{Do: do, Name: "core-3"})
+			_, err := f.order(ctx, "members", daemon.MembershipChange{Do: do, Name: "core-3"})
 			return err == nil
 		})
 		if err != nil {
--- a/cmd/shell/parse.go
+++ b/cmd/shell/parse.go
@@ -311,7 +311,7 @@
 		return r.retireModel(err)
 	}
 	name, err := r.name("name")
-	return command{order: "members", body: &daemon.MembersOrder{Do: verb, Name: name}}, err
+	return command{order: "members", body: &daemon.MembershipChange{Do: verb, Name: name}}, err
 }
 
 func (r *reader) apply(partial bool) (command, error) {
--- a/daemon/acceptors.go
+++ b/daemon/acceptors.go
@@ -84,12 +84,12 @@
 		return apierror.New(apierror.NoMember, "the asker is no member")
 	}
 	if m.Members > now.version {
-		now = c.awaitList(m.Members) // the asker has heard a moment sooner that a list is settled
+		now = c.awaitMembership(m.Members) // the asker has heard a moment sooner that a list is settled
 	}
 	if m.Members > now.version && c.refreshMu.TryLock() {
 		go func() { // what follows from here says nothing of it while a change is under way that is not settled
 			defer c.refreshMu.Unlock()
-			c.callOnMembers(context.Background(), now)
+			c.announce(context.Background(), now)
 		}()
 	}
 	if m.Members != now.version {
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -115,7 +115,7 @@
 	outer.Handle("POST /agent/query", rpc.Handler(fleet, a.query))
 	outer.Handle("POST /core/hello", rpc.Handler(fleet, a.hello))
 	rpc.HandleReady(outer, func() bool { return a.remaining() > 0 })
-	go Every(ctx, helloTime, func() { a.discover(ctx) })
+	go Every(ctx, HelloInterval, func() { a.discover(ctx) })
 	go Every(ctx, keptStep, a.changeReaders)
 	go a.ring.Run(ctx)
 	go Every(ctx, time.Minute, func() { a.table.Prune(time.Hour) })
@@ -131,7 +131,7 @@
 		for _, s := range a.source.ClientStates(LivenessTimeout) {
 			ok = ok || s.Role == "proxy"
 		}
-		if !ok || rpc.Sleep(context.Background(), helloTime) != nil {
+		if !ok || rpc.Sleep(context.Background(), HelloInterval) != nil {
 			return
 		}
 	}
--- a/daemon/agent_currency.go
+++ b/daemon/agent_currency.go
@@ -101,7 +101,7 @@
 			sent = append(sent, f.FreshAsOf(m.Incarnation))
 		}
 	}
-	majority := majorityOf(len(list))
+	majority := Majority(len(list))
 	if len(sent) < majority {
 		return time.Time{}
 	}
@@ -118,7 +118,7 @@
 				count++
 			}
 		}
-		if count < majorityOf(len(list)) {
+		if count < Majority(len(list)) {
 			return false
 		}
 	}
@@ -138,7 +138,7 @@
 				lacking++
 			}
 		}
-		if len(list)-lacking >= majorityOf(len(list)) {
+		if len(list)-lacking >= Majority(len(list)) {
 			return true
 		}
 	}
@@ -167,7 +167,7 @@
 			a.source.Publish(key, best, best, held.Fields, true)
 			a.host.Log.Info().Str("event", "applied").Str("key", key).Uint64("epoch", best.Epoch).Uint64("version", best.Version).Msg("")
 			if key == config.MembersKey {
-				a.members, a.prior, _ = readMembers(held.Fields)
+				a.members, a.prior, _ = ReadMembers(held.Fields)
 				a.keepCores()
 			}
 		}
--- a/daemon/bounds.go
+++ b/daemon/bounds.go
@@ -55,6 +55,6 @@
 func (b Bounds) Core() CoreOptions {
 	return CoreOptions{
 		ClaimRetention: time.Hour, AutoMembership: true, Lease: b.Lease, WatchWait: 200 * time.Millisecond,
-		Tolerance: b.Tolerance, LeaveTimeout: min(leaveLimit, b.Grace/2),
+		Tolerance: b.Tolerance, LeaveTimeout: min(maxLeaveTimeout, b.Grace/2),
 	}
 }
--- a/daemon/carry.go
+++ b/daemon/carry.go
@@ -11,32 +11,32 @@
 	"asterridge/rpc"
 )
 
-// carried notes which keys are known to be on a majority of the list of that version. What is written later is written under that list, so
+// transferProgress notes which keys are known to be on a majority of the list of that version. What is written later is written under that list, so
 // a key stays carried.
-type carried struct {
+type transferProgress struct {
 	version uint64
 	keys    map[string]bool
 }
 
-// carry has every key settled on a majority of the new list, and then says so in the list; only then may it change again (§2.8).
-func (c *Core) carry(ctx context.Context) {
+// transferKeys has every key settled on a majority of the new list, and then says so in the list; only then may it change again (§2.8).
+func (c *Core) transferKeys(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
-	if record.Fields[carryField] == nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.transferMu.TryLock() {
+	if record.Fields[previousMembersField] == nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.transferMu.TryLock() {
 		return
 	}
 	go func() {
 		defer c.transferMu.Unlock()
 		if c.transferred.version != record.Revision.Version {
-			c.transferred = carried{record.Revision.Version, map[string]bool{}}
+			c.transferred = transferProgress{record.Revision.Version, map[string]bool{}}
 		}
-		if !c.carryKeys(ctx) {
+		if !c.transferPending(ctx) {
 			return // the next beat goes on with those that are left
 		}
 		revision, err := c.owner.Change(ctx, config.MembersKey, func(now register.Fields, version uint64) (register.Fields, error) {
-			if now[carryField] == nil || version != record.Revision.Version {
+			if now[previousMembersField] == nil || version != record.Revision.Version {
 				return nil, apierror.New(apierror.Conflict, "the list has changed meanwhile")
 			}
-			return register.Fields{carryField: nil}, nil
+			return register.Fields{previousMembersField: nil}, nil
 		})
 		c.note("carried", config.MembersKey, revision, err)
 		if err == nil {
@@ -45,10 +45,10 @@
 	}()
 }
 
-// carryKeys carries the keys that are left, and says whether none is left then; c.carrying is held.
-func (c *Core) carryKeys(ctx context.Context) bool {
+// transferPending carries the keys that are left, and says whether none is left then; c.carrying is held.
+func (c *Core) transferPending(ctx context.Context) bool {
 	var left []string
-	for key := range c.allRegisters() {
+	for key := range c.knownKeys() {
 		if key != config.MembersKey && !c.transferred.keys[key] {
 			left = append(left, key)
 		}
@@ -72,8 +72,8 @@
 	return failed == 0
 }
 
-// allRegisters are the keys of this core and of those that it follows.
-func (c *Core) allRegisters() map[string]bool {
+// knownKeys are the keys of this core and of those that it follows.
+func (c *Core) knownKeys() map[string]bool {
 	keys := map[string]bool{}
 	for _, key := range c.acceptor.Keys() {
 		keys[key] = true
--- a/daemon/catchup.go
+++ b/daemon/catchup.go
@@ -9,14 +9,14 @@
 	"asterridge/watch"
 )
 
-// keysAtOnce is how many keys are caught up or carried over at the same time.
-const keysAtOnce = 32
+// maxConcurrentKeys is how many keys are caught up or carried over at the same time.
+const maxConcurrentKeys = 32
 
 // forEachKey does something for each key, a bounded number at a time, and says for how many it failed.
 func forEachKey(keys []string, do func(key string) error) int {
 	var all sync.WaitGroup
 	var failed atomic.Int64
-	room := make(chan struct{}, keysAtOnce)
+	room := make(chan struct{}, maxConcurrentKeys)
 	for _, key := range keys {
 		room <- struct{}{}
 		all.Go(func() {
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -54,21 +54,21 @@
 	isDamaged     atomic.Bool // a torn file: this core's word counts for nobody until it has caught up (§2.5)
 	membershipMu  sync.Mutex
 	transferMu    sync.Mutex
-	transferred   carried // with carrying
+	transferred   transferProgress // with carrying
 	reconcileMu   sync.Mutex
-	refreshMu     sync.Mutex                 // held while the members are asked for a newer list
-	recordingSlot chan struct{}              // of one place, held while who is silent is written down
-	members       atomic.Pointer[membership] // nil until the fleet is founded
-	memberID      atomic.Uint32              // this core's among the members; no longer a member, it keeps the number, which nobody is given again
+	refreshMu     sync.Mutex                          // held while the members are asked for a newer list
+	recordingSlot chan struct{}                       // of one place, held while who is silent is written down
+	members       atomic.Pointer[committedMembership] // nil until the fleet is founded
+	memberID      atomic.Uint32                       // this core's among the members; no longer a member, it keeps the number, which nobody is given again
 
 	isLeaving atomic.Bool
 	caughtUp  atomic.Bool // at the last beat: a majority was heard, and all that it has settled is here
 
-	declare       func(context.Context, config.Declaration) (Accepted, error)
-	name          func(context.Context, ModelOrder) (Accepted, error)
-	loads         func(context.Context, register.Fields) (Accepted, error)
-	resolve       func(context.Context, SettleOrder) (SettleAnswer, error)
-	changeMembers func(context.Context, MembersOrder) (Accepted, error)
+	declare                func(context.Context, config.Declaration) (Accepted, error)
+	name                   func(context.Context, ModelOrder) (Accepted, error)
+	loads                  func(context.Context, register.Fields) (Accepted, error)
+	resolve                func(context.Context, SettleOrder) (SettleAnswer, error)
+	submitMembershipChange func(context.Context, MembershipChange) (Accepted, error)
 
 	prefixes          keptNews
 	loggedFailures    sync.Map // keys whose catching up has failed, as the log has it
@@ -81,7 +81,7 @@
 	bootstrapContacts map[string]string        // founding: address → incarnation
 	uncommittedSince  map[string]time.Time
 	joiners           map[string]joiner // by name: cores that would be members
-	liveness          silence           // of the members
+	liveness          livenessTracker   // of the members
 	membershipChanged chan struct{}     // closed when another list of members counts
 	wakeups           chan struct{}     // holds one if a beat is asked for
 	proxies           register.Fields
@@ -120,7 +120,7 @@
 	if err := c.loadIdentity(); err != nil {
 		return nil, err
 	}
-	c.recallSilent()
+	c.loadUnresponsive()
 	var err error
 	c.acceptor, err = register.OpenAcceptor(register.AcceptorOptions{Disk: d, OnChange: c.publishAccepted, OnSkipped: func(folder, file string, err error) {
 		host.Log.Warn().Str("event", "file_left_out").Str("folder", folder).Str("file", file).Err(err).Msg("")
@@ -130,7 +130,7 @@
 	}
 	c.isDamaged.Store(c.acceptor.IsDamaged())
 	c.owner = register.NewOwner(register.OwnerOptions{
-		MemberID: c.memberID.Load, Acceptor: c.acceptor, Peers: c.acceptors, Timeout: QuorumTimeout,
+		MemberID: c.memberID.Load, Acceptor: c.acceptor, Peers: c.memberAcceptors, Timeout: QuorumTimeout,
 	})
 	for _, key := range c.acceptor.Keys() {
 		if scope, isHold := strings.CutPrefix(key, ThrottlePrefix); isHold {
@@ -138,7 +138,7 @@
 		}
 	}
 	c.publishModelVersions(c.acceptor.Read(config.ModelsKey).Fields)
-	c.learnMembers()
+	c.applyMembers()
 	return c, nil
 }
 
@@ -182,7 +182,7 @@
 	}
 	if key == config.MembersKey && c.acceptor != nil {
 		go func() {
-			c.learnMembers()
+			c.applyMembers()
 			c.wake()
 		}()
 	}
@@ -244,7 +244,7 @@
 func (c *Core) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	go c.found(ctx)
+	go c.bootstrap(ctx)
 	go c.runTicks(ctx)
 	handler := c.handler()
 	go c.runDuties(ctx)
@@ -258,7 +258,7 @@
 
 func (c *Core) handler() http.Handler {
 	mux, fleet := http.NewServeMux(), c.host.Fleet
-	mux.Handle("POST /core/hello", rpc.Handler(fleet, c.hello))
+	mux.Handle("POST /core/hello", rpc.Handler(fleet, c.handleHello))
 	mux.Handle("POST /core/pull", rpc.Handler(fleet, c.agentUpdates.Watch))
 	mux.Handle("POST /core/whole", rpc.Handler(fleet, c.peerUpdates.Watch))
 	mux.Handle("POST /core/hold", rpc.Handler(fleet, c.shareHold))
@@ -271,7 +271,7 @@
 	mux.Handle("POST /query", rpc.Handler(fleet, c.Query))
 	rpc.HandleReady(mux, func() bool {
 		now := c.membership()
-		return now.self != nil && len(c.live()) >= majorityOf(len(now.members))
+		return now.self != nil && len(c.live()) >= Majority(len(now.members))
 	})
 	if c.options.Backend != nil {
 		mux.Handle("POST /core/list", rpc.Handler(fleet, c.listFor))
@@ -282,7 +282,7 @@
 	registerOperation(mux, c, "claim", func(o ClaimOrder) string { return claimGroup(o) }, c.orderClaim, true)
 	registerOperation(mux, c, "hold", func(n throttle.Notice) string { return ThrottlePrefix + n.Scope }, c.orderHold, true)
 	registerOperation(mux, c, "term", func(o LeaseOrder) string { return leasePrefix + o.Duty }, c.orderLease, false)
-	c.changeMembers = registerOperation(mux, c, "members", func(MembersOrder) string { return config.MembersKey }, c.orderMembers, false)
+	c.submitMembershipChange = registerOperation(mux, c, "members", func(MembershipChange) string { return config.MembersKey }, c.applyMembershipChange, false)
 	c.resolve = registerOperation(mux, c, "settle", func(o SettleOrder) string { return o.Key }, c.orderSettle, true)
 	c.declare = registerOperation(mux, c, "declaration", func(config.Declaration) string { return config.Key }, c.orderDeclaration, true)
 	c.name = registerOperation(mux, c, "models", func(ModelOrder) string { return config.ModelsKey }, c.orderModel, true)
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -70,17 +70,17 @@
 	}
 	hasSnapshot := failed == 0 && fresh > len(now.members)/2
 	news := c.caughtUp.Swap(hasSnapshot) != hasSnapshot
-	c.watchSilence(now.members)
+	c.observeLiveness(now.members)
 	if now.self == nil {
 		if hasSnapshot && news && !c.isLeaving.Load() {
-			go c.callOnMembers(ctx, now)
+			go c.announce(ctx, now)
 		}
 		return // a joiner follows, and has no other part
 	}
 	c.commitOverdue(ctx)
-	c.carry(ctx)
+	c.transferKeys(ctx)
 	if c.options.AutoMembership {
-		c.tendMembers(ctx)
+		c.reconcileMembership(ctx)
 	}
 	c.publishProxies()
 	c.throttles.Prune(time.Hour)
--- a/daemon/declare.go
+++ b/daemon/declare.go
@@ -87,15 +87,15 @@
 	return err
 }
 
-// tendMembers admits joiners and retires members that are lost, one change at a time (§2.8). Only the member that would own the list tries;
+// reconcileMembership admits joiners and retires members that are lost, one change at a time (§2.8). Only the member that would own the list tries;
 // every guard of the order itself stands.
-func (c *Core) tendMembers(ctx context.Context) {
+func (c *Core) reconcileMembership(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
-	if record.Fields[carryField] != nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name {
+	if record.Fields[previousMembersField] != nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name {
 		return
 	}
-	members, _, _ := readMembers(record.Fields)
-	order, wanted := c.nextMember(members)
+	members, _, _ := ReadMembers(record.Fields)
+	order, wanted := c.nextMembershipChange(members)
 	if !wanted || !c.reconcileMu.TryLock() {
 		return
 	}
@@ -103,18 +103,18 @@
 		defer c.reconcileMu.Unlock()
 		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
 		defer stop()
-		if _, err := c.orderMembers(short, order); err == nil { // a failure is logged there; the next step looks again
+		if _, err := c.applyMembershipChange(short, order); err == nil { // a failure is logged there; the next step looks again
 			c.wake()
 		}
 	}()
 }
 
-// nextMember gives the change of members that is due.
-func (c *Core) nextMember(members []config.Member) (MembersOrder, bool) {
+// nextMembershipChange gives the change of members that is due.
+func (c *Core) nextMembershipChange(members []config.Member) (MembershipChange, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.joiners {
-		if time.Since(s.at) > joinerTime/3 {
+		if time.Since(s.heardAt) > joinerTimeout/3 {
 			continue
 		}
 		member, isClash := false, ""
@@ -127,40 +127,40 @@
 		switch {
 		case member:
 		case isClash != "":
-			return MembersOrder{Do: doRetire, Name: isClash, Lost: s.Incarnation}, true
-		case s.HasSnapshot:
-			return MembersOrder{Do: doAdmit, Name: s.Name}, true
+			return MembershipChange{Do: removeMember, Name: isClash, Lost: s.Incarnation}, true
+		case s.CaughtUp:
+			return MembershipChange{Do: admitMember, Name: s.Name}, true
 		}
 	}
-	if c.liveness.steady >= steadyTime {
+	if c.liveness.quorumSince >= stableQuorumTime {
 		for _, m := range members {
 			if c.isLost(m, members) {
-				return MembersOrder{Do: doRetire, Name: m.Name}, true
+				return MembershipChange{Do: removeMember, Name: m.Name}, true
 			}
 		}
 	}
-	return MembersOrder{}, false
+	return MembershipChange{}, false
 }
 
 // isLost says whether a member has been silent for so long that it is to be retired: one that another came for, or one without whom the
 // others bear the tolerated losses, or more losses than with it once all that are lost like it are retired. c.mu is held.
 func (c *Core) isLost(m config.Member, members []config.Member) bool {
-	quiet := c.liveness.of(m)
-	if quiet < replaceTime {
+	quiet := c.liveness.unresponsiveFor(m)
+	if quiet < replacementTimeout {
 		return false
 	}
 	if c.liveness.isReplaced(m, members) {
 		return true
 	}
-	if quiet < lostTime {
+	if quiet < removalTimeout {
 		return false
 	}
 	rest := slices.DeleteFunc(slices.Clone(members), func(other config.Member) bool { return other.Name == m.Name })
-	if len(rest) < fewest {
+	if len(rest) < minMembers {
 		return false
 	}
-	silent := c.liveness.count(members, LivenessTimeout)
-	retired := min(c.liveness.count(members, lostTime), len(members)-fewest)
-	return spareOf(len(rest), silent-1) >= c.options.Tolerance.losses(rest) ||
-		spareOf(len(members)-retired, silent-retired) > spareOf(len(members), silent)
+	silent := c.liveness.countUnresponsive(members, LivenessTimeout)
+	retired := min(c.liveness.countUnresponsive(members, removalTimeout), len(members)-minMembers)
+	return SpareLosses(len(rest), silent-1) >= c.options.Tolerance.Losses(rest) ||
+		SpareLosses(len(members)-retired, silent-retired) > SpareLosses(len(members), silent)
 }
--- a/daemon/found.go
+++ b/daemon/found.go
@@ -17,56 +17,56 @@
 
 // Hello is what daemons tell each other before they know more (§2.6).
 type Hello struct {
-	Name        string            `json:"name"`
-	Role        string            `json:"role"`
-	Address     string            `json:"address"`
-	Zone        string            `json:"zone"`
-	Incarnation string            `json:"incarnation"`
-	Met         map[string]string `json:"met,omitempty"`       // founding: address → incarnation
-	MayFound    bool              `json:"may_found,omitempty"` // its disk is from the fleet's very first start
-	Members     []config.Member   `json:"members,omitempty"`
-	List        *settledMembers   `json:"list,omitempty"`  // the members as they stand in their register
-	HasSnapshot bool              `json:"image,omitempty"` // of a joiner: it has all that a majority has settled
+	Name              string            `json:"name"`
+	Role              string            `json:"role"`
+	Address           string            `json:"address"`
+	Zone              string            `json:"zone"`
+	Incarnation       string            `json:"incarnation"`
+	BootstrapContacts map[string]string `json:"met,omitempty"`       // founding: address → incarnation
+	MayBootstrap      bool              `json:"may_found,omitempty"` // its disk is from the fleet's very first start
+	Members           []config.Member   `json:"members,omitempty"`
+	MembersRecord     *MembersRecord    `json:"list,omitempty"`  // the members as they stand in their register
+	CaughtUp          bool              `json:"image,omitempty"` // of a joiner: it has all that a majority has settled
 }
 
-const helloTime = 200 * time.Millisecond
+const HelloInterval = 200 * time.Millisecond
 
-func (c *Core) ownHello() Hello {
+func (c *Core) helloMessage() Hello {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.membership()
 	return Hello{
 		Name: c.host.Name, Role: "core", Address: c.host.Address, Zone: c.host.Zone, Incarnation: c.incarnation,
-		Met: maps.Clone(c.bootstrapContacts), MayFound: c.mayBootstrap, Members: now.members, List: now.settled, HasSnapshot: c.caughtUp.Load(),
+		BootstrapContacts: maps.Clone(c.bootstrapContacts), MayBootstrap: c.mayBootstrap, Members: now.members, MembersRecord: now.record, CaughtUp: c.caughtUp.Load(),
 	}
 }
 
-// hello answers with who this core is, and notes a joiner that would be a member.
-func (c *Core) hello(_ context.Context, h Hello) (Hello, error) {
+// handleHello answers with who this core is, and notes a joiner that would be a member.
+func (c *Core) handleHello(_ context.Context, h Hello) (Hello, error) {
 	if now := c.membership(); h.Role == "core" && now.self != nil && !now.hasIncarnation(h.Incarnation) {
 		c.mu.Lock()
 		before := c.joiners[h.Name]
 		c.joiners[h.Name] = joiner{h, time.Now()}
 		c.mu.Unlock()
-		if before.Incarnation != h.Incarnation || before.HasSnapshot != h.HasSnapshot {
+		if before.Incarnation != h.Incarnation || before.CaughtUp != h.CaughtUp {
 			c.wake()
 		}
 	}
-	return c.ownHello(), nil
+	return c.helloMessage(), nil
 }
 
-// found makes the first list of members, once all four founders tell the same (§2.6).
-func (c *Core) found(ctx context.Context) {
-	told := false
-	Every(ctx, helloTime, func() {
+// bootstrap makes the first list of members, once all four founders tell the same (§2.6).
+func (c *Core) bootstrap(ctx context.Context) {
+	logged := false
+	Every(ctx, HelloInterval, func() {
 		if now := c.membership(); len(now.members) > 0 {
 			if now.self == nil && !c.isLeaving.Load() {
-				if !told {
+				if !logged {
 					c.host.Log.Warn().Str("event", "not_a_member").Str("incarnation", c.incarnation).
 						Str("hint", "shell: admit core "+c.host.Name).Msg("")
 				}
-				told = true
-				c.callOnMembers(ctx, now)
+				logged = true
+				c.announce(ctx, now)
 			}
 			return
 		}
@@ -75,26 +75,26 @@
 			founders = append([]string{c.host.Address}, c.host.Seeds...)
 		}
 		founder := c.mayBootstrap && slices.Contains(founders, c.host.Address)
-		met := map[string]string{c.host.Address: c.incarnation}
+		contacts := map[string]string{c.host.Address: c.incarnation}
 		hellos := []Hello{{Name: c.host.Name, Address: c.host.Address, Zone: c.host.Zone, Incarnation: c.incarnation}}
-		for h := range c.askAround(ctx, founders) {
+		for h := range c.contactSeeds(ctx, founders) {
 			if len(h.Members) > 0 {
-				c.adoptMembers(h.Members)
+				c.adoptBootstrapMembers(h.Members)
 				return
 			}
 			if h.Role == "core" && slices.Contains(founders, h.Address) {
-				met[h.Address] = h.Incarnation
+				contacts[h.Address] = h.Incarnation
 				hellos = append(hellos, h)
 			}
 		}
 		c.mu.Lock()
-		c.bootstrapContacts = met
+		c.bootstrapContacts = contacts
 		c.mu.Unlock()
-		if !founder || len(met) != len(founders) {
+		if !founder || len(contacts) != len(founders) {
 			return
 		}
 		for _, h := range hellos[1:] {
-			if !h.MayFound || !maps.Equal(h.Met, met) {
+			if !h.MayBootstrap || !maps.Equal(h.BootstrapContacts, contacts) {
 				return
 			}
 		}
@@ -104,15 +104,15 @@
 			members = append(members, config.Member{ID: uint32(i + 1), Name: h.Name, Address: h.Address, Zone: h.Zone, Incarnation: h.Incarnation})
 		}
 		c.host.Log.Info().Str("event", "founded").Int("members", len(members)).Msg("")
-		c.adoptMembers(members)
+		c.adoptBootstrapMembers(members)
 	})
 }
 
-// firstRevision is the revision of the founders' list; all founders write the same content under it.
-var firstRevision = register.Revision{Epoch: 1, Version: 1}
+// bootstrapRevision is the revision of the founders' list; all founders write the same content under it.
+var bootstrapRevision = register.Revision{Epoch: 1, Version: 1}
 
-// adoptMembers keeps the founders' list if this core is on it; else it only notes where the members are.
-func (c *Core) adoptMembers(members []config.Member) {
+// adoptBootstrapMembers keeps the founders' list if this core is on it; else it only notes where the members are.
+func (c *Core) adoptBootstrapMembers(members []config.Member) {
 	fields := register.Fields{}
 	listed := false
 	for _, m := range members {
@@ -121,40 +121,40 @@
 		listed = listed || m.Incarnation == c.incarnation
 	}
 	if !listed {
-		c.followMembers(members)
+		c.observeMembers(members)
 		return
 	}
-	err := c.acceptor.Adopt(config.MembersKey, firstRevision, fields)
+	err := c.acceptor.Adopt(config.MembersKey, bootstrapRevision, fields)
 	if err != nil {
 		c.host.Log.Error().Str("event", "founding_failed").Err(apierror.Wrap(err, apierror.DiskFailed, "members")).Msg("")
 		return
 	}
-	c.learnMembers()
+	c.applyMembers()
 }
 
-// followMembers has this core follow members that were told to it, unless it has become one of them meanwhile.
-func (c *Core) followMembers(members []config.Member) {
+// observeMembers has this core follow members that were told to it, unless it has become one of them meanwhile.
+func (c *Core) observeMembers(members []config.Member) {
 	c.membershipMu.Lock()
 	defer c.membershipMu.Unlock()
 	if c.membership().self == nil {
-		c.members.Store(&membership{members: members})
+		c.members.Store(&committedMembership{members: members})
 		c.wake()
 	}
 }
 
-// askAround says hello to the founders, the seeds and all that the ring has heard of, at once; who is silent holds up nobody for longer
+// contactSeeds says hello to the founders, the seeds and all that the ring has heard of, at once; who is silent holds up nobody for longer
 // than a second.
-func (c *Core) askAround(ctx context.Context, founders []string) <-chan Hello {
+func (c *Core) contactSeeds(ctx context.Context, founders []string) <-chan Hello {
 	asked := slices.Concat(founders, c.host.Seeds)
 	for _, d := range c.detector.Nodes()[1:] {
 		asked = append(asked, d.Address)
 	}
 	slices.Sort(asked)
-	return c.helloAll(ctx, slices.Compact(asked), Hello{})
+	return c.broadcastHello(ctx, slices.Compact(asked), Hello{})
 }
 
-// helloAll says hello to all at once; the channel closes after the last answer.
-func (c *Core) helloAll(ctx context.Context, addresses []string, own Hello) <-chan Hello {
+// broadcastHello says hello to all at once; the channel closes after the last answer.
+func (c *Core) broadcastHello(ctx context.Context, addresses []string, own Hello) <-chan Hello {
 	answers := make(chan Hello, len(addresses))
 	var all sync.WaitGroup
 	for _, address := range addresses {
@@ -173,16 +173,16 @@
 	return answers
 }
 
-// callOnMembers makes this core known to the members, as a joiner if it is none, and takes over the list that they tell.
-func (c *Core) callOnMembers(ctx context.Context, now membership) {
+// announce makes this core known to the members, as a joiner if it is none, and takes over the list that they tell.
+func (c *Core) announce(ctx context.Context, now committedMembership) {
 	var addresses []string
 	for _, m := range now.members {
 		addresses = append(addresses, m.Address)
 	}
-	for h := range c.helloAll(ctx, addresses, c.ownHello()) {
-		c.adoptList(h.List)
+	for h := range c.broadcastHello(ctx, addresses, c.helloMessage()) {
+		c.adoptMembership(h.MembersRecord)
 		if len(h.Members) > 0 {
-			c.followMembers(h.Members)
+			c.observeMembers(h.Members)
 		}
 	}
 }
--- a/daemon/leave.go
+++ b/daemon/leave.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	leaveStep  = 50 * time.Millisecond
-	leaveLimit = 3 * time.Second // of the grace that a core has to end in order
+	leavePollInterval = 50 * time.Millisecond
+	maxLeaveTimeout   = 3 * time.Second // of the grace that a core has to end in order
 )
 
 // ServeUntilStopped runs the core until stopped ends. It then leaves the list of members, if the rest does as well without it, and goes on
@@ -41,41 +41,41 @@
 	}
 	c.isLeaving.Store(true) // it does not ask to be admitted again
 	for {
-		hasLeft, err := c.leaveStep(ctx)
+		hasLeft, err := c.tryLeave(ctx)
 		if hasLeft || err != nil && !apierror.Is(err, apierror.Conflict) && !apierror.Is(err, apierror.Undecided) && !apierror.Is(err, apierror.Unreachable) && !apierror.Is(err, apierror.NotFound) {
 			return err
 		}
-		if rpc.Sleep(ctx, leaveStep) != nil {
+		if rpc.Sleep(ctx, leavePollInterval) != nil {
 			return apierror.New(apierror.Undecided, "no time is left to leave the members")
 		}
 	}
 }
 
-// leaveStep does what is next for leaving, and says whether that is done.
-func (c *Core) leaveStep(ctx context.Context) (hasLeft bool, err error) {
+// tryLeave does what is next for leaving, and says whether that is done.
+func (c *Core) tryLeave(ctx context.Context) (hasLeft bool, err error) {
 	record := c.acceptor.Read(config.MembersKey)
-	members, prior, _ := readMembers(record.Fields)
+	members, prior, _ := ReadMembers(record.Fields)
 	listed := slices.ContainsFunc(members, func(m config.Member) bool { return m.Incarnation == c.incarnation })
 	switch {
 	case !record.IsCommitted() || prior != nil:
 		return false, nil // a change, our own perhaps, is under way
 	case !listed:
 		return true, nil
-	case !c.doesWellWithout(members, c.host.Name):
+	case !c.mayLeave(members, c.host.Name):
 		return false, apierror.New(apierror.OutOfRange, "%d members would be left", len(members)-1)
 	}
-	_, err = c.changeMembers(ctx, MembersOrder{Do: doLeave, Name: c.host.Name})
+	_, err = c.submitMembershipChange(ctx, MembershipChange{Do: leaveMember, Name: c.host.Name})
 	return false, err
 }
 
-// doesWellWithout says whether a member that runs may leave: the rest then bears the tolerated losses, or at least more of them than the
+// mayLeave says whether a member that runs may leave: the rest then bears the tolerated losses, or at least more of them than the
 // list would with this member silent.
-func (c *Core) doesWellWithout(members []config.Member, name string) bool {
+func (c *Core) mayLeave(members []config.Member, name string) bool {
 	rest := slices.DeleteFunc(slices.Clone(members), func(m config.Member) bool { return m.Name == name })
 	c.mu.Lock()
-	silent := c.liveness.count(rest, LivenessTimeout)
+	silent := c.liveness.countUnresponsive(rest, LivenessTimeout)
 	c.mu.Unlock()
-	spare := spareOf(len(rest), silent)
-	return len(rest) >= fewest && spare >= 0 &&
-		(spare >= c.options.Tolerance.losses(rest) || spare > spareOf(len(members), silent+1))
+	spare := SpareLosses(len(rest), silent)
+	return len(rest) >= minMembers && spare >= 0 &&
+		(spare >= c.options.Tolerance.Losses(rest) || spare > SpareLosses(len(members), silent+1))
 }
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -14,22 +14,22 @@
 	"asterridge/register"
 )
 
-// membership is the list of members that this core acts on, with its version (§2.8).
-type membership struct {
+// committedMembership is the list of members that this core acts on, with its version (§2.8).
+type committedMembership struct {
 	version uint64
 	members []config.Member
-	self    *config.Member  // nil while this core is no member
-	settled *settledMembers // the register's content that the list is read from; nil if this core does not know it
+	self    *config.Member // nil while this core is no member
+	record  *MembersRecord // the register's content that the list is read from; nil if this core does not know it
 }
 
-// settledMembers is a settled content of the members' register. A core keeps it beside a newer change that is not settled yet, in memory and
+// MembersRecord is a settled content of the members' register. A core keeps it beside a newer change that is not settled yet, in memory and
 // on its disk, and hands it on: a member that lags may know of no list that names it, and the others cannot settle the change without it.
-type settledMembers struct {
+type MembersRecord struct {
 	Revision register.Revision `json:"stamp"`
 	Fields   register.Fields   `json:"fields"`
 }
 
-func (c membership) has(name, address string) bool {
+func (c committedMembership) has(name, address string) bool {
 	for _, m := range c.members {
 		if m.Name == name && m.Address == address {
 			return true
@@ -38,37 +38,37 @@
 	return false
 }
 
-func (c membership) hasIncarnation(incarnation string) bool {
+func (c committedMembership) hasIncarnation(incarnation string) bool {
 	return slices.ContainsFunc(c.members, func(m config.Member) bool { return m.Incarnation == incarnation })
 }
 
 // joiner is a core that is no member, as it last said of itself.
 type joiner struct {
 	Hello
-	at time.Time
+	heardAt time.Time
 }
 
 const (
-	membersFile = "members" // the version of the newest list that is known to be settled
-	listFile    = "list"    // that list's content
-	carryField  = "~carry"  // the list before, until every key is on a majority of the new one
-	nextField   = "~next"   // the highest number that a member ever had
-	fewest      = 3
-	fewestLost  = 2 // where a disk is gone for sure: the list is the weaker for it already
-	most        = 15
-	mostNumber  = 1<<register.MemberBits - 1 // that a member can have: 16 million in the life of a fleet
-	joinerTime  = 3 * time.Second
-	listWait    = 500 * time.Millisecond
+	membershipVersionFile = "members" // the version of the newest list that is known to be settled
+	membershipFile        = "list"    // that list's content
+	previousMembersField  = "~carry"  // the list before, until every key is on a majority of the new one
+	highestIDField        = "~next"   // the highest number that a member ever had
+	minMembers            = 3
+	minMembersAfterLoss   = 2 // where a disk is gone for sure: the list is the weaker for it already
+	maxMembers            = 15
+	maxMemberID           = 1<<register.MemberBits - 1 // that a member can have: 16 million in the life of a fleet
+	joinerTimeout         = 3 * time.Second
+	membershipWait        = 500 * time.Millisecond
 )
 
-// readMembers takes apart the members' register.
-func readMembers(fields register.Fields) (members, prior []config.Member, highest uint32) {
+// ReadMembers takes apart the members' register.
+func ReadMembers(fields register.Fields) (members, prior []config.Member, highest uint32) {
 	for name, raw := range fields {
 		var m config.Member
 		switch {
-		case name == carryField:
+		case name == previousMembersField:
 			_ = json.Unmarshal(raw, &prior) // a broken one is as none: the members are then all there is
-		case name == nextField:
+		case name == highestIDField:
 			_ = json.Unmarshal(raw, &highest)
 		case json.Unmarshal(raw, &m) == nil:
 			members = append(members, m)
@@ -81,33 +81,33 @@
 	return members, prior, highest
 }
 
-func (c *Core) membership() membership {
+func (c *Core) membership() committedMembership {
 	if now := c.members.Load(); now != nil {
 		return *now
 	}
-	return membership{}
+	return committedMembership{}
 }
 
-// learnMembers takes the members from the register. A list counts once it is settled; until then the one before it does.
-func (c *Core) learnMembers() {
+// applyMembers takes the members from the register. A list counts once it is settled; until then the one before it does.
+func (c *Core) applyMembers() {
 	c.membershipMu.Lock()
 	defer c.membershipMu.Unlock()
 	record := c.acceptor.Read(config.MembersKey)
 	if record.Revision.Version == 0 {
 		return
 	}
-	members, prior, _ := readMembers(record.Fields)
-	now := membership{version: record.Revision.Version, members: members}
+	members, prior, _ := ReadMembers(record.Fields)
+	now := committedMembership{version: record.Revision.Version, members: members}
 	if record.IsCommitted() {
-		now.settled = &settledMembers{record.Revision, record.Fields}
+		now.record = &MembersRecord{record.Revision, record.Fields}
 	} else {
-		raw, _ := c.disk.Get(IdentityFolder, membersFile) // none, or a torn one: no list is known to be settled
+		raw, _ := c.disk.Get(IdentityFolder, membershipVersionFile) // none, or a torn one: no list is known to be settled
 		if settled, _ := strconv.ParseUint(string(raw), 10, 64); settled < now.version {
 			now.version--
 			if prior != nil {
 				now.members = prior
 			}
-			now.settled = c.recallList(now.version)
+			now.record = c.recordedMembership(now.version)
 		} else {
 			c.acceptor.Commit(config.MembersKey, record.Revision) // known before this life: the others are to learn it from here
 		}
@@ -123,7 +123,7 @@
 		}
 	}
 	if record.IsCommitted() {
-		go c.recordList(now) // after a restart only: neither a slow nor a failing disk holds anything up here
+		go c.recordMembership(now) // after a restart only: neither a slow nor a failing disk holds anything up here
 	}
 	c.members.Store(&now)
 	c.mu.Lock()
@@ -134,32 +134,32 @@
 	c.host.Log.Info().Str("event", "members").Uint64("version", now.version).Int("members", len(now.members)).Bool("is_member", now.self != nil).Msg("")
 }
 
-// recordList writes down which list is settled. Without it this core has to learn that from others after a restart.
-func (c *Core) recordList(now membership) {
-	raw, _ := json.Marshal(now.settled) // plain maps always encode
-	if err := c.disk.Put(IdentityFolder, listFile, raw); err != nil {
+// recordMembership writes down which list is settled. Without it this core has to learn that from others after a restart.
+func (c *Core) recordMembership(now committedMembership) {
+	raw, _ := json.Marshal(now.record) // plain maps always encode
+	if err := c.disk.Put(IdentityFolder, membershipFile, raw); err != nil {
 		c.host.Log.Warn().Str("event", "list_not_recorded").Err(err).Msg("")
 	}
-	_ = c.disk.Put(IdentityFolder, membersFile, []byte(strconv.FormatUint(now.version, 10))) // as above: it only spares a question
+	_ = c.disk.Put(IdentityFolder, membershipVersionFile, []byte(strconv.FormatUint(now.version, 10))) // as above: it only spares a question
 }
 
-// recallList gives the content of the list of that version if this core wrote it down, else nil.
-func (c *Core) recallList(version uint64) *settledMembers {
-	raw, err := c.disk.Get(IdentityFolder, listFile)
-	var list settledMembers
+// recordedMembership gives the content of the list of that version if this core wrote it down, else nil.
+func (c *Core) recordedMembership(version uint64) *MembersRecord {
+	raw, err := c.disk.Get(IdentityFolder, membershipFile)
+	var list MembersRecord
 	if err != nil || json.Unmarshal(raw, &list) != nil || list.Revision.Version != version {
 		return nil
 	}
 	return &list
 }
 
-// adoptList takes over a settled list that another core knows, if it is newer and names this core. Who is not on it learns no content of
+// adoptMembership takes over a settled list that another core knows, if it is newer and names this core. Who is not on it learns no content of
 // registers by it: a core that only follows the members takes that from their links.
-func (c *Core) adoptList(list *settledMembers) {
+func (c *Core) adoptMembership(list *MembersRecord) {
 	if list == nil || list.Revision.Version <= c.membership().version {
 		return
 	}
-	members, _, _ := readMembers(list.Fields)
+	members, _, _ := ReadMembers(list.Fields)
 	if !slices.ContainsFunc(members, func(m config.Member) bool { return m.Incarnation == c.incarnation }) {
 		return
 	}
@@ -167,11 +167,11 @@
 		c.host.Log.Error().Str("event", "list_not_adopted").Err(err).Msg("")
 		return
 	}
-	c.learnMembers()
+	c.applyMembers()
 }
 
-// acceptors is the owner's view: all members' acceptors as of the present list.
-func (c *Core) acceptors() (register.Peers, error) {
+// memberAcceptors is the owner's view: all members' acceptors as of the present list.
+func (c *Core) memberAcceptors() (register.Peers, error) {
 	now := c.membership()
 	if now.self == nil {
 		return nil, apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
@@ -187,9 +187,9 @@
 	return all, nil
 }
 
-// awaitList waits a short while until this core acts on a list of that version.
-func (c *Core) awaitList(version uint64) membership {
-	timer := time.NewTimer(listWait)
+// awaitMembership waits a short while until this core acts on a list of that version.
+func (c *Core) awaitMembership(version uint64) committedMembership {
+	timer := time.NewTimer(membershipWait)
 	defer timer.Stop()
 	for {
 		c.mu.Lock()
@@ -209,35 +209,35 @@
 
 // The changes of the list of members.
 const (
-	doAdmit  = "admit"
-	doRetire = "retire"
-	doLeave  = "leave"
+	admitMember  = "admit"
+	removeMember = "retire"
+	leaveMember  = "leave"
 )
 
-// MembersOrder admits a core that calls on the members, or retires a member.
-type MembersOrder struct {
+// MembershipChange admits a core that calls on the members, or retires a member.
+type MembershipChange struct {
 	Do   string `json:"do"` // "admit", "retire", or "leave" by the member itself
 	Name string `json:"name"`
 	Lost string `json:"lost,omitempty"` // the incarnation that stands at the member's place now: its disk is gone for sure
 }
 
-// orderMembers changes the list by one, under its guards.
-func (c *Core) orderMembers(ctx context.Context, o MembersOrder) (Accepted, error) {
+// applyMembershipChange changes the list by one, under its guards.
+func (c *Core) applyMembershipChange(ctx context.Context, o MembershipChange) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.MembersKey, func(now register.Fields, _ uint64) (register.Fields, error) {
-		members, prior, highest := readMembers(now)
+		members, prior, highest := ReadMembers(now)
 		if prior != nil {
 			return nil, apierror.New(apierror.Conflict, "the change of members before is not carried through yet")
 		}
 		change := register.Fields{}
 		switch o.Do {
-		case doAdmit:
-			made, err := c.admissible(o.Name, members, highest)
+		case admitMember:
+			made, err := c.newMember(o.Name, members, highest)
 			if err != nil {
 				return nil, err
 			}
 			change = config.Field(o.Name, made)
-			change[nextField] = json.RawMessage(strconv.Itoa(int(made.ID)))
-		case doRetire:
+			change[highestIDField] = json.RawMessage(strconv.Itoa(int(made.ID)))
+		case removeMember:
 			if now[o.Name] == nil {
 				return nil, apierror.New(apierror.NotFound, "no member %q", o.Name)
 			}
@@ -247,45 +247,45 @@
 					live++
 				}
 			}
-			least := fewest
+			least := minMembers
 			if o.Lost != "" {
-				least = fewestLost
+				least = minMembersAfterLoss
 			}
-			if left := len(members) - 1; left < least || live < majorityOf(left) {
+			if left := len(members) - 1; left < least || live < Majority(left) {
 				return nil, apierror.New(apierror.OutOfRange, "%d members would be left, %d of them live: too few", left, live)
 			}
 			change[o.Name] = nil
-			change[nextField] = json.RawMessage(strconv.Itoa(int(highest)))
-		case doLeave:
+			change[highestIDField] = json.RawMessage(strconv.Itoa(int(highest)))
+		case leaveMember:
 			if now[o.Name] == nil {
 				return nil, apierror.New(apierror.NotFound, "no member %q", o.Name)
 			}
-			if !c.doesWellWithout(members, o.Name) {
+			if !c.mayLeave(members, o.Name) {
 				return nil, apierror.New(apierror.OutOfRange, "%d members would be left: too few", len(members)-1)
 			}
 			change[o.Name] = nil
-			change[nextField] = json.RawMessage(strconv.Itoa(int(highest)))
+			change[highestIDField] = json.RawMessage(strconv.Itoa(int(highest)))
 		default:
 			return nil, apierror.New(apierror.OutOfRange, "%q is none of admit, retire and leave", o.Do)
 		}
-		change[carryField], _ = json.Marshal(members) // plain structs always encode
+		change[previousMembersField], _ = json.Marshal(members) // plain structs always encode
 		return change, nil
 	})
 	c.note("members", config.MembersKey, revision, err)
 	return Accepted{revision.Version}, err
 }
 
-// admissible makes a member of a joiner that calls on us and has caught up.
-func (c *Core) admissible(name string, members []config.Member, highest uint32) (config.Member, error) {
+// newMember makes a member of a joiner that calls on us and has caught up.
+func (c *Core) newMember(name string, members []config.Member, highest uint32) (config.Member, error) {
 	c.mu.Lock()
 	s, ok := c.joiners[name]
 	c.mu.Unlock()
 	switch {
-	case !ok || time.Since(s.at) > joinerTime:
+	case !ok || time.Since(s.heardAt) > joinerTimeout:
 		return config.Member{}, apierror.New(apierror.NotFound, "no core %q calls on us to be admitted", name)
-	case !s.HasSnapshot:
+	case !s.CaughtUp:
 		return config.Member{}, apierror.New(apierror.Behind, "%s has no full snapshot of the keys yet", name)
-	case len(members) >= most || highest == mostNumber:
+	case len(members) >= maxMembers || highest == maxMemberID:
 		return config.Member{}, apierror.New(apierror.OutOfRange, "there are %d members", len(members))
 	}
 	for _, m := range members {
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -38,7 +38,7 @@
 		{Name: "POST /op/claim, /agent/claim", Type: ClaimOrder{}},
 		{Name: "POST /op/claim: answer", Type: router.Claim{}},
 		{Name: "POST /op/term", Type: LeaseOrder{}},
-		{Name: "POST /op/members", Type: MembersOrder{}},
+		{Name: "POST /op/members", Type: MembershipChange{}},
 		{Name: "POST /op/settle", Type: SettleOrder{}},
 		{Name: "POST /op/settle: answer", Type: SettleAnswer{}},
 		{Name: "POST /op/declaration", Type: config.Declaration{}},
@@ -74,8 +74,8 @@
 // The names under which state is stored and sent stay as they are.
 func TestStoredNamesKeepTheirForm(t *testing.T) {
 	is := is.New(t)
-	is.Equal([]string{IdentityFolder, incarnationFile, founderFile, membersFile, silentFile, coresFile}, []string{"self", "incarnation", "founder", "members", "silent", "cores"})
-	is.Equal([]string{carryField, nextField, ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
+	is.Equal([]string{IdentityFolder, incarnationFile, founderFile, membershipVersionFile, unresponsiveFile, coresFile}, []string{"self", "incarnation", "founder", "members", "silent", "cores"})
+	is.Equal([]string{previousMembersField, highestIDField, ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
 	is.Equal([]string{config.Key, config.ModelsKey, config.LoadsKey, config.RetirementKey, config.ReplicasKey, config.MembersKey, config.KeysPrefix},
 		[]string{"blue" + "print", "models", "loads", "retirement", "replicas", "members", "keys/"})
 	is.Equal([]string{router.HoldKey, router.NamedKey, router.ProxiesKey, router.ReportsKey, router.KeptPrefix, router.OccupancyKey},
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -65,14 +65,14 @@
 		for _, m := range c.membership().members {
 			a.Rows = append(a.Rows, router.Row{"id": m.ID, "name": m.Name, "address": m.Address, "zone": m.Zone, "live": live[m.Name], "state": "member"})
 		}
-		if c.acceptor.Read(config.MembersKey).Fields[carryField] != nil {
+		if c.acceptor.Read(config.MembersKey).Fields[previousMembersField] != nil {
 			a.Rows = append(a.Rows, router.Row{"name": "(keys are being carried over to this list)", "state": "carrying"})
 		}
 		c.mu.Lock()
 		for _, s := range c.joiners {
 			admitted := slices.ContainsFunc(c.membership().members, func(m config.Member) bool { return m.Incarnation == s.Incarnation })
-			if time.Since(s.at) < joinerTime && !admitted {
-				a.Rows = append(a.Rows, router.Row{"name": s.Name, "address": s.Address, "zone": s.Zone, "live": true, "state": router.JoinerState, "image": s.HasSnapshot})
+			if time.Since(s.heardAt) < joinerTimeout && !admitted {
+				a.Rows = append(a.Rows, router.Row{"name": s.Name, "address": s.Address, "zone": s.Zone, "live": true, "state": router.JoinerState, "image": s.CaughtUp})
 			}
 		}
 		c.mu.Unlock()
--- a/daemon/tolerance.go
+++ b/daemon/tolerance.go
@@ -14,8 +14,8 @@
 	RegionOf map[string]string // by zone
 }
 
-// losses is the largest number of these members that the tolerance lets go at once.
-func (t Tolerance) losses(members []config.Member) int {
+// Losses is the largest number of these members that the tolerance lets go at once.
+func (t Tolerance) Losses(members []config.Member) int {
 	byZone, byRegion := map[string]int{}, map[string]int{}
 	for _, m := range members {
 		byZone[m.Zone]++
@@ -40,8 +40,8 @@
 	return sum
 }
 
-// majorityOf is the least number of members that is more than half of them.
-func majorityOf(members int) int { return members/2 + 1 }
+// Majority is the least number of members that is more than half of them.
+func Majority(members int) int { return members/2 + 1 }
 
-// spareOf is how many more members may be lost before a list of this size, of whom some are silent already, has no majority.
-func spareOf(members, silent int) int { return members - silent - majorityOf(members) }
+// SpareLosses is how many more members may be lost before a list of this size, of whom some are silent already, has no majority.
+func SpareLosses(members, unresponsive int) int { return members - unresponsive - Majority(members) }
--- a/sim/chaos_test.go
+++ b/sim/chaos_test.go
@@ -406,7 +406,7 @@
 func (c *chaos) try(do, name string) {
 	for range 4 {
 		for _, core := range c.cores() {
-			if _, err := c.Order(core, "members", daemon.MembersOrder{Do: do, Name: name}); err == nil {
+			if _, err := c.Order(core, "members", daemon.MembershipChange{Do: do, Name: name}); err == nil {
 				return
 			}
 		}
