--- a/cmd/fleet/chaos.go
+++ b/cmd/fleet/chaos.go
@@ -82,12 +82,12 @@
 func (c *chaos) say(name, state string) {
 	pool, _, _ := strings.Cut(name, "-")
 	c.orders.Wait()
-	c.tell("replicas", daemon.ReplicasOrder{Text: fmt.Appendf(nil, `{"replicas":[{"name":%q,"address":%q,"pool":%q,"zone":"zone-1","limit":8,"state":%q}]}`,
+	c.tell("replicas", daemon.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[{"name":%q,"address":%q,"pool":%q,"zone":"zone-1","limit":8,"state":%q}]}`,
 		name, c.replicas[name], pool, state)})
 }
 
 func (c *chaos) partial(format string, args ...any) {
-	c.tell(config.Key, daemon.ConfigOrder{Partial: true, Text: fmt.Appendf(nil, format, args...)})
+	c.tell(config.Key, daemon.ConfigChange{Partial: true, Text: fmt.Appendf(nil, format, args...)})
 }
 
 // wipe loses a core's disk and starts the core anew, as a joiner.
--- a/cmd/fleet/retire.go
+++ b/cmd/fleet/retire.go
@@ -67,7 +67,7 @@
 }
 
 func move(ctx context.Context, f *fleet, disturb func(w *retirementWatcher) error) error {
-	if _, err := f.order(ctx, config.Key, daemon.ConfigOrder{Text: []byte(adapters), Partial: true}); err != nil {
+	if _, err := f.order(ctx, config.Key, daemon.ConfigChange{Text: []byte(adapters), Partial: true}); err != nil {
 		return err
 	}
 	w := &retirementWatcher{fleet: f, began: time.Now(), shown: map[string]string{}}
--- a/cmd/hollow/fleet.go
+++ b/cmd/hollow/fleet.go
@@ -241,7 +241,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = rpc.Call[daemon.Accepted](ctx, f.wire, f.cores.started.Addresses[0], "/op/replicas", daemon.ReplicasOrder{Text: text})
+	_, err = rpc.Call[daemon.Accepted](ctx, f.wire, f.cores.started.Addresses[0], "/op/replicas", daemon.ReplicasChange{Text: text})
 	return err
 }
 
@@ -302,7 +302,7 @@
 		go func() {
 			for time.Now().Before(end) {
 				key := fmt.Sprintf("%d.%d.%d", i, taken[i], rand.Uint64())
-				o := daemon.ClaimOrder{Claim: router.Claim{Tenant: "tenant-001", Key: key, Nonce: key, State: "running"}, Proxy: "proxy-001.x"}
+				o := daemon.ClaimRequest{Claim: router.Claim{Tenant: "tenant-001", Key: key, Nonce: key, State: "running"}, Proxy: "proxy-001.x"}
 				address := f.cores.started.Addresses[(i+taken[i])%coreCount]
 				if _, err := rpc.Call[struct{}](ctx, f.wire, address, "/op/claim", o); err != nil {
 					results <- err
--- a/cmd/shell/main.go
+++ b/cmd/shell/main.go
@@ -140,7 +140,7 @@
 	if !json.Valid(text) {
 		return apierror.New(apierror.Malformed, "%s is not JSON", c.file)
 	}
-	c.body.(*daemon.ConfigOrder).Text = text
+	c.body.(*daemon.ConfigChange).Text = text
 	return nil
 }
 
--- a/cmd/shell/parse.go
+++ b/cmd/shell/parse.go
@@ -238,7 +238,7 @@
 
 func partial(doc any, named string) command {
 	raw, _ := json.Marshal(doc) // maps of plain values always encode
-	return command{order: config.Key, body: &daemon.ConfigOrder{Text: raw, Partial: true, Named: named}}
+	return command{order: config.Key, body: &daemon.ConfigChange{Text: raw, Partial: true, NameCondition: named}}
 }
 
 func (r *reader) declare(verb string) (command, error) {
@@ -299,7 +299,7 @@
 		return command{}, err
 	}
 	tenant, err := r.name("tenant")
-	return command{order: "keys", body: &daemon.KeyOrder{Tenant: tenant, Hash: config.HashKey(key), Revoked: revoked}}, err
+	return command{order: "keys", body: &daemon.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(key), Revoked: revoked}}, err
 }
 
 func (r *reader) members(verb string) (command, error) {
@@ -319,7 +319,7 @@
 	if err != nil {
 		return command{}, err
 	}
-	o := &daemon.ConfigOrder{Partial: partial}
+	o := &daemon.ConfigChange{Partial: partial}
 	if !r.isEnd() {
 		if _, err := r.word("expect"); err != nil {
 			return command{}, err
@@ -332,7 +332,7 @@
 		if bad != nil {
 			return command{}, syntaxError(t.at, "%q is no version", t.text)
 		}
-		o.Expect = &version
+		o.ExpectedVersion = &version
 	}
 	return command{order: config.Key, body: o, file: file}, nil
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -183,7 +183,7 @@
 func tell(ctx context.Context, wire *rpc.Client, cores []string, text []byte, log zerolog.Logger) bool {
 	for _, core := range cores {
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
-		a, err := rpc.Call[daemon.Accepted](short, wire, core, "/op/replicas", daemon.ReplicasOrder{Text: text})
+		a, err := rpc.Call[daemon.Accepted](short, wire, core, "/op/replicas", daemon.ReplicasChange{Text: text})
 		stop()
 		if err == nil {
 			log.Info().Str("event", "told").Str("core", core).Uint64("version", a.Version).Msg("")
--- a/daemon/agent_calls.go
+++ b/daemon/agent_calls.go
@@ -61,14 +61,14 @@
 
 // claim passes a claim on to its group's owner.
 func (a *Agent) claim(ctx context.Context, q router.Claim) (struct{}, error) {
-	o := ClaimOrder{Claim: q}
+	o := ClaimRequest{Claim: q}
 	for _, s := range a.source.ClientStates(ProxyTimeout) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
 			o.Proxy = p.Proxy + "." + p.Run
 		}
 	}
-	return callCores[struct{}](ctx, a, claimGroup(o), "/op/claim", o, func(err error) bool {
+	return callCores[struct{}](ctx, a, ClaimGroup(o), "/op/claim", o, func(err error) bool {
 		return apierror.Is(err, apierror.Unreachable) || apierror.Is(err, apierror.NoMajority) || apierror.Is(err, apierror.Undecided) || apierror.Is(err, apierror.Superseded)
 	})
 }
--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -67,8 +67,8 @@
 	go Every(ctx, loadStep, func() { l.step(ctx) })
 }
 
-// orderLoads writes reservations of the loader.
-func (c *Core) orderLoads(ctx context.Context, change register.Fields) (Accepted, error) {
+// applyLoads writes reservations of the loader.
+func (c *Core) applyLoads(ctx context.Context, change register.Fields) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.LoadsKey, func(register.Fields, uint64) (register.Fields, error) { return change, nil })
 	return Accepted{revision.Version}, err
 }
@@ -204,8 +204,8 @@
 	}
 	short, stop := context.WithTimeout(ctx, QuorumTimeout)
 	defer stop()
-	_, err := c.loads(short, change)
-	c.note("loads", config.LoadsKey, c.acceptor.Revision(config.LoadsKey), err)
+	_, err := c.submitLoads(short, change)
+	c.logOutcome("loads", config.LoadsKey, c.acceptor.Revision(config.LoadsKey), err)
 }
 
 // survey gives what is to be loaded, in an order that all holders agree on, and the reservations of replicas that are gone.
--- a/daemon/carry.go
+++ b/daemon/carry.go
@@ -38,7 +38,7 @@
 			}
 			return register.Fields{previousMembersField: nil}, nil
 		})
-		c.note("carried", config.MembersKey, revision, err)
+		c.logOutcome("carried", config.MembersKey, revision, err)
 		if err == nil {
 			c.wake() // for the next change of members; after a failure the next step is soon enough
 		}
@@ -57,7 +57,7 @@
 	failed := forEachKey(left, func(key string) error {
 		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
 		defer stop()
-		_, err := rpc.Call[SettleAnswer](short, c.rpc, c.host.Address, "/op/settle", SettleOrder{Key: key, Carry: true})
+		_, err := rpc.Call[CommitResponse](short, c.rpc, c.host.Address, "/op/settle", CommitRequest{Key: key, Rewrite: true})
 		if err != nil {
 			c.host.Log.Warn().Str("event", "carry_failed").Str("key", key).Err(err).Msg("")
 			return err
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -14,80 +14,80 @@
 	"asterridge/router"
 )
 
-// ClaimOrder is a proxy's claim with what tells whether the proxy still runs.
-type ClaimOrder struct {
+// ClaimRequest is a proxy's claim with what tells whether the proxy still runs.
+type ClaimRequest struct {
 	router.Claim
 	Proxy string `json:"proxy"`
 }
 
 // The states of a claim, in the words of router.Claim.
 const (
-	claimRunning = "running"
-	claimRan     = "ran"
-	claimFree    = "free"
+	claimRunning  = "running"
+	claimExecuted = "ran"
+	claimReleased = "free"
 )
 
 // claimRecord is a claim on disk. One that was given back stays for a while, so that a late copy of its taking is known for what it is.
 type claimRecord struct {
-	Nonce string   `json:"nonce"`
-	State string   `json:"state"`
-	Proxy string   `json:"proxy"`
-	Freed []string `json:"freed,omitempty"` // requests before this one that gave the key back
+	Nonce    string   `json:"nonce"`
+	State    string   `json:"state"`
+	Proxy    string   `json:"proxy"`
+	Released []string `json:"freed,omitempty"` // requests before this one that gave the key back
 }
 
 const (
-	claimGroups  = 64
-	claimsPrefix = "claims/"
-	freedMost    = 8           // requests remembered as having given a key back
-	freedAge     = time.Minute // for which a key that was given back is remembered; messages are never so late
+	claimGroups       = 64
+	claimsPrefix      = "claims/"
+	maxReleased       = 8           // requests remembered as having given a key back
+	releasedRetention = time.Minute // for which a key that was given back is remembered; messages are never so late
 )
 
-func claimField(o ClaimOrder) string { return config.HashKey(o.Tenant + "\x00" + o.Key) }
+func ClaimField(o ClaimRequest) string { return config.HashKey(o.Tenant + "\x00" + o.Key) }
 
-func claimGroup(o ClaimOrder) string {
-	return fmt.Sprintf(claimsPrefix+"%02d", register.Weight(claimField(o), "")%claimGroups)
+func ClaimGroup(o ClaimRequest) string {
+	return fmt.Sprintf(claimsPrefix+"%02d", register.Weight(ClaimField(o), "")%claimGroups)
 }
 
-// orderClaim takes, settles or gives back a caller's key (§5.5).
-func (c *Core) orderClaim(ctx context.Context, o ClaimOrder) (struct{}, error) {
-	_, err := c.owner.Change(ctx, claimGroup(o), func(now register.Fields, _ uint64) (register.Fields, error) {
-		return o.apply(now, c.isRunning)
+// applyClaim takes, settles or gives back a caller's key (§5.5).
+func (c *Core) applyClaim(ctx context.Context, o ClaimRequest) (struct{}, error) {
+	_, err := c.owner.Change(ctx, ClaimGroup(o), func(now register.Fields, _ uint64) (register.Fields, error) {
+		return o.change(now, c.isRunning)
 	})
 	return struct{}{}, err
 }
 
-// apply gives the change that a claim makes. A request's claim only goes from running to one of the other states, and each message may come
+// change gives the change that a claim makes. A request's claim only goes from running to one of the other states, and each message may come
 // twice, late, and behind the next one.
-func (o ClaimOrder) apply(now register.Fields, running func(proxy string) bool) (register.Fields, error) {
-	field := claimField(o)
+func (o ClaimRequest) change(now register.Fields, running func(proxy string) bool) (register.Fields, error) {
+	field := ClaimField(o)
 	var before claimRecord
 	ok := now[field] != nil && json.Unmarshal(now[field], &before) == nil
 	own := ok && before.Nonce == o.Nonce
-	free := !ok || before.State == claimFree
-	freed := own && free || slices.Contains(before.Freed, o.Nonce)
-	record := claimRecord{Nonce: o.Nonce, State: o.State, Proxy: o.Proxy, Freed: before.Freed}
+	free := !ok || before.State == claimReleased
+	freed := own && free || slices.Contains(before.Released, o.Nonce)
+	record := claimRecord{Nonce: o.Nonce, State: o.State, Proxy: o.Proxy, Released: before.Released}
 	switch {
 	case freed && o.State == claimRunning:
 		return nil, apierror.New(apierror.NoClaim, "this request has given the key back")
 	case own && before.State != claimRunning, own && o.State == claimRunning:
-		return nil, before.stands(o, running)
+		return nil, before.rejection(o, running)
 	case free && ok: // another request gave it back
-		record.Freed = append(slices.Clone(before.Freed), before.Nonce)
-		record.Freed = record.Freed[max(0, len(record.Freed)-freedMost):]
+		record.Released = append(slices.Clone(before.Released), before.Nonce)
+		record.Released = record.Released[max(0, len(record.Released)-maxReleased):]
 		return config.Field(field, record), nil
 	case free, own:
 		return config.Field(field, record), nil
 	}
-	return nil, before.stands(o, running)
+	return nil, before.rejection(o, running)
 }
 
-// stands answers a message that changes nothing.
-func (r claimRecord) stands(o ClaimOrder, running func(proxy string) bool) error {
+// rejection answers a message that changes nothing.
+func (r claimRecord) rejection(o ClaimRequest, running func(proxy string) bool) error {
 	own := r.Nonce == o.Nonce
 	switch {
 	case o.State != claimRunning, own && r.State == claimRunning:
 		return nil
-	case r.State == claimRan:
+	case r.State == claimExecuted:
 		return apierror.New(apierror.KeyRan, "an earlier request with this key ran")
 	case r.State == claimRunning && running(r.Proxy):
 		return apierror.New(apierror.InProgress, "another request with this key is in progress")
@@ -124,25 +124,25 @@
 				since = time.Now()
 			}
 			known[request] = since
-			if age := time.Since(since); age > c.options.ClaimRetention || claim.State == claimFree && age > freedAge {
+			if age := time.Since(since); age > c.options.ClaimRetention || claim.State == claimReleased && age > releasedRetention {
 				old[field] = raw
 			}
 		}
 		if len(old) > 0 {
-			revision, err := c.owner.Change(ctx, key, func(now register.Fields, _ uint64) (register.Fields, error) { return unchanged(old, now), nil })
-			c.note("claims_pruned", key, revision, err)
+			revision, err := c.owner.Change(ctx, key, func(now register.Fields, _ uint64) (register.Fields, error) { return removeUnchanged(old, now), nil })
+			c.logOutcome("claims_pruned", key, revision, err)
 		}
 	}
 	c.claimsSeen = known
 }
 
-// unchanged gives the removal of the fields that still are as they were seen.
-func unchanged(seen, now register.Fields) register.Fields {
-	gone := register.Fields{}
+// removeUnchanged gives the removal of the fields that still are as they were seen.
+func removeUnchanged(seen, now register.Fields) register.Fields {
+	removed := register.Fields{}
 	for field, raw := range seen {
 		if string(now[field]) == string(raw) {
-			gone[field] = nil
+			removed[field] = nil
 		}
 	}
-	return gone
+	return removed
 }
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -104,7 +104,7 @@
 			go func() {
 				short, stop := context.WithTimeout(ctx, QuorumTimeout)
 				defer stop()
-				_, _ = rpc.Call[SettleAnswer](short, c.rpc, c.addressOf(owner), "/own/settle", SettleOrder{Key: key, Has: c.acceptor.Revision(key)})
+				_, _ = rpc.Call[CommitResponse](short, c.rpc, c.addressOf(owner), "/own/settle", CommitRequest{Key: key, Accepted: c.acceptor.Revision(key)})
 			}()
 		}
 	}
--- a/daemon/declare.go
+++ b/daemon/declare.go
@@ -12,8 +12,8 @@
 	"asterridge/rpc"
 )
 
-// orderDeclaration takes a numbered configuration (§2.9). The same one again is answered as it was the first time.
-func (c *Core) orderDeclaration(ctx context.Context, d config.Declaration) (Accepted, error) {
+// applyNumberedConfig takes a numbered configuration (§2.9). The same one again is answered as it was the first time.
+func (c *Core) applyNumberedConfig(ctx context.Context, d config.Declaration) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.Key, func(now register.Fields, version uint64) (register.Fields, error) {
 		change, err := config.Declare(now, version, d)
 		if err == nil && len(change) > 0 && now["hold"] == nil && c.options.Throttle != nil {
@@ -21,19 +21,19 @@
 		}
 		return change, err
 	})
-	c.note("declaration", config.Key, revision, err)
+	c.logOutcome("declaration", config.Key, revision, err)
 	return Accepted{revision.Version}, err
 }
 
-// Declare takes a numbered configuration to the configuration's owner; nil error means that a majority has it.
-func (c *Core) Declare(ctx context.Context, d config.Declaration) error {
-	_, err := c.declare(ctx, d)
+// SubmitConfig takes a numbered configuration to the configuration's owner; nil error means that a majority has it.
+func (c *Core) SubmitConfig(ctx context.Context, d config.Declaration) error {
+	_, err := c.submitNumberedConfig(ctx, d)
 	return err
 }
 
-// Declared gives the newest accepted configuration: no older one than any that was accepted before the call.
-func (c *Core) Declared(ctx context.Context) (number uint64, texts []config.Text, err error) {
-	newest, err := c.resolve(ctx, SettleOrder{Key: config.Key})
+// ReadConfig gives the newest accepted configuration: no older one than any that was accepted before the call.
+func (c *Core) ReadConfig(ctx context.Context) (number uint64, texts []config.Text, err error) {
+	newest, err := c.submitCommit(ctx, CommitRequest{Key: config.Key})
 	if err != nil {
 		return 0, nil, err
 	}
@@ -60,13 +60,13 @@
 	}
 }
 
-// ModelOrder names a version of a model, which its replicas are to load.
-type ModelOrder struct {
+// ModelVersionChange names a version of a model, which its replicas are to load.
+type ModelVersionChange struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 }
 
-func (c *Core) orderModel(ctx context.Context, o ModelOrder) (Accepted, error) {
+func (c *Core) applyModelVersion(ctx context.Context, o ModelVersionChange) (Accepted, error) {
 	if o.Model == "" || o.Version == 0 {
 		return Accepted{}, apierror.New(apierror.Missing, "a model's version needs the model and a number from 1")
 	}
@@ -77,13 +77,13 @@
 		}
 		return config.Field(o.Model, config.Model{Version: o.Version}), nil
 	})
-	c.note("model", config.ModelsKey, revision, err)
+	c.logOutcome("model", config.ModelsKey, revision, err)
 	return Accepted{revision.Version}, err
 }
 
-// Name takes a model's version to the owner; nil error means that a majority has it.
-func (c *Core) Name(ctx context.Context, o ModelOrder) error {
-	_, err := c.name(ctx, o)
+// PublishModelVersion takes a model's version to the owner; nil error means that a majority has it.
+func (c *Core) PublishModelVersion(ctx context.Context, o ModelVersionChange) error {
+	_, err := c.submitModelVersion(ctx, o)
 	return err
 }
 
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -19,15 +19,15 @@
 	rolloutHurry = 9 * time.Second // after this all replicas that are left are told at once
 )
 
-// LeaseOrder writes a duty's grant in the place of the one that its asker met.
-type LeaseOrder struct {
-	Duty string      `json:"duty"`
-	Made lease.Grant `json:"made"`
-	Met  lease.Grant `json:"met"`
+// LeaseRequest writes a duty's grant in the place of the one that its asker met.
+type LeaseRequest struct {
+	Role     string      `json:"duty"`
+	Grant    lease.Grant `json:"made"`
+	Expected lease.Grant `json:"met"`
 }
 
-func (c *Core) orderLease(ctx context.Context, o LeaseOrder) (Accepted, error) {
-	revision, err := c.owner.Change(ctx, leasePrefix+o.Duty, o.Made.Replace(o.Met))
+func (c *Core) grantLease(ctx context.Context, o LeaseRequest) (Accepted, error) {
+	revision, err := c.owner.Change(ctx, leasePrefix+o.Role, o.Grant.Replace(o.Expected))
 	return Accepted{revision.Version}, err
 }
 
@@ -40,7 +40,7 @@
 }
 
 func (b leaseStore) Acquire(ctx context.Context, duty string, made, met lease.Grant) (uint64, error) {
-	a, err := rpc.Call[Accepted](ctx, b.core.rpc, b.core.host.Address, "/op/term", LeaseOrder{duty, made, met})
+	a, err := rpc.Call[Accepted](ctx, b.core.rpc, b.core.host.Address, "/op/term", LeaseRequest{duty, made, met})
 	return a.Version, err
 }
 
--- a/daemon/listing.go
+++ b/daemon/listing.go
@@ -80,6 +80,6 @@
 		}
 		return config.Delta(now, fields), nil
 	})
-	c.note("replicas", config.ReplicasKey, revision, err)
+	c.logOutcome("replicas", config.ReplicasKey, revision, err)
 	return err
 }
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -271,7 +271,7 @@
 		change[previousMembersField], _ = json.Marshal(members) // plain structs always encode
 		return change, nil
 	})
-	c.note("members", config.MembersKey, revision, err)
+	c.logOutcome("members", config.MembersKey, revision, err)
 	return Accepted{revision.Version}, err
 }
 
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -10,12 +10,12 @@
 	"asterridge/throttle"
 )
 
-// ConfigOrder is a whole or partial configuration from an operator.
-type ConfigOrder struct {
-	Text    json.RawMessage `json:"text"`
-	Partial bool            `json:"partial"`
-	Expect  *uint64         `json:"expect,omitempty"` // the version that the operator saw
-	Named   string          `json:"named,omitempty"`  // "new": what is named must not exist yet; "known": it must
+// ConfigChange is a whole or partial configuration from an operator.
+type ConfigChange struct {
+	Text            json.RawMessage `json:"text"`
+	Partial         bool            `json:"partial"`
+	ExpectedVersion *uint64         `json:"expect,omitempty"` // the version that the operator saw
+	NameCondition   string          `json:"named,omitempty"`  // "new": what is named must not exist yet; "known": it must
 }
 
 // Accepted is the answer to a change that a majority has.
@@ -23,7 +23,7 @@
 	Version uint64 `json:"version"`
 }
 
-func (c *Core) orderConfig(ctx context.Context, o ConfigOrder) (Accepted, error) {
+func (c *Core) applyConfig(ctx context.Context, o ConfigChange) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.Key, func(now register.Fields, version uint64) (register.Fields, error) {
 		if number := config.Number(now); number > 0 {
 			return nil, apierror.New(apierror.Conflict, "this fleet is declared by numbered configurations, present is %d", number)
@@ -43,22 +43,22 @@
 		fields := made.Fields()
 		change := config.Delta(now, fields)
 		switch created := len(fields) > len(now); {
-		case o.Named == "new" && !created && len(now) > 0:
+		case o.NameCondition == "new" && !created && len(now) > 0:
 			return nil, apierror.New(apierror.Exists, "a thing of this name is there already")
 		case len(change) == 0:
 			return nil, nil // it stands: the order came again, or another one asked for the same
-		case o.Expect != nil && *o.Expect != version:
-			return nil, apierror.New(apierror.Conflict, "expected version %d, present is %d", *o.Expect, version)
-		case o.Named == "known" && created:
+		case o.ExpectedVersion != nil && *o.ExpectedVersion != version:
+			return nil, apierror.New(apierror.Conflict, "expected version %d, present is %d", *o.ExpectedVersion, version)
+		case o.NameCondition == "known" && created:
 			return nil, apierror.New(apierror.NotFound, "nothing has this name")
 		}
 		return change, nil
 	})
-	c.note(config.Key, config.Key, revision, err)
+	c.logOutcome(config.Key, config.Key, revision, err)
 	return Accepted{revision.Version}, err
 }
 
-func (c *Core) note(event, key string, revision register.Revision, err error) {
+func (c *Core) logOutcome(event, key string, revision register.Revision, err error) {
 	if err != nil {
 		c.host.Log.Warn().Str("event", event+"_rejected").Str("key", key).Err(err).Msg("")
 		return
@@ -66,18 +66,18 @@
 	c.host.Log.Info().Str("event", event+"_accepted").Str("key", key).Uint64("epoch", revision.Epoch).Uint64("version", revision.Version).Msg("")
 }
 
-// KeyOrder adds or revokes an access key; only its hash travels.
-type KeyOrder struct {
+// AccessKeyChange adds or revokes an access key; only its hash travels.
+type AccessKeyChange struct {
 	Tenant  string `json:"tenant"`
 	Hash    string `json:"hash"`
 	Revoked bool   `json:"revoked"`
 }
 
-func (c *Core) orderKey(ctx context.Context, o KeyOrder) (Accepted, error) {
+func (c *Core) applyAccessKey(ctx context.Context, o AccessKeyChange) (Accepted, error) {
 	if o.Tenant == "" || len(o.Hash) != 32 {
 		return Accepted{}, apierror.New(apierror.Missing, "a key order needs a tenant and a key's hash of 32 hex digits")
 	}
-	born, err := c.bornOf(ctx, o.Tenant)
+	tenantIncarnation, err := c.tenantIncarnation(ctx, o.Tenant)
 	if err != nil && !o.Revoked {
 		return Accepted{}, err
 	}
@@ -94,14 +94,14 @@
 		case before.Revoked:
 			return nil, apierror.New(apierror.Conflict, "the key was revoked: it does not come back")
 		}
-		return config.Field(o.Hash, config.Access{Born: born}), nil
+		return config.Field(o.Hash, config.Access{Born: tenantIncarnation}), nil
 	})
-	c.note("key", key, revision, err)
+	c.logOutcome("key", key, revision, err)
 	return Accepted{revision.Version}, err
 }
 
-// bornOf gives the life of a tenant, as of all that was accepted before.
-func (c *Core) bornOf(ctx context.Context, tenant string) (uint64, error) {
+// tenantIncarnation gives the life of a tenant, as of all that was accepted before.
+func (c *Core) tenantIncarnation(ctx context.Context, tenant string) (uint64, error) {
 	plan, err := c.newestPlan(ctx)
 	if err != nil {
 		return 0, err
@@ -113,19 +113,19 @@
 	return t.Born, nil
 }
 
-// ReplicasOrder is the platform's news; the text is read field by field.
-type ReplicasOrder struct {
+// ReplicasChange is the platform's news; the text is read field by field.
+type ReplicasChange struct {
 	Text json.RawMessage `json:"text"`
 }
 
-func (c *Core) orderReplicas(ctx context.Context, o ReplicasOrder) (Accepted, error) {
-	told, err := config.ParseReplicas(o.Text)
+func (c *Core) applyReplicas(ctx context.Context, o ReplicasChange) (Accepted, error) {
+	replicas, err := config.ParseReplicas(o.Text)
 	if err != nil {
 		return Accepted{}, err
 	}
 	revision, err := c.owner.Change(ctx, config.ReplicasKey, func(now register.Fields, _ uint64) (register.Fields, error) {
 		change := register.Fields{}
-		for _, r := range told {
+		for _, r := range replicas {
 			if r.State == "gone" {
 				change[r.Name] = nil
 				continue
@@ -142,26 +142,26 @@
 		}
 		return change, nil
 	})
-	c.note("replicas", config.ReplicasKey, revision, err)
+	c.logOutcome("replicas", config.ReplicasKey, revision, err)
 	return Accepted{revision.Version}, err
 }
 
-// shareHold merges a throttle that another core keeps, and so tells the agents of it.
-func (c *Core) shareHold(_ context.Context, n throttle.Notice) (struct{}, error) {
-	_, err := c.mergeHold(n)
+// handleThrottle merges a throttle that another core keeps, and so tells the agents of it.
+func (c *Core) handleThrottle(_ context.Context, n throttle.Notice) (struct{}, error) {
+	_, err := c.mergeThrottle(n)
 	return struct{}{}, err
 }
 
-func (c *Core) mergeHold(n throttle.Notice) (created bool, err error) {
+func (c *Core) mergeThrottle(n throttle.Notice) (created bool, err error) {
 	if n.Scope == "" || n.ID == "" {
 		return false, apierror.New(apierror.Missing, "a hold needs a scope and a mark")
 	}
 	return c.throttles.Merge(n, throttle.Longest), nil
 }
 
-// orderHold merges a proxy's throttle, tells all agents by doing so, and keeps it on a majority (§4.2).
-func (c *Core) orderHold(ctx context.Context, n throttle.Notice) (struct{}, error) {
-	if created, err := c.mergeHold(n); err != nil || !created || n.Observed {
+// applyThrottle merges a proxy's throttle, tells all agents by doing so, and keeps it on a majority (§4.2).
+func (c *Core) applyThrottle(ctx context.Context, n throttle.Notice) (struct{}, error) {
+	if created, err := c.mergeThrottle(n); err != nil || !created || n.Observed {
 		return struct{}{}, err
 	}
 	c.host.Log.Info().Str("event", "hold").Str("scope", n.Scope).Str("mark", n.ID).Int64("remaining_ms", n.RemainingMs).Str("reason", n.Reason).Msg("")
@@ -172,29 +172,29 @@
 			return config.Field("hold", n), nil
 		})
 		if err != nil {
-			c.note("hold", ThrottlePrefix+n.Scope, revision, err)
+			c.logOutcome("hold", ThrottlePrefix+n.Scope, revision, err)
 		}
 	}()
 	return struct{}{}, nil
 }
 
-// SettleOrder asks the owner to settle a key.
-type SettleOrder struct {
-	Key   string `json:"key"`
-	Carry bool   `json:"carry,omitempty"` // have the membership accept the key anew even if it is settled
-	// Has is what the asker has accepted. Above what is settled, it came to no majority; the asker takes what did only under a later epoch.
-	Has register.Revision `json:"has"`
+// CommitRequest asks the owner to settle a key.
+type CommitRequest struct {
+	Key     string `json:"key"`
+	Rewrite bool   `json:"carry,omitempty"` // have the membership accept the key anew even if it is settled
+	// Accepted is what the asker has accepted. Above what is settled, it came to no majority; the asker takes what did only under a later epoch.
+	Accepted register.Revision `json:"has"`
 }
 
-// SettleAnswer has the settled revision.
-type SettleAnswer struct {
+// CommitResponse has the settled revision.
+type CommitResponse struct {
 	Revision register.Revision `json:"stamp"`
 }
 
-func (c *Core) orderSettle(ctx context.Context, o SettleOrder) (SettleAnswer, error) {
-	revision, err := c.owner.Commit(ctx, o.Key, o.Carry)
-	if err == nil && revision.Less(o.Has) {
+func (c *Core) commitKey(ctx context.Context, o CommitRequest) (CommitResponse, error) {
+	revision, err := c.owner.Commit(ctx, o.Key, o.Rewrite)
+	if err == nil && revision.Less(o.Accepted) {
 		revision, err = c.owner.Commit(ctx, o.Key, true)
 	}
-	return SettleAnswer{revision}, err
+	return CommitResponse{revision}, err
 }
--- a/daemon/retire.go
+++ b/daemon/retire.go
@@ -59,7 +59,7 @@
 		}
 		return config.Field(t.Old, t), nil
 	})
-	c.note("retirement", config.RetirementKey, revision, err)
+	c.logOutcome("retirement", config.RetirementKey, revision, err)
 	return Accepted{revision.Version}, err
 }
 
@@ -152,7 +152,7 @@
 		}
 		return change, nil
 	})
-	c.note("retirement_step", config.RetirementKey, revision, err)
+	c.logOutcome("retirement_step", config.RetirementKey, revision, err)
 	return Accepted{revision.Version}, err
 }
 
@@ -168,7 +168,7 @@
 func (c *Core) newestPlan(ctx context.Context) (*config.Config, error) {
 	short, stop := context.WithTimeout(ctx, QuorumTimeout)
 	defer stop()
-	newest, err := rpc.Call[SettleAnswer](short, c.rpc, c.host.Address, "/op/settle", SettleOrder{Key: config.Key})
+	newest, err := rpc.Call[CommitResponse](short, c.rpc, c.host.Address, "/op/settle", CommitRequest{Key: config.Key})
 	if err != nil {
 		return nil, err
 	}
--- a/sim/catchup_test.go
+++ b/sim/catchup_test.go
@@ -65,7 +65,7 @@
 	defer stop()
 	before := o.accepted.Load()
 	asked := o.fleet.core(core)
-	number, _, err := asked.Declared(short)
+	number, _, err := asked.ReadConfig(short)
 	is.True(err != nil || number >= before)
 	return err == nil && isReady(o.fleet, core)
 }
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -51,7 +51,7 @@
 func (f *Fleet) untilRefused(is *is.I, core int, d config.Declaration) {
 	is.Helper()
 	f.Until(6*time.Second, fmt.Sprintf("%d is refused", d.Number), func() bool {
-		err := f.core(core).Declare(context.Background(), d)
+		err := f.core(core).SubmitConfig(context.Background(), d)
 		is.True(err != nil)
 		return apierror.Is(err, apierror.Conflict)
 	})
@@ -87,7 +87,7 @@
 			ask := func() {
 				short, stop := context.WithTimeout(context.Background(), time.Second)
 				defer stop()
-				err := f.core(owner).Declare(short, numbered(4, 3, false, "d"))
+				err := f.core(owner).SubmitConfig(short, numbered(4, 3, false, "d"))
 				is.True(!isRefusal(err))
 				if err == nil { // frozen, and woken meanwhile
 					return
@@ -125,20 +125,20 @@
 		key := config.KeysPrefix + "a"
 		owner, other := ownerOf(key)
 		hash := config.HashKey("another")
-		_, err := f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, Revoked: true}) // the owner holds the key from here on
+		_, err := f.Order(owner, "keys", daemon.AccessKeyChange{Tenant: "a", Hash: hash, Revoked: true}) // the owner holds the key from here on
 		is.True(apierror.Is(err, apierror.NotFound))
 		f.isolate(owner, true, true, true)
 		f.Until(6*time.Second, "the others take the key", func() bool {
-			_, err := f.Order(other, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash})
+			_, err := f.Order(other, "keys", daemon.AccessKeyChange{Tenant: "a", Hash: hash})
 			return err == nil
 		})
 		for since := time.Now(); time.Since(since) < longCut; time.Sleep(time.Second) {
-			_, err = f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, Revoked: true})
+			_, err = f.Order(owner, "keys", daemon.AccessKeyChange{Tenant: "a", Hash: hash, Revoked: true})
 			is.True(err != nil && !apierror.Is(err, apierror.NotFound))
 		}
 		f.isolate(owner, true, true, false)
 		f.Until(6*time.Second, "the key is revoked", func() bool {
-			_, err := f.Order(owner, "keys", daemon.KeyOrder{Tenant: "a", Hash: hash, Revoked: true})
+			_, err := f.Order(owner, "keys", daemon.AccessKeyChange{Tenant: "a", Hash: hash, Revoked: true})
 			return err == nil
 		})
 	})
@@ -155,7 +155,7 @@
 		for n := uint64(1); n <= 100; n++ {
 			one, other := numbered(n, n-1, n == 1, "a", fmt.Sprint("p", n%5)), numbered(n, n-1, n == 1, "b")
 			f.declare(random.IntN(4), one)
-			err := f.core(random.IntN(4)).Declare(context.Background(), other)
+			err := f.core(random.IntN(4)).SubmitConfig(context.Background(), other)
 			is.True(err != nil)
 			taken, lost = append(taken, one), append(lost, other)
 			if n%25 != 0 {
@@ -173,7 +173,7 @@
 		for core := range 4 {
 			for i, d := range taken {
 				f.declare(core, d)
-				err := f.core((core+i)%4).Declare(context.Background(), lost[i])
+				err := f.core((core+i)%4).SubmitConfig(context.Background(), lost[i])
 				is.True(apierror.Is(err, apierror.Conflict))
 			}
 			number, _, err := f.declared(core)
@@ -189,8 +189,8 @@
 	inBubble(t, options(711), func(is *is.I, f *Fleet) {
 		version, _, err := f.config(0)
 		is.NoErr(err)
-		order := func(weight int) daemon.ConfigOrder {
-			return daemon.ConfigOrder{Partial: true, Expect: &version, Text: fmt.Appendf(nil, `{"tenants":[{"name":"a","weight":%d}]}`, weight)}
+		order := func(weight int) daemon.ConfigChange {
+			return daemon.ConfigChange{Partial: true, ExpectedVersion: &version, Text: fmt.Appendf(nil, `{"tenants":[{"name":"a","weight":%d}]}`, weight)}
 		}
 		_, err = f.Order(0, config.Key, order(7))
 		is.NoErr(err)
@@ -210,7 +210,7 @@
 	o.ClaimAge = 20 * time.Second
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		claim := func(nonce, state string) error {
-			_, err := f.Order(0, "claim", daemon.ClaimOrder{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "p"})
+			_, err := f.Order(0, "claim", daemon.ClaimRequest{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "p"})
 			return err
 		}
 		is.NoErr(claim("one", "running"))
--- a/sim/declare_test.go
+++ b/sim/declare_test.go
@@ -29,7 +29,7 @@
 				f.untilMembership(10*time.Second, all)
 				later = true
 				f.declare(0, numbered(1, 0, true, "a"))
-				is.NoErr(f.core((lost+1)%cores).Declare(context.Background(), numbered(2, 1, false, "b")))
+				is.NoErr(f.core((lost+1)%cores).SubmitConfig(context.Background(), numbered(2, 1, false, "b")))
 				for i := range cores {
 					f.Kill(CoreIP(i))
 				}
@@ -65,7 +65,7 @@
 			go func() {
 				short, stop := context.WithTimeout(context.Background(), time.Second) // then operators' tools move on
 				defer stop()
-				said <- f.core(asked).Declare(short, d)
+				said <- f.core(asked).SubmitConfig(short, d)
 			}()
 			time.Sleep(time.Duration(random.IntN(12000)) * time.Microsecond)
 			f.Kill(CoreIP(killed))
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -322,11 +322,11 @@
 // Declare waits for the fleet to be founded and gives it its configuration, keys and replicas.
 func (f *Fleet) Declare() {
 	f.Until(10*time.Second, "a founded fleet takes the configuration", func() bool {
-		_, err := f.Order(0, config.Key, daemon.ConfigOrder{Text: json.RawMessage(f.Options.Config)})
+		_, err := f.Order(0, config.Key, daemon.ConfigChange{Text: json.RawMessage(f.Options.Config)})
 		return err == nil
 	})
 	for _, tenant := range f.Options.Tenants {
-		must(f.Order(0, "keys", daemon.KeyOrder{Tenant: tenant, Hash: config.HashKey(tenant + "-key")}))
+		must(f.Order(0, "keys", daemon.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(tenant + "-key")}))
 	}
 	var told []string
 	for i := range f.Options.Replicas {
@@ -335,7 +335,7 @@
 	if len(f.Options.Names) == 0 {
 		told = append(told, f.told(webAt, "present"))
 	}
-	must(f.Order(0, "replicas", daemon.ReplicasOrder{Text: json.RawMessage(`{"replicas":[` + strings.Join(told, ",") + `]}`)}))
+	must(f.Order(0, "replicas", daemon.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(told, ",") + `]}`)}))
 	f.Until(10*time.Second, "all proxies are ready", f.AreReady)
 	time.Sleep(time.Second) // replicas have reported, and the proxies know of each other
 }
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -123,7 +123,7 @@
 	f.Until(6*time.Second, fmt.Sprintf("%d is taken", d.Number), func() bool {
 		short, stop := context.WithTimeout(context.Background(), 2*time.Second)
 		defer stop()
-		return f.core(core).Declare(short, d) == nil
+		return f.core(core).SubmitConfig(short, d) == nil
 	})
 }
 
@@ -131,7 +131,7 @@
 func (f *Fleet) declared(core int) (uint64, []string, error) {
 	short, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	number, texts, err := f.core(core).Declared(short)
+	number, texts, err := f.core(core).ReadConfig(short)
 	var names []string
 	for _, t := range texts {
 		names = append(names, t.Name)
@@ -306,7 +306,7 @@
 		time.Sleep(30 * time.Second)
 		for i := range 3 {
 			is.True(!isReady(f, i))
-			is.True(apierror.Is(f.core(i).Declare(context.Background(), numbered(1, 0, true, "a")), apierror.NotFounded))
+			is.True(apierror.Is(f.core(i).SubmitConfig(context.Background(), numbered(1, 0, true, "a")), apierror.NotFounded))
 		}
 	})
 	founded = false
@@ -320,7 +320,7 @@
 		f.StartCore(0)
 		time.Sleep(20 * time.Second)
 		is.True(!isReady(f, 0))
-		is.True(f.core(0).Declare(context.Background(), numbered(1, 0, true, "a")) != nil)
+		is.True(f.core(0).SubmitConfig(context.Background(), numbered(1, 0, true, "a")) != nil)
 		f.StartCore(1)
 		f.StartCore(2)
 		f.Until(4*time.Second, "it is admitted again", func() bool { return members(f.membership()) == "core-1 core-2 core-3" })
@@ -389,14 +389,14 @@
 			var said [2]error
 			var both sync.WaitGroup
 			for n := range calls {
-				both.Go(func() { said[n] = f.core((int(round)+n)%4).Declare(context.Background(), calls[n]) })
+				both.Go(func() { said[n] = f.core((int(round)+n)%4).SubmitConfig(context.Background(), calls[n]) })
 			}
 			both.Wait()
 			is.True((said[0] == nil) != (said[1] == nil))
 			for n := range calls {
 				is.True(said[n] == nil || apierror.Is(said[n], apierror.Conflict))
 				for i := range 4 {
-					again := f.core(i).Declare(context.Background(), calls[n])
+					again := f.core(i).SubmitConfig(context.Background(), calls[n])
 					is.Equal(again == nil, said[n] == nil)
 				}
 			}
@@ -436,7 +436,7 @@
 			is.Equal(names, []string{"a", "b"})
 		}
 		f.Until(5*time.Second, "all proxies have it", func() bool { return f.serves([]string{"a", "b"}, []string{"c"}) })
-		is.NoErr(f.core(2).Declare(context.Background(), numbered(5, 3, false, "b"))) // what was taken before the restart is known still
+		is.NoErr(f.core(2).SubmitConfig(context.Background(), numbered(5, 3, false, "b"))) // what was taken before the restart is known still
 	})
 }
 
@@ -447,7 +447,7 @@
 		f.untilMembership(10*time.Second, allFour)
 		f.declare(0, numbered(1, 0, true, "a"))
 		for n := uint64(2); n < 12; n++ {
-			is.NoErr(f.core(int(n%4)).Declare(context.Background(), numbered(n, n-1, false, fmt.Sprint("p", n))))
+			is.NoErr(f.core(int(n%4)).SubmitConfig(context.Background(), numbered(n, n-1, false, fmt.Sprint("p", n))))
 			for i := range 4 {
 				number, names, err := f.declared(i)
 				is.NoErr(err)
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -65,7 +65,7 @@
 	done := o.history.Declare(linearizability.Of(d))
 	short, stop := context.WithTimeout(context.Background(), patience)
 	defer stop()
-	err := core.Declare(short, d)
+	err := core.SubmitConfig(short, d)
 	if now, isServing := o.serving(i); !isServing || now != core {
 		return errDead
 	}
@@ -84,7 +84,7 @@
 	done := o.history.Read()
 	short, stop := context.WithTimeout(context.Background(), 3*time.Second)
 	defer stop()
-	number, texts, err := core.Declared(short)
+	number, texts, err := core.ReadConfig(short)
 	if now, isServing := o.serving(i); !isServing || now != core {
 		return 0, errDead
 	}
--- a/sim/retire_test.go
+++ b/sim/retire_test.go
@@ -397,7 +397,7 @@
 			t.Parallel()
 			inAdapterBubble(t, 770+seed, 1000, func(is *is.I, f *Fleet) {
 				told := func(i int, state string) {
-					must(f.Order(1, "replicas", daemon.ReplicasOrder{Text: json.RawMessage(`{"replicas":[` + f.told(i, state) + `]}`)}))
+					must(f.Order(1, "replicas", daemon.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + f.told(i, state) + `]}`)}))
 				}
 				must(f.retirement(retire("ridge-1", "ridge-2")))
 				f.Until(10*time.Second, "a base loads", func() bool { return f.anyReplica("bases", "ridge-1 ridge-2") })
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -131,9 +131,9 @@
 		asked := f.during(700, 30, seed, func() {
 			time.Sleep(2 * time.Second)
 			must(f.merge(`{"tenants":[{"name":"a","weight":3}]}`))
-			must(f.Order(1, "keys", daemon.KeyOrder{Tenant: "b", Hash: config.HashKey("b-more")}))
+			must(f.Order(1, "keys", daemon.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-more")}))
 			time.Sleep(time.Second)
-			must(f.Order(2, "keys", daemon.KeyOrder{Tenant: "b", Hash: config.HashKey("b-more"), Revoked: true}))
+			must(f.Order(2, "keys", daemon.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-more"), Revoked: true}))
 			f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "3"})
 			time.Sleep(2 * time.Second)
 			f.behave(fake.Behaviour{Tenant: "a"})
@@ -264,7 +264,7 @@
 	t.Parallel()
 	inBubble(t, options(310), func(is *is.I, f *Fleet) {
 		claim := func(core int, key, nonce, state string) string {
-			o := daemon.ClaimOrder{Claim: router.Claim{Tenant: "a", Key: key, Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
+			o := daemon.ClaimRequest{Claim: router.Claim{Tenant: "a", Key: key, Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
 			_, err := rpc.Call[struct{}](context.Background(), f.Wire, At(CoreIP(core)), "/op/claim", o)
 			if err == nil {
 				return "yes"
@@ -292,7 +292,7 @@
 	o.ClaimAge = 20 * time.Second
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		claim := func(nonce, state string) error {
-			o := daemon.ClaimOrder{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
+			o := daemon.ClaimRequest{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
 			_, err := rpc.Call[struct{}](context.Background(), f.Wire, At(CoreIP(0)), "/op/claim", o)
 			return err
 		}
@@ -314,7 +314,7 @@
 	inBubble(t, options(312), func(is *is.I, f *Fleet) {
 		tell := func(core int, state string) {
 			text := fmt.Appendf(nil, `{"replicas":[%s]}`, f.told(0, state))
-			must(f.Order(core, "replicas", daemon.ReplicasOrder{Text: json.RawMessage(text)}))
+			must(f.Order(core, "replicas", daemon.ReplicasChange{Text: json.RawMessage(text)}))
 		}
 		state := func(core int) string {
 			for _, row := range rows(must(f.Query(core, "fields"))) {
