--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -46,25 +46,25 @@
 }
 
 const (
-	occupancyStep   = time.Second
-	loadStep        = 200 * time.Millisecond
-	loadLeaseLength = 2 * time.Second
-	announceTime    = 250 * time.Millisecond // between the word that a replica will load and the order: the proxies let it run dry
-	loadPart        = 5                      // so much of a pool loads at a time: a fifth
-	loadAhead       = 3                      // beyond that, a third as many run dry or are being looked after
-	orderAgain      = 2 * time.Second
-	orderRest       = 5 * time.Second // a replica that does not answer is left for later
+	occupancyInterval  = time.Second
+	loadInterval       = 200 * time.Millisecond
+	loadLease          = 2 * time.Second
+	announceDelay      = 250 * time.Millisecond // between the word that a replica will load and the order: the proxies let it run dry
+	poolShare          = 5                      // so much of a pool loads at a time: a fifth
+	reserveAhead       = 3                      // beyond that, a third as many run dry or are being looked after
+	reorderInterval    = 2 * time.Second
+	unreachableBackoff = 5 * time.Second // a replica that does not answer is left for later
 )
 
 // runBackend has this core look after the list of replicas and their models, as far as it is chosen for that.
 func (c *Core) runBackend(ctx context.Context) {
-	l := &loader{core: c, reservedSince: map[string]time.Time{}, ordered: map[string]time.Time{}, resting: map[string]time.Time{}, made: map[string]bool{},
-		candidate: c.newCandidate("loading", loadLeaseLength)}
-	list := &lister{core: c}
-	go Every(ctx, listStep, func() { list.step(ctx) })
+	l := &modelLoader{core: c, reservedSince: map[string]time.Time{}, orderedAt: map[string]time.Time{}, retryAfter: map[string]time.Time{}, ownReservations: map[string]bool{},
+		candidate: c.newCandidate("loading", loadLease)}
+	list := &replicaLister{core: c}
+	go Every(ctx, listInterval, func() { list.step(ctx) })
 	go c.readKept(ctx)
-	go Every(ctx, occupancyStep, func() { c.tellOccupancy(ctx) })
-	go Every(ctx, loadStep, func() { l.step(ctx) })
+	go Every(ctx, occupancyInterval, func() { c.publishOccupancy(ctx) })
+	go Every(ctx, loadInterval, func() { l.step(ctx) })
 }
 
 // applyLoads writes reservations of the loader.
@@ -73,9 +73,9 @@
 	return Accepted{revision.Version}, err
 }
 
-// tellOccupancy asks replicas for their load, and tells all agents, where their slots are too few for each proxy to have one to itself:
+// publishOccupancy asks replicas for their load, and tells all agents, where their slots are too few for each proxy to have one to itself:
 // what a proxy sees by itself is then not enough to go by (§5.3). Each replica is asked by the core that would own its news.
-func (c *Core) tellOccupancy(ctx context.Context) {
+func (c *Core) publishOccupancy(ctx context.Context) {
 	if !c.hasQuorum() {
 		return
 	}
@@ -94,7 +94,7 @@
 			continue
 		}
 		asked.Go(func() {
-			short, stop := context.WithTimeout(ctx, occupancyStep)
+			short, stop := context.WithTimeout(ctx, occupancyInterval)
 			defer stop()
 			if o, err := c.options.Backend.Occupancy(short, r); err == nil {
 				mu.Lock()
@@ -109,32 +109,32 @@
 	}
 }
 
-// loader is the duty of having replicas load the versions that operators have named. What it does stands in the register of loads before it
+// modelLoader is the duty of having replicas load the versions that operators have named. What it does stands in the register of loads before it
 // is done: proxies keep away from a replica that will load, and the next holder goes on from there.
-type loader struct {
-	core          *Core
-	candidate     *lease.Candidate
-	reservedSince map[string]time.Time // since when a reservation of ours stands
-	ordered       map[string]time.Time // when a replica was last told
-	resting       map[string]time.Time // until when a replica is left alone
-	made          map[string]bool      // reservations of this process
-	renewed       time.Time
+type modelLoader struct {
+	core            *Core
+	candidate       *lease.Candidate
+	reservedSince   map[string]time.Time // since when a reservation of ours stands
+	orderedAt       map[string]time.Time // when a replica was last told
+	retryAfter      map[string]time.Time // until when a replica is left alone
+	ownReservations map[string]bool      // reservations of this process
+	lastCampaign    time.Time
 }
 
-// loading is a replica with what it has to load.
-type loading struct {
-	replica config.Replica
-	order   config.LoadOrder // as it is reserved, or will be
-	newest  uint64           // version named of the order's model
-	has     uint64           // version that the replica is known to have
-	open    bool             // its reservation stands already
-	fresh   bool             // nobody has ever told it to load: no lease is kept for it
-	most    int              // that may be reserved in its pool
+// pendingLoad is a replica with what it has to load.
+type pendingLoad struct {
+	replica     config.Replica
+	order       config.LoadOrder // as it is reserved, or will be
+	newest      uint64           // version named of the order's model
+	has         uint64           // version that the replica is known to have
+	open        bool             // its reservation stands already
+	fresh       bool             // nobody has ever told it to load: no lease is kept for it
+	maxReserved int              // that may be reserved in its pool
 }
 
 // compareLoading puts open reservations first, so that all are counted before another is made, and then the oldest versions, which may be used for
 // the shortest time.
-func compareLoading(a, b loading) int {
+func compareLoading(a, b pendingLoad) int {
 	if a.open != b.open {
 		if a.open {
 			return -1
@@ -144,27 +144,27 @@
 	return cmp.Compare(a.has, b.has)
 }
 
-func (l *loader) step(ctx context.Context) {
+func (l *modelLoader) step(ctx context.Context) {
 	c := l.core
 	l.candidate.Observe()
-	due, gone := l.survey()
+	due, removed := l.pending()
 	fence, own := l.candidate.Held()
-	if len(due) == 0 && len(gone) == 0 || c.membership().self == nil {
+	if len(due) == 0 && len(removed) == 0 || c.membership().self == nil {
 		return
 	}
-	if time.Since(l.renewed) > loadLeaseLength/5 && (own || register.Pick(leasePrefix+"loading", c.live()) == c.host.Name) {
+	if time.Since(l.lastCampaign) > loadLease/5 && (own || register.Pick(leasePrefix+"loading", c.live()) == c.host.Name) {
 		wasOurs := own
-		l.renewed = time.Now()
+		l.lastCampaign = time.Now()
 		l.candidate.Campaign(ctx)
 		if fence, own = l.candidate.Held(); !wasOurs {
-			clear(l.made) // reservations of an earlier lease of ours may have been another holder's since
+			clear(l.ownReservations) // reservations of an earlier lease of ours may have been another holder's since
 		}
 	}
 	if !own {
 		return
 	}
 	change, now, free := register.Fields{}, time.Now(), l.candidate.PreviousLeaseEnd().Add(c.options.Lease)
-	for _, name := range gone {
+	for _, name := range removed {
 		change[name] = nil
 	}
 	open := map[string]int{} // by pool
@@ -173,10 +173,10 @@
 		switch {
 		case d.open:
 			open[pool]++
-		case open[pool] < d.most && now.After(l.resting[name]) && (d.fresh || now.After(free)):
+		case open[pool] < d.maxReserved && now.After(l.retryAfter[name]) && (d.fresh || now.After(free)):
 			open[pool]++
 			change.Apply(config.Field(name, d.order))
-			l.made[name] = true
+			l.ownReservations[name] = true
 		}
 	}
 	var mu sync.Mutex
@@ -186,15 +186,15 @@
 			continue
 		}
 		asked.Go(func() {
-			loaded, rest := l.attend(ctx, d, fence)
+			loaded, retryAfter := l.advance(ctx, d, fence)
 			mu.Lock()
 			defer mu.Unlock()
 			if loaded > 0 {
 				d.order.Version, d.order.Done = loaded, true
 				change.Apply(config.Field(d.replica.Name, d.order))
-			} else if rest > 0 {
+			} else if retryAfter > 0 {
 				change[d.replica.Name] = nil
-				l.resting[d.replica.Name] = time.Now().Add(rest)
+				l.retryAfter[d.replica.Name] = time.Now().Add(retryAfter)
 			}
 		})
 	}
@@ -208,8 +208,8 @@
 	c.logOutcome("loads", config.LoadsKey, c.acceptor.Revision(config.LoadsKey), err)
 }
 
-// survey gives what is to be loaded, in an order that all holders agree on, and the reservations of replicas that are gone.
-func (l *loader) survey() (due []loading, gone []string) {
+// pending gives what is to be loaded, in an order that all holders agree on, and the reservations of replicas that are gone.
+func (l *modelLoader) pending() (due []pendingLoad, removed []string) {
 	c := l.core
 	plan, err := config.FromFields(withoutTexts(c.acceptor.Read(config.Key).Fields))
 	models, failed := config.Load[config.Model](c.acceptor.Read(config.ModelsKey).Fields)
@@ -220,7 +220,7 @@
 	}
 	for name := range loads {
 		if r, ok := replicas[name]; !ok || r.State == "leaving" && !loads[name].Done {
-			gone = append(gone, name)
+			removed = append(removed, name)
 			delete(loads, name)
 		}
 	}
@@ -234,7 +234,7 @@
 		load, reserved := loads[name]
 		open := reserved && !load.Done
 		if open {
-			due = append(due, loading{replica: r, order: load, newest: max(load.Version, models[load.Model].Version), open: true})
+			due = append(due, pendingLoad{replica: r, order: load, newest: max(load.Version, models[load.Model].Version), open: true})
 			continue // its other models in turn
 		}
 		for _, model := range plan.Pools[r.Pool].Models {
@@ -243,48 +243,48 @@
 				has = max(has, load.Version)
 			}
 			if has < wanted {
-				due = append(due, loading{replica: r, order: config.LoadOrder{Model: model, Version: wanted}, newest: wanted, has: has, fresh: !reserved})
+				due = append(due, pendingLoad{replica: r, order: config.LoadOrder{Model: model, Version: wanted}, newest: wanted, has: has, fresh: !reserved})
 				break
 			}
 		}
 	}
 	for i := range due {
 		size := sizes[due[i].replica.Pool]
-		due[i].most = max(1, size/loadPart) + 2*size/loadPart/loadAhead
+		due[i].maxReserved = max(1, size/poolShare) + 2*size/poolShare/reserveAhead
 	}
 	slices.SortStableFunc(due, compareLoading)
-	return due, gone
+	return due, removed
 }
 
-// attend asks a replica how far it is, and orders it to load once its reservation has stood long enough for the proxies to know it. It gives the
+// advance asks a replica how far it is, and orders it to load once its reservation has stood long enough for the proxies to know it. It gives the
 // version that the replica has once that is the reserved one or a later one; it serves with it then, also where a newer one was named meanwhile,
 // and is told again in its turn. attend also says for how long the replica is better left alone: one that is silent, or one that the holder
 // before us may have told but that shows no order, which may be told by another holder only a lease later; until then it serves as before.
-func (l *loader) attend(ctx context.Context, d loading, fence uint64) (loaded uint64, rest time.Duration) {
+func (l *modelLoader) advance(ctx context.Context, d pendingLoad, fence uint64) (loaded uint64, retryAfter time.Duration) {
 	c, name := l.core, d.replica.Name
 	short, stop := context.WithTimeout(ctx, reportLimit)
 	defer stop()
 	c.mu.Lock()
-	since, reserved := l.reservedSince[name]
+	reservedAt, reserved := l.reservedSince[name]
 	if !reserved {
-		since = time.Now()
-		l.reservedSince[name] = since
+		reservedAt = time.Now()
+		l.reservedSince[name] = reservedAt
 	}
-	told := l.ordered[name]
+	orderedAt := l.orderedAt[name]
 	c.mu.Unlock()
 	forget := func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		delete(l.reservedSince, name)
-		delete(l.ordered, name)
+		delete(l.orderedAt, name)
 	}
-	if time.Since(since) < announceTime || !told.IsZero() && time.Since(told) < orderAgain/4 {
+	if time.Since(reservedAt) < announceDelay || !orderedAt.IsZero() && time.Since(orderedAt) < reorderInterval/4 {
 		return 0, 0 // the proxies may not know of it yet, or its reports would not show the order
 	}
 	models, busy, err := c.options.Backend.Versions(short, d.replica)
-	if err != nil && time.Since(since) > orderAgain {
+	if err != nil && time.Since(reservedAt) > reorderInterval {
 		forget()
-		return 0, orderRest
+		return 0, unreachableBackoff
 	}
 	if err != nil || busy {
 		return 0, 0
@@ -293,11 +293,11 @@
 		forget()
 		return has, 0
 	}
-	if left := time.Until(l.candidate.PreviousLeaseEnd().Add(c.options.Lease)); left > 0 && !l.made[name] {
+	if left := time.Until(l.candidate.PreviousLeaseEnd().Add(c.options.Lease)); left > 0 && !l.ownReservations[name] {
 		forget()
 		return 0, left
 	}
-	if time.Since(told) < orderAgain {
+	if time.Since(orderedAt) < reorderInterval {
 		return 0, 0
 	}
 	now, own := l.candidate.Held()
@@ -307,7 +307,7 @@
 	order := Order{config.LoadOrder{Model: d.order.Model, Version: d.newest}, l.candidate.Holder(), now}
 	err = c.options.Backend.Load(short, d.replica, order)
 	c.mu.Lock()
-	l.ordered[name] = time.Now()
+	l.orderedAt[name] = time.Now()
 	c.mu.Unlock()
 	c.host.Log.Info().Str("event", "load").Str("replica", name).Str("model", order.Model).Uint64("version", order.Version).
 		Uint64("fence", now).AnErr("failure", err).Msg("")
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -247,7 +247,7 @@
 	go c.bootstrap(ctx)
 	go c.runTicks(ctx)
 	handler := c.handler()
-	go c.runDuties(ctx)
+	go c.runRoles(ctx)
 	if c.options.Backend != nil {
 		c.runBackend(ctx)
 	}
@@ -274,7 +274,7 @@
 		return now.self != nil && len(c.live()) >= Majority(len(now.members))
 	})
 	if c.options.Backend != nil {
-		mux.Handle("POST /core/list", rpc.Handler(fleet, c.listFor))
+		mux.Handle("POST /core/list", rpc.Handler(fleet, c.handleListRequest))
 	}
 	registerOperation(mux, c, config.Key, func(ConfigChange) string { return config.Key }, c.applyConfig, false)
 	registerOperation(mux, c, "keys", func(o AccessKeyChange) string { return config.KeysPrefix + o.Tenant }, c.applyAccessKey, true)
@@ -287,8 +287,8 @@
 	c.submitNumberedConfig = registerOperation(mux, c, "declaration", func(config.Declaration) string { return config.Key }, c.applyNumberedConfig, true)
 	c.submitModelVersion = registerOperation(mux, c, "models", func(ModelVersionChange) string { return config.ModelsKey }, c.applyModelVersion, true)
 	c.submitLoads = registerOperation(mux, c, "loads", func(register.Fields) string { return config.LoadsKey }, c.applyLoads, true)
-	registerOperation(mux, c, "retirement", func(RetirementOrder) string { return config.RetirementKey }, c.orderRetirement, false)
-	registerOperation(mux, c, "advance", func(AdvanceOrder) string { return config.RetirementKey }, c.orderAdvance, true)
+	registerOperation(mux, c, "retirement", func(RetirementChange) string { return config.RetirementKey }, c.applyRetirement, false)
+	registerOperation(mux, c, "advance", func(RetirementStep) string { return config.RetirementKey }, c.applyRetirementStep, true)
 	if c.options.Endpoints != nil {
 		c.options.Endpoints(c, mux)
 	}
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	leasePrefix  = "term/"
-	leaseLength  = 3 * time.Second
-	rolloutStep  = 400 * time.Millisecond
-	rolloutHurry = 9 * time.Second // after this all replicas that are left are told at once
+	leasePrefix     = "term/"
+	rolloutLease    = 3 * time.Second
+	rolloutInterval = 400 * time.Millisecond
+	rolloutDeadline = 9 * time.Second // after this all replicas that are left are told at once
 )
 
 // LeaseRequest writes a duty's grant in the place of the one that its asker met.
@@ -44,14 +44,14 @@
 	return a.Version, err
 }
 
-// rollout is the duty of having the pools' replicas load the accepted weights (§6.2).
-type rollout struct {
-	core      *Core
-	candidate *lease.Candidate
-	plain     *http.Client
-	dialect   router.Dialect
-	mu        sync.Mutex
-	late      map[string]lateness // by pool
+// weightsRollout is the duty of having the pools' replicas load the accepted weights (§6.2).
+type weightsRollout struct {
+	core          *Core
+	candidate     *lease.Candidate
+	replicaClient *http.Client
+	dialect       router.Dialect
+	mu            sync.Mutex
+	behindSince   map[string]behindState // by pool
 }
 
 func (c *Core) newCandidate(duty string, length time.Duration) *lease.Candidate {
@@ -59,33 +59,33 @@
 		Margin: length / 8, Store: leaseStore{c}, Log: c.host.Log})
 }
 
-// runDuties steps this core's candidates, and does the duties that it holds.
-func (c *Core) runDuties(ctx context.Context) {
-	r := &rollout{core: c, dialect: router.ChatDialect{}, late: map[string]lateness{},
-		plain:     newPlain(c.host.Net),
-		candidate: c.newCandidate("rollout", leaseLength),
+// runRoles steps this core's candidates, and does the duties that it holds.
+func (c *Core) runRoles(ctx context.Context) {
+	r := &weightsRollout{core: c, dialect: router.ChatDialect{}, behindSince: map[string]behindState{},
+		replicaClient: newPlain(c.host.Net),
+		candidate:     c.newCandidate("rollout", rolloutLease),
 	}
 	go Every(ctx, c.options.ClaimRetention/20, func() { c.pruneClaims(ctx) })
 	if c.options.Backend != nil {
 		return // its replicas take their orders from the loader
 	}
 	go c.runRetirements(ctx)
-	go Every(ctx, leaseLength/5, func() {
+	go Every(ctx, rolloutLease/5, func() {
 		if c.membership().self != nil {
 			r.candidate.Campaign(ctx)
 		}
 	})
-	Every(ctx, rolloutStep, func() { r.step(ctx) })
+	Every(ctx, rolloutInterval, func() { r.step(ctx) })
 }
 
-// lateness is the weights that replicas of a pool were last seen behind, and since when without a break.
-type lateness struct {
+// behindState is the weights that replicas of a pool were last seen behind, and since when without a break.
+type behindState struct {
 	weights string
 	since   time.Time
 }
 
 // step looks at each pool, and tells some replicas to load.
-func (r *rollout) step(ctx context.Context) {
+func (r *weightsRollout) step(ctx context.Context) {
 	if _, own := r.candidate.Held(); !own {
 		return
 	}
@@ -101,14 +101,14 @@
 	var pools sync.WaitGroup
 	for name, pool := range plan.Pools {
 		if pool.Kind == "model" && pool.Weights != "" {
-			pools.Go(func() { r.roll(ctx, name, pool.Weights, replicas, record.Revision.Version) })
+			pools.Go(func() { r.rollPool(ctx, name, pool.Weights, replicas, record.Revision.Version) })
 		}
 	}
 	pools.Wait()
 }
 
-// roll tells replicas of one pool to load. All are asked at once: those that do not answer hold up nobody but this step, for a second.
-func (r *rollout) roll(ctx context.Context, pool, weights string, replicas map[string]config.Replica, order uint64) {
+// rollPool tells replicas of one pool to load. All are asked at once: those that do not answer hold up nobody but this step, for a second.
+func (r *weightsRollout) rollPool(ctx context.Context, pool, weights string, replicas map[string]config.Replica, order uint64) {
 	var mu sync.Mutex
 	var behind []config.Replica
 	var asked sync.WaitGroup
@@ -120,14 +120,14 @@
 		asked.Go(func() {
 			short, stop := context.WithTimeout(ctx, reportLimit)
 			defer stop()
-			said, err := askReport(short, r.plain, r.dialect, replica, router.Report{})
+			report, err := askReport(short, r.replicaClient, r.dialect, replica, router.Report{})
 			if err != nil {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			all++
-			switch said.Weights {
+			switch report.Weights {
 			case weights:
 			case router.Loading:
 				busy++
@@ -137,18 +137,18 @@
 		})
 	}
 	asked.Wait()
-	late := r.meets(pool, weights, len(behind) > 0)
-	room := max(1, all/3) - busy
-	if late > rolloutHurry {
-		room = len(behind)
+	overdueFor := r.behindFor(pool, weights, len(behind) > 0)
+	slots := max(1, all/3) - busy
+	if overdueFor > rolloutDeadline {
+		slots = len(behind)
 	}
-	for _, replica := range behind[:max(0, min(room, len(behind)))] {
+	for _, replica := range behind[:max(0, min(slots, len(behind)))] {
 		number, own := r.candidate.Held()
 		if !own {
 			return
 		}
 		asked.Go(func() {
-			err := postJSON(ctx, r.plain, replica.Address+r.dialect.LoadPath(), map[string]any{"weights": weights, "order": order})
+			err := postJSON(ctx, r.replicaClient, replica.Address+r.dialect.LoadPath(), map[string]any{"weights": weights, "order": order})
 			r.core.host.Log.Info().Str("event", "load_weights").Str("replica", replica.Name).Str("weights", weights).
 				Uint64("order", order).Uint64("lease", number).AnErr("failure", err).Msg("")
 		})
@@ -156,12 +156,12 @@
 	asked.Wait()
 }
 
-// meets notes whether replicas of a pool are behind these weights, and gives since when they are.
-func (r *rollout) meets(pool, weights string, behind bool) time.Duration {
+// behindFor notes whether replicas of a pool are behind these weights, and gives since when they are.
+func (r *weightsRollout) behindFor(pool, weights string, behind bool) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := r.late[pool]; !behind || now.weights != weights {
-		r.late[pool] = lateness{weights, time.Now()}
+	if now := r.behindSince[pool]; !behind || now.weights != weights {
+		r.behindSince[pool] = behindState{weights, time.Now()}
 	}
-	return time.Since(r.late[pool].since)
+	return time.Since(r.behindSince[pool].since)
 }
--- a/daemon/listing.go
+++ b/daemon/listing.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	listStep    = time.Second
-	listLimit   = 2 * listStep // an answer that is older by the time when it would be written is void
-	listOwnRest = 5 * listStep // after a failure of its own a core has another one list for so long
+	listInterval   = time.Second
+	listTimeout    = 2 * listInterval // an answer that is older by the time when it would be written is void
+	ownListBackoff = 5 * listInterval // after a failure of its own a core has another one list for so long
 )
 
-// lister brings the register of replicas up to the platform's list. One core does so: the one that the register is picked to. While the platform
+// replicaLister brings the register of replicas up to the platform's list. One core does so: the one that the register is picked to. While the platform
 // does not answer it, it has another core ask.
-type lister struct {
-	core     *Core
-	delegate string // the core that lists in our place; empty: this one
-	tried    int    // delegates so far: the next failure takes the next one
-	ownAgain time.Time
+type replicaLister struct {
+	core           *Core
+	delegate       string // the core that lists in our place; empty: this one
+	delegatesTried int    // delegates so far: the next failure takes the next one
+	retryOwnAt     time.Time
 }
 
-func (l *lister) step(ctx context.Context) {
+func (l *replicaLister) step(ctx context.Context) {
 	c := l.core
 	if !c.isAssigned(config.ReplicasKey) {
 		return
 	}
-	short, stop := context.WithTimeout(ctx, listLimit)
+	short, stop := context.WithTimeout(ctx, listTimeout)
 	defer stop()
-	if l.delegate == "" || time.Now().After(l.ownAgain) {
+	if l.delegate == "" || time.Now().After(l.retryOwnAt) {
 		if l.delegate = ""; c.listReplicas(short) == nil {
 			return
 		}
-		l.ownAgain = time.Now().Add(listOwnRest)
+		l.retryOwnAt = time.Now().Add(ownListBackoff)
 		others := slices.DeleteFunc(c.live(), func(name string) bool { return name == c.host.Name })
 		if len(others) == 0 {
 			return
 		}
-		l.delegate = others[l.tried%len(others)]
-		l.tried++
+		l.delegate = others[l.delegatesTried%len(others)]
+		l.delegatesTried++
 		return // the next step asks it
 	}
 	if _, err := rpc.Call[struct{}](short, c.rpc, c.addressOf(l.delegate), "/core/list", struct{}{}); err != nil {
@@ -51,9 +51,9 @@
 	}
 }
 
-// listFor lists in the place of a core that the platform does not answer.
-func (c *Core) listFor(ctx context.Context, _ struct{}) (struct{}, error) {
-	short, stop := context.WithTimeout(ctx, listLimit)
+// handleListRequest lists in the place of a core that the platform does not answer.
+func (c *Core) handleListRequest(ctx context.Context, _ struct{}) (struct{}, error) {
+	short, stop := context.WithTimeout(ctx, listTimeout)
 	defer stop()
 	return struct{}{}, c.listReplicas(short)
 }
@@ -75,7 +75,7 @@
 		return nil
 	}
 	revision, err := c.owner.Change(ctx, config.ReplicasKey, func(now register.Fields, _ uint64) (register.Fields, error) {
-		if age := time.Since(asked); age > listLimit {
+		if age := time.Since(asked); age > listTimeout {
 			return nil, apierror.New(apierror.Behind, "the platform's list was asked for %v ago", age)
 		}
 		return config.Delta(now, fields), nil
--- a/daemon/retire.go
+++ b/daemon/retire.go
@@ -17,19 +17,19 @@
 // Retiring a base model (§6.6): operators' orders are here, the duty that carries them out is in retirer.go.
 
 const (
-	retireStep = 400 * time.Millisecond
-	// clearTime is T + U + W + A: a route switched so long ago leads no request to the old base any more (§3.2).
-	clearTime = freshLimit + undecidedLimit + router.SendTime
+	retirementInterval = 400 * time.Millisecond
+	// drainTime is T + U + W + A: a route switched so long ago leads no request to the old base any more (§3.2).
+	drainTime = freshLimit + undecidedLimit + router.SendTime
 )
 
-// RetirementOrder begins a retirement, or takes one back.
-type RetirementOrder struct {
+// RetirementChange begins a retirement, or takes one back.
+type RetirementChange struct {
 	Do  string `json:"do"` // "retire" or "undo"
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
 
-func (c *Core) orderRetirement(ctx context.Context, o RetirementOrder) (Accepted, error) {
+func (c *Core) applyRetirement(ctx context.Context, o RetirementChange) (Accepted, error) {
 	plan, err := c.newestPlan(ctx)
 	if err != nil {
 		return Accepted{}, err
@@ -45,12 +45,12 @@
 			if before, ok := all[o.Old]; ok && before.New == o.New && !before.IsPast() && before.Phase != config.Undoing {
 				return nil, nil // it was asked for before, perhaps without an answer
 			}
-			if err := mayRetire(plan, all, o); err != nil {
+			if err := checkRetirement(plan, all, o); err != nil {
 				return nil, err
 			}
 			t = config.Retirement{Number: version + 1, Old: o.Old, New: o.New, Phase: config.Moving, Since: c.wall()}
 		case "undo":
-			if t, err = toUndo(all, o.Old); err != nil {
+			if t, err = findUndoable(all, o.Old); err != nil {
 				return nil, err
 			}
 			t = t.With(config.Undoing, "", config.Move{Since: c.wall()})
@@ -63,8 +63,8 @@
 	return Accepted{revision.Version}, err
 }
 
-// mayRetire checks a retirement before anything is moved.
-func mayRetire(plan *config.Config, all config.Retirements, o RetirementOrder) error {
+// checkRetirement checks a retirement before anything is moved.
+func checkRetirement(plan *config.Config, all config.Retirements, o RetirementChange) error {
 	if o.Old == "" || o.New == "" || o.Old == o.New {
 		return apierror.New(apierror.Missing, "a retirement needs an old model and another one in its place")
 	}
@@ -102,8 +102,8 @@
 	return on
 }
 
-// toUndo finds the retirement to take back: the named one, or the only one that runs.
-func toUndo(all config.Retirements, old string) (config.Retirement, error) {
+// findUndoable finds the retirement to take back: the named one, or the only one that runs.
+func findUndoable(all config.Retirements, old string) (config.Retirement, error) {
 	var found []config.Retirement
 	for name, t := range all {
 		if name == old || old == "" && t.IsRunning() {
@@ -123,27 +123,27 @@
 	return found[0], nil
 }
 
-// AdvanceOrder is a step of the duty: the whole of one retirement, or its end. It is void under another version of the register than the
+// RetirementStep is a step of the duty: the whole of one retirement, or its end. It is void under another version of the register than the
 // holder saw, and under a lower lease than has written there.
-type AdvanceOrder struct {
-	Old    string             `json:"old,omitempty"` // empty: the duty is taken up, and nothing else
-	To     *config.Retirement `json:"to,omitempty"`  // nil: it is over without a trace
-	Expect uint64             `json:"expect"`
-	Duty   config.Duty        `json:"duty"`
+type RetirementStep struct {
+	Old             string             `json:"old,omitempty"` // empty: the duty is taken up, and nothing else
+	To              *config.Retirement `json:"to,omitempty"`  // nil: it is over without a trace
+	ExpectedVersion uint64             `json:"expect"`
+	Holder          config.Duty        `json:"duty"`
 }
 
-func (c *Core) orderAdvance(ctx context.Context, o AdvanceOrder) (Accepted, error) {
+func (c *Core) applyRetirementStep(ctx context.Context, o RetirementStep) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.RetirementKey, func(now register.Fields, version uint64) (register.Fields, error) {
 		all, duty, err := config.ParseRetirements(now)
 		switch {
 		case err != nil:
 			return nil, err
-		case o.Duty.Lease < duty.Lease:
-			return nil, apierror.New(apierror.Superseded, "lease %d of %s has taken this up, yours is %d", duty.Lease, duty.Holder, o.Duty.Lease)
-		case o.Expect != version:
-			return nil, apierror.New(apierror.Conflict, "expected version %d, present is %d", o.Expect, version)
+		case o.Holder.Lease < duty.Lease:
+			return nil, apierror.New(apierror.Superseded, "lease %d of %s has taken this up, yours is %d", duty.Lease, duty.Holder, o.Holder.Lease)
+		case o.ExpectedVersion != version:
+			return nil, apierror.New(apierror.Conflict, "expected version %d, present is %d", o.ExpectedVersion, version)
 		}
-		change := config.Field(config.DutyField, o.Duty)
+		change := config.Field(config.DutyField, o.Holder)
 		if _, ok := all[o.Old]; ok {
 			change[o.Old] = nil
 			if o.To != nil {
@@ -181,7 +181,7 @@
 
 // retirementRows shows the retirements, each adapter, and each replica with what it waits for.
 func (c *Core) retirementRows(ctx context.Context) (rows []router.Row) {
-	s := c.survey(ctx)
+	s := c.collectAdapterState(ctx)
 	if s == nil {
 		return nil
 	}
@@ -198,10 +198,10 @@
 	}
 	for _, old := range slices.Sorted(maps.Keys(s.retirements)) {
 		t := s.retirements[old]
-		_, _, waits := s.step(t, false, c.wall())
-		row("retirement", old, string(t.Phase), text(t.Since), waits, router.Row{"base": t.New, "number": t.Number, "holder": s.duty.Holder})
+		_, _, waits := s.nextStep(t, false, c.wall())
+		row("retirement", old, string(t.Phase), text(t.Since), waits, router.Row{"base": t.New, "number": t.Number, "holder": s.holder.Holder})
 		for _, a := range adaptersOn(s.plan, s.retirements, old) {
-			m, waits := s.move(t, a)
+			m, waits := s.nextMove(t, a)
 			phase, since := t.Moves[a.Name].Phase, t.Moves[a.Name].Since
 			if phase == "" {
 				phase, since = "loading", t.Since
@@ -218,8 +218,8 @@
 	}
 	for pool, names := range s.pools {
 		for _, name := range names {
-			_, waits := s.lacks(name)
-			said := s.said[name]
+			_, waits := s.nextOrder(name)
+			said := s.reports[name]
 			row("replica", name, "", "", waits, router.Row{"pool": pool, "bases": strings.Join(slices.Sorted(maps.Keys(said.Bases)), " "),
 				"adapters": strings.Join(slices.Sorted(maps.Keys(said.Adapters)), " ")})
 		}
--- a/daemon/retirer.go
+++ b/daemon/retirer.go
@@ -14,20 +14,20 @@
 	"asterridge/rpc"
 )
 
-// retirer is the duty of having replicas load bases and adapters, and of carrying retirements through (§6.6).
-type retirer struct {
-	core      *Core
-	candidate *lease.Candidate
-	least     uint64               // the register's version as this holder has written it: less is not acted upon
-	told      string               // of what holds up a retirement: logged once
-	since     map[uint64]time.Time // when a version that awaits the currency's end was first seen here settled
+// retirementController is the duty of having replicas load bases and adapters, and of carrying retirements through (§6.6).
+type retirementController struct {
+	core       *Core
+	candidate  *lease.Candidate
+	minVersion uint64               // the register's version as this holder has written it: less is not acted upon
+	loggedWait string               // of what holds up a retirement: logged once
+	since      map[uint64]time.Time // when a version that awaits the currency's end was first seen here settled
 }
 
 func (c *Core) runRetirements(ctx context.Context) {
-	r := &retirer{core: c, candidate: c.newCandidate("retirement", leaseLength), since: map[uint64]time.Time{}}
+	r := &retirementController{core: c, candidate: c.newCandidate("retirement", rolloutLease), since: map[uint64]time.Time{}}
 	var seen register.Revision
 	hasAdapters := false
-	go Every(ctx, leaseLength/5, func() {
+	go Every(ctx, rolloutLease/5, func() {
 		if revision := c.acceptor.Revision(config.Key); revision != seen {
 			plan, err := config.FromFields(c.acceptor.Read(config.Key).Fields)
 			seen, hasAdapters = revision, err == nil && len(plan.Adapters) > 0
@@ -36,7 +36,7 @@
 			r.candidate.Campaign(ctx)
 		}
 	})
-	Every(ctx, retireStep, func() {
+	Every(ctx, retirementInterval, func() {
 		if _, own := r.candidate.Held(); own {
 			r.step(ctx)
 		}
@@ -44,9 +44,9 @@
 }
 
 // step gives replicas the orders that they need, and moves each retirement on by one.
-func (r *retirer) step(ctx context.Context) {
-	s := r.core.survey(ctx)
-	if s == nil || s.version < r.least {
+func (r *retirementController) step(ctx context.Context) {
+	s := r.core.collectAdapterState(ctx)
+	if s == nil || s.version < r.minVersion {
 		return
 	}
 	r.load(ctx, s)
@@ -55,11 +55,11 @@
 		if !t.IsRunning() {
 			continue
 		}
-		if s.duty.Holder != r.candidate.Holder() {
-			r.advance(ctx, s, AdvanceOrder{}) // from here on the holder before us writes nothing
+		if s.holder.Holder != r.candidate.Holder() {
+			r.advance(ctx, s, RetirementStep{}) // from here on the holder before us writes nothing
 			return
 		}
-		isClear := r.isClear(s.version)
+		isClear := r.isDrained(s.version)
 		switch t.Phase {
 		case config.Dropping:
 			r.drop(ctx, s, t.Old)
@@ -68,36 +68,36 @@
 				r.drop(ctx, s, t.New)
 			}
 		}
-		if next, changed, waits := s.step(t, isClear, r.core.wall()); changed {
-			r.advance(ctx, s, AdvanceOrder{Old: old, To: next})
+		if next, changed, waits := s.nextStep(t, isClear, r.core.wall()); changed {
+			r.advance(ctx, s, RetirementStep{Old: old, To: next})
 			return // the next step looks at what stands then
-		} else if waits != r.told {
-			r.told = waits
+		} else if waits != r.loggedWait {
+			r.loggedWait = waits
 			r.core.host.Log.Info().Str("event", "retirement_waits").Str("old", old).Str("waits_for", waits).Msg("")
 		}
 	}
 }
 
-// isClear says whether the present version has stood for so long, settled, that no proxy acts on an older one.
-func (r *retirer) isClear(version uint64) bool {
+// isDrained says whether the present version has stood for so long, settled, that no proxy acts on an older one.
+func (r *retirementController) isDrained(version uint64) bool {
 	since, ok := r.since[version]
 	if !ok {
 		since = time.Now()
 		r.since = map[uint64]time.Time{version: since}
 	}
-	return time.Since(since) > clearTime
+	return time.Since(since) > drainTime
 }
 
 // advance writes a step, under our lease and upon the version that it was worked out from.
-func (r *retirer) advance(ctx context.Context, s *survey, o AdvanceOrder) {
+func (r *retirementController) advance(ctx context.Context, s *adapterState, o RetirementStep) {
 	number, own := r.candidate.Held()
 	if !own {
 		return
 	}
-	o.Expect, o.Duty = s.version, config.Duty{Holder: r.candidate.Holder(), Lease: number}
+	o.ExpectedVersion, o.Holder = s.version, config.Duty{Holder: r.candidate.Holder(), Lease: number}
 	a, err := rpc.Call[Accepted](ctx, r.core.rpc, r.core.host.Address, "/op/advance", o)
 	if err == nil {
-		r.least = a.Version
+		r.minVersion = a.Version
 	}
 	made := r.core.host.Log.Info().Str("event", "retirement").Str("old", o.Old).Uint64("version", a.Version).Uint64("lease", number).AnErr("failure", err)
 	if o.To != nil {
@@ -107,17 +107,17 @@
 }
 
 // load gives each replica its next order; at most a third of a pool loads at a time.
-func (r *retirer) load(ctx context.Context, s *survey) {
+func (r *retirementController) load(ctx context.Context, s *adapterState) {
 	var orders sync.WaitGroup
 	for _, names := range s.pools {
 		room := max(1, len(names)/3)
 		for _, name := range names {
-			if isLoading(s.said[name]) {
+			if isLoading(s.reports[name]) {
 				room--
 			}
 		}
 		for _, name := range names {
-			order, _ := s.lacks(name)
+			order, _ := s.nextOrder(name)
 			switch order.Do {
 			case "":
 				continue
@@ -133,10 +133,10 @@
 }
 
 // drop has replicas drop a base; one on which work runs refuses, and is asked again.
-func (r *retirer) drop(ctx context.Context, s *survey, base string) {
+func (r *retirementController) drop(ctx context.Context, s *adapterState, base string) {
 	var orders sync.WaitGroup
 	for pool := range s.pools {
-		for _, name := range s.drops(pool, base) {
+		for _, name := range s.droppable(pool, base) {
 			order := router.AdapterOrder{Placement: config.Placement{Base: base}, Do: router.DropBase}
 			orders.Go(func() { r.order(ctx, s.replicas[name], order) })
 		}
@@ -145,7 +145,7 @@
 }
 
 // order sends an order under our lease, if it is still ours.
-func (r *retirer) order(ctx context.Context, replica config.Replica, o router.AdapterOrder) {
+func (r *retirementController) order(ctx context.Context, replica config.Replica, o router.AdapterOrder) {
 	number, own := r.candidate.Held()
 	if !own {
 		return
--- a/daemon/survey.go
+++ b/daemon/survey.go
@@ -12,27 +12,27 @@
 	"asterridge/router"
 )
 
-// survey is what is to be done about adapters, and how far it is: the duty acts by it, and operators are shown it.
-type survey struct {
+// adapterState is what is to be done about adapters, and how far it is: the duty acts by it, and operators are shown it.
+type adapterState struct {
 	version     uint64 // of the retirements' register
 	plan        *config.Config
 	retirements config.Retirements
-	duty        config.Duty
+	holder      config.Duty
 	desired     map[string][]config.Placement // by pool
 	pools       map[string][]string           // replicas that are not leaving, by pool
 	replicas    map[string]config.Replica
-	said        map[string]router.Report // of those that answer
+	reports     map[string]router.Report // of those that answer
 }
 
-// survey asks all replicas of pools with a model. It gives nil where no adapter is declared, or what is known here is not settled.
-func (c *Core) survey(ctx context.Context) *survey {
+// collectAdapterState asks all replicas of pools with a model. It gives nil where no adapter is declared, or what is known here is not settled.
+func (c *Core) collectAdapterState(ctx context.Context) *adapterState {
 	declared, moving := c.acceptor.Read(config.Key), c.acceptor.Read(config.RetirementKey)
 	plan, err := config.FromFields(declared.Fields)
 	if err != nil || len(plan.Adapters) == 0 || !declared.IsCommitted() || !moving.IsCommitted() {
 		return nil
 	}
-	s := &survey{version: moving.Revision.Version, plan: plan, pools: map[string][]string{}, said: map[string]router.Report{}}
-	if s.retirements, s.duty, err = config.ParseRetirements(moving.Fields); err != nil {
+	s := &adapterState{version: moving.Revision.Version, plan: plan, pools: map[string][]string{}, reports: map[string]router.Report{}}
+	if s.retirements, s.holder, err = config.ParseRetirements(moving.Fields); err != nil {
 		return nil
 	}
 	s.desired = plan.Desired(s.retirements)
@@ -53,7 +53,7 @@
 			body, err := askReport(short, c.replicaClient, router.ChatDialect{}, replica, router.Report{})
 			if err == nil {
 				mu.Lock()
-				s.said[name] = body.Report
+				s.reports[name] = body.Report
 				mu.Unlock()
 			}
 		})
@@ -62,15 +62,15 @@
 	return s
 }
 
-// lacks gives the next order that a replica needs; without one, what it waits for, or nothing if it has all.
-func (s *survey) lacks(name string) (order router.AdapterOrder, waits string) {
-	said, heard := s.said[name]
+// nextOrder gives the next order that a replica needs; without one, what it waits for, or nothing if it has all.
+func (s *adapterState) nextOrder(name string) (order router.AdapterOrder, waitsFor string) {
+	report, heard := s.reports[name]
 	if !heard {
 		return order, "it does not answer"
 	}
 	for _, u := range s.desired[s.replicas[name].Pool] {
-		base, hasBase := said.Bases[u.Base]
-		has := said.Adapters[u.Key()]
+		base, hasBase := report.Bases[u.Base]
+		has := report.Adapters[u.Key()]
 		switch {
 		case !hasBase:
 			return router.AdapterOrder{Placement: config.Placement{Base: u.Base}, Do: router.LoadBase}, "its turn to load " + u.Base
@@ -83,20 +83,20 @@
 		case has.State == router.AdapterLoaded:
 			return router.AdapterOrder{Placement: u, Do: router.TryAdapter}, "a trial answer of " + u.Key()
 		case has.State == router.AdapterBad:
-			waits = fmt.Sprintf("another build of %s than %s, whose trial answer was wrong", u.Key(), u.Build)
+			waitsFor = fmt.Sprintf("another build of %s than %s, whose trial answer was wrong", u.Key(), u.Build)
 		}
 	}
-	return order, waits
+	return order, waitsFor
 }
 
 // isLoading says whether a replica loads something now.
-func isLoading(said router.Report) bool {
-	for _, base := range said.Bases {
+func isLoading(report router.Report) bool {
+	for _, base := range report.Bases {
 		if base.Loading {
 			return true
 		}
 	}
-	for _, has := range said.Adapters {
+	for _, has := range report.Adapters {
 		if has.State == router.AdapterLoading {
 			return true
 		}
@@ -105,7 +105,7 @@
 }
 
 // poolsOf lists the pools that serve an adapter.
-func (s *survey) poolsOf(adapter string) (pools []string) {
+func (s *adapterState) poolsOf(adapter string) (pools []string) {
 	for _, p := range s.plan.Paths {
 		for _, target := range p.Pools() {
 			if p.Adapter == adapter && !slices.Contains(pools, target.Pool) {
@@ -117,8 +117,8 @@
 	return pools
 }
 
-// move says what an adapter's next phase is, or what it waits for.
-func (s *survey) move(t config.Retirement, a config.Adapter) (next config.Move, waits string) {
+// nextMove says what an adapter's next phase is, or what it waits for.
+func (s *adapterState) nextMove(t config.Retirement, a config.Adapter) (next config.Move, waitsFor string) {
 	next = t.Moves[a.Name]
 	if next.Phase == config.Live {
 		return next, ""
@@ -133,7 +133,7 @@
 	for _, pool := range s.poolsOf(a.Name) {
 		tried, live, all := 0, 0, len(s.pools[pool])
 		for _, name := range s.pools[pool] {
-			has := s.said[name].Adapters[u.Key()]
+			has := s.reports[name].Adapters[u.Key()]
 			switch {
 			case has.Build == u.Build && has.State == router.AdapterBad && next.Phase == "":
 				return next, fmt.Sprintf("another build than %s: its trial answer was wrong on %s", u.Build, name)
@@ -160,8 +160,8 @@
 	return next, ""
 }
 
-// step says how a retirement goes on; without a change, what it waits for. isClear: no proxy can send by an older route.
-func (s *survey) step(t config.Retirement, isClear bool, now time.Time) (next *config.Retirement, changed bool, waits string) {
+// nextStep says how a retirement goes on; without a change, what it waits for. isClear: no proxy can send by an older route.
+func (s *adapterState) nextStep(t config.Retirement, drained bool, now time.Time) (next *config.Retirement, changed bool, waitsFor string) {
 	to := func(phase config.Phase, adapter string, m config.Move) (*config.Retirement, bool, string) {
 		m.Since = now
 		made := t.With(phase, adapter, m)
@@ -170,45 +170,45 @@
 	switch t.Phase {
 	case config.Moving, config.Clearing:
 		for _, a := range adaptersOn(s.plan, s.retirements, t.Old) {
-			m, why := s.move(t, a)
+			m, why := s.nextMove(t, a)
 			if why == "" && m.Phase != t.Moves[a.Name].Phase {
 				return to(config.Moving, a.Name, m)
 			}
-			if why != "" && waits == "" {
-				waits = a.Name + " waits for " + why
+			if why != "" && waitsFor == "" {
+				waitsFor = a.Name + " waits for " + why
 			}
 		}
 		switch {
-		case waits != "" && t.Phase == config.Clearing: // an adapter was declared since
+		case waitsFor != "" && t.Phase == config.Clearing: // an adapter was declared since
 			return to(config.Moving, "", config.Move{})
-		case waits != "":
-			return &t, false, waits
+		case waitsFor != "":
+			return &t, false, waitsFor
 		case t.Phase == config.Moving:
 			return to(config.Clearing, "", config.Move{})
-		case isClear:
+		case drained:
 			return to(config.Dropping, "", config.Move{})
 		}
-		return &t, false, fmt.Sprintf("%v to pass, after which no proxy can send to %s", clearTime, t.Old)
+		return &t, false, fmt.Sprintf("%v to pass, after which no proxy can send to %s", drainTime, t.Old)
 	case config.Dropping:
-		if waits = s.has(t.Old); waits == "" {
+		if waitsFor = s.replicaWith(t.Old); waitsFor == "" {
 			return to(config.Retired, "", config.Move{})
 		}
 	case config.Undoing:
-		if !isClear {
-			return &t, false, fmt.Sprintf("%v to pass, after which no proxy can send to %s", clearTime, t.New)
+		if !drained {
+			return &t, false, fmt.Sprintf("%v to pass, after which no proxy can send to %s", drainTime, t.New)
 		}
-		if waits = s.has(t.New); waits == "" || s.isNeeded(t.New) {
+		if waitsFor = s.replicaWith(t.New); waitsFor == "" || s.isNeeded(t.New) {
 			return nil, true, ""
 		}
 	}
-	return &t, false, waits
+	return &t, false, waitsFor
 }
 
-// has names a replica that has a base, or may have it.
-func (s *survey) has(base string) string {
+// replicaWith names a replica that has a base, or may have it.
+func (s *adapterState) replicaWith(base string) string {
 	for _, pool := range slices.Sorted(maps.Keys(s.pools)) {
 		for _, name := range s.pools[pool] {
-			said, heard := s.said[name]
+			said, heard := s.reports[name]
 			if _, ok := said.Bases[base]; ok || !heard {
 				return fmt.Sprintf("%s to drop %s", name, base)
 			}
@@ -217,7 +217,7 @@
 	return ""
 }
 
-func (s *survey) isNeeded(base string) bool {
+func (s *adapterState) isNeeded(base string) bool {
 	for _, all := range s.desired {
 		if slices.ContainsFunc(all, func(u config.Placement) bool { return u.Base == base }) {
 			return true
@@ -226,17 +226,17 @@
 	return false
 }
 
-// drops lists the replicas of a pool that may be told to drop a base now: at most a third, and only those that have all they need beside it.
+// droppable lists the replicas of a pool that may be told to drop a base now: at most a third, and only those that have all they need beside it.
 // Those on which work runs would refuse, and come last.
-func (s *survey) drops(pool, base string) (names []string) {
+func (s *adapterState) droppable(pool, base string) (names []string) {
 	for _, name := range s.pools[pool] {
-		if _, ok := s.said[name].Bases[base]; !ok {
+		if _, ok := s.reports[name].Bases[base]; !ok {
 			continue
 		}
-		if _, waits := s.lacks(name); waits == "" {
+		if _, waits := s.nextOrder(name); waits == "" {
 			names = append(names, name)
 		}
 	}
-	slices.SortStableFunc(names, func(a, b string) int { return s.said[a].Bases[base].Running - s.said[b].Bases[base].Running })
+	slices.SortStableFunc(names, func(a, b string) int { return s.reports[a].Bases[base].Running - s.reports[b].Bases[base].Running })
 	return names[:min(len(names), max(1, len(s.pools[pool])/3))]
 }
