--- a/cmd/hollow/backend.go
+++ b/cmd/hollow/backend.go
@@ -59,20 +59,20 @@
 // Load does nothing.
 func (b *hollowBackend) Load(context.Context, config.Replica, daemon.Order) error { return nil }
 
-// Kept gives all that is kept at first, and then as many events as the rate has it: half of them blocks got, half dropped.
-func (b *hollowBackend) Kept(ctx context.Context, address string, from daemon.KeptPlace, wait time.Duration) (daemon.KeptNews, error) {
+// CachedBlocks gives all that is kept at first, and then as many events as the rate has it: half of them blocks got, half dropped.
+func (b *hollowBackend) CachedBlocks(ctx context.Context, address string, from daemon.CacheOffset, wait time.Duration) (daemon.CacheUpdate, error) {
 	key := func(n int) string { return fmt.Sprintf("common@1/%s/%016x", address[6:], uint64(n)*0x9e3779b97f4a7c15) }
 	b.mu.Lock()
-	k, first := b.news[address], from == daemon.KeptPlace{}
+	k, first := b.news[address], from == daemon.CacheOffset{}
 	if k == nil {
 		k = &keptNews{next: b.setup.Blocks / b.setup.Replicas, at: time.Now()}
 		b.news[address] = k
 	}
 	b.mu.Unlock()
-	news := daemon.KeptNews{Kept: map[string]int{}, Snapshot: first}
+	news := daemon.CacheUpdate{Blocks: map[string]int{}, Snapshot: first}
 	if !first {
 		if b.setup.Events == 0 {
-			return daemon.KeptNews{Place: from}, rpc.Sleep(ctx, wait)
+			return daemon.CacheUpdate{Offset: from}, rpc.Sleep(ctx, wait)
 		}
 		_ = rpc.Sleep(ctx, wait/4) // news come long before a held call ends
 	}
@@ -80,7 +80,7 @@
 	defer b.mu.Unlock()
 	if first {
 		for n := k.first; n < k.next; n++ {
-			news.Kept[key(n)] = 512
+			news.Blocks[key(n)] = 512
 		}
 		k.at = time.Now()
 	}
@@ -89,11 +89,11 @@
 		k.at = time.Now()
 	}
 	for range pairs {
-		news.Kept[key(k.next)] = 512
-		news.Kept[key(k.first)] = 0
+		news.Blocks[key(k.next)] = 512
+		news.Blocks[key(k.first)] = 0
 		k.next++
 		k.first++
 	}
-	news.Place = daemon.KeptPlace{Epoch: 1, Next: uint64(k.next) + 1}
+	news.Offset = daemon.CacheOffset{Epoch: 1, Next: uint64(k.next) + 1}
 	return news, nil
 }
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -116,7 +116,7 @@
 	outer.Handle("POST /core/hello", rpc.Handler(fleet, a.hello))
 	rpc.HandleReady(outer, func() bool { return a.remaining() > 0 })
 	go Every(ctx, HelloInterval, func() { a.discover(ctx) })
-	go Every(ctx, keptStep, a.changeReaders)
+	go Every(ctx, readerInterval, a.changeReaders)
 	go a.ring.Run(ctx)
 	go Every(ctx, time.Minute, func() { a.table.Prune(time.Hour) })
 	go func() { _ = Serve(ctx, listener, outer, time.Second) }()
--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -24,18 +24,18 @@
 	Load(ctx context.Context, r config.Replica, o Order) error
 	// Occupancy asks a replica for its load.
 	Occupancy(ctx context.Context, r config.Replica) (router.Occupancy, error)
-	// Kept gives what a replica or store has got or lost of prompts since a place in its news, waiting for some; the zero place: all there is.
-	Kept(ctx context.Context, address string, from KeptPlace, wait time.Duration) (KeptNews, error)
+	// CachedBlocks gives what a replica or store has got or lost of prompts since a place in its news, waiting for some; the zero place: all there is.
+	CachedBlocks(ctx context.Context, address string, from CacheOffset, wait time.Duration) (CacheUpdate, error)
 }
 
-// KeptPlace is a place in the news of one life of a replica or store.
-type KeptPlace struct{ Epoch, Next uint64 }
+// CacheOffset is a place in the news of one life of a replica or store.
+type CacheOffset struct{ Epoch, Next uint64 }
 
-// KeptNews is what was got or lost: by key, how much is kept now. IsImage: there is nothing else.
-type KeptNews struct {
-	Place    KeptPlace
+// CacheUpdate is what was got or lost: by key, how much is kept now. IsImage: there is nothing else.
+type CacheUpdate struct {
+	Offset   CacheOffset
 	Snapshot bool
-	Kept     map[string]int
+	Blocks   map[string]int
 }
 
 // Order is an order to a replica. Of two orders under different fences the one with the lower fence is void.
@@ -62,7 +62,7 @@
 		candidate: c.newCandidate("loading", loadLease)}
 	list := &replicaLister{core: c}
 	go Every(ctx, listInterval, func() { list.step(ctx) })
-	go c.readKept(ctx)
+	go c.runCacheReaders(ctx)
 	go Every(ctx, occupancyInterval, func() { c.publishOccupancy(ctx) })
 	go Every(ctx, loadInterval, func() { l.step(ctx) })
 }
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -70,7 +70,7 @@
 	submitCommit           func(context.Context, CommitRequest) (CommitResponse, error)
 	submitMembershipChange func(context.Context, MembershipChange) (Accepted, error)
 
-	prefixes          keptNews
+	prefixes          prefixFilter
 	loggedFailures    sync.Map // keys whose catching up has failed, as the log has it
 	announcedVersions sync.Map // versions of models whose coming was told to the agents
 
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -42,7 +42,7 @@
 				RPC: c.rpc, Address: m.Address, Path: "/core/whole", Wait: c.watchWait(),
 				OnUpdate: func(f *watch.Client, answer watch.Response) {
 					takeHolds(c.throttles)(f, answer)
-					c.takeShared(answer)
+					c.applyStoreUpdates(answer)
 					if answer.Snapshot {
 						c.wake() // there is much to catch up on
 					}
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	keptStep  = 500 * time.Millisecond
-	keptWait  = time.Second
-	keptPause = 250 * time.Millisecond // news that come close together are told together
-	keptGone  = 2                      // failures in a row after which a source counts as gone
+	readerInterval   = 500 * time.Millisecond
+	cacheWatchWait   = time.Second
+	cacheUpdateDelay = 250 * time.Millisecond // news that come close together are told together
+	maxReadFailures  = 2                      // failures in a row after which a source counts as gone
 )
 
-// readKept has one core read each source's news of kept prompts: the one that would own the source's key (§6.4). What it has read is
+// runCacheReaders has one core read each source's news of kept prompts: the one that would own the source's key (§6.4). What it has read is
 // passed on to all agents as news without a revision; it is a hint, and is read anew after any doubt.
-func (c *Core) readKept(ctx context.Context) {
+func (c *Core) runCacheReaders(ctx context.Context) {
 	reading := map[string]context.CancelFunc{}
-	var drawn map[string]string // at the step before: a core that is being cut off misses the others one after another, and draws more for a moment
-	Every(ctx, keptStep, func() {
+	var assigned map[string]string // at the step before: a core that is being cut off misses the others one after another, and draws more for a moment
+	Every(ctx, readerInterval, func() {
 		if c.membership().self != nil && !c.hasQuorum() {
 			return // agents may hear this core as before: it reads on what it has read, and nothing else
 		}
 		wanted := map[string]string{}
-		for name, address := range c.keptSources() {
+		for name, address := range c.cacheSources() {
 			if key := router.KeptPrefix + name; c.isAssigned(key) {
 				wanted[key] = address
 			}
@@ -45,18 +45,18 @@
 			}
 		}
 		for key, address := range wanted {
-			if reading[key] == nil && drawn[key] != "" {
+			if reading[key] == nil && assigned[key] != "" {
 				one, stop := context.WithCancel(ctx)
 				reading[key] = stop
-				go c.readSource(one, key, address)
+				go c.readCacheSource(one, key, address)
 			}
 		}
-		drawn = wanted
+		assigned = wanted
 	})
 }
 
-// keptSources names who keeps prompts and lets their news be read: address by name in the index.
-func (c *Core) keptSources() map[string]string {
+// cacheSources names who keeps prompts and lets their news be read: address by name in the index.
+func (c *Core) cacheSources() map[string]string {
 	sources := map[string]string{}
 	plan, err := config.FromFields(withoutTexts(c.acceptor.Read(config.Key).Fields))
 	if err != nil {
@@ -79,152 +79,152 @@
 	return sources
 }
 
-// readSource follows one source until the context ends.
-func (c *Core) readSource(ctx context.Context, key, address string) {
-	var place KeptPlace
+// readCacheSource follows one source until the context ends.
+func (c *Core) readCacheSource(ctx context.Context, key, address string) {
+	var offset CacheOffset
 	up, failures := false, 0
 	defer c.prefixes.drop(key)
 	for ctx.Err() == nil {
-		short, stop := context.WithTimeout(ctx, 2*keptWait)
-		news, err := c.options.Backend.Kept(short, address, place, keptWait)
+		short, stop := context.WithTimeout(ctx, 2*cacheWatchWait)
+		update, err := c.options.Backend.CachedBlocks(short, address, offset, cacheWatchWait)
 		stop()
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			if failures++; failures == keptGone && up {
+			if failures++; failures == maxReadFailures && up {
 				c.host.Log.Warn().Str("event", "source_gone").Str("source", key).Err(err).Msg("")
-				c.tellKept(key, c.prefixes.drop(key), true)
-				up, place = false, KeptPlace{}
+				c.publishCached(key, c.prefixes.drop(key), true)
+				up, offset = false, CacheOffset{}
 			}
-			_ = rpc.Sleep(ctx, keptPause) // the loop looks at the context
+			_ = rpc.Sleep(ctx, cacheUpdateDelay) // the loop looks at the context
 			continue
 		}
 		if !up {
 			c.host.Log.Info().Str("event", "source_read").Str("source", key).Msg("")
 		}
-		full := news.Snapshot || !up
-		place, failures, up = news.Place, 0, true
-		fields := c.prefixes.take(key, news.Kept, full)
+		full := update.Snapshot || !up
+		offset, failures, up = update.Offset, 0, true
+		fields := c.prefixes.update(key, update.Blocks, full)
 		if full {
 			fields[router.KeptUp] = json.RawMessage("1")
 		}
 		if len(fields) > 0 {
-			c.tellKept(key, fields, full)
+			c.publishCached(key, fields, full)
 		}
-		_ = rpc.Sleep(ctx, keptPause)
+		_ = rpc.Sleep(ctx, cacheUpdateDelay)
 	}
 }
 
-// tellKept tells the agents, and of stores the other cores, what a source keeps now.
-func (c *Core) tellKept(key string, fields register.Fields, full bool) {
+// publishCached tells the agents, and of stores the other cores, what a source keeps now.
+func (c *Core) publishCached(key string, fields register.Fields, full bool) {
 	c.agentUpdates.PublishDeferred(key, fields, full)
 	if isStore(key) {
 		c.peerUpdates.PublishDeferred(key, fields, full)
-		c.learnShared(key, fields, full)
+		c.applySharedBlocks(key, fields, full)
 	}
 }
 
 func isStore(key string) bool { return strings.HasPrefix(key, router.KeptPrefix+router.StoreName("")) }
 
-// learnShared takes what a store keeps: it was left there since others may share it. What this core has held back of it is told now.
-func (c *Core) learnShared(key string, fields register.Fields, full bool) {
-	for source, more := range c.prefixes.share(key, fields, full) {
+// applySharedBlocks takes what a store keeps: it was left there since others may share it. What this core has held back of it is told now.
+func (c *Core) applySharedBlocks(key string, fields register.Fields, full bool) {
+	for source, more := range c.prefixes.shareBlocks(key, fields, full) {
 		c.agentUpdates.PublishDeferred(source, more, false)
 	}
 }
 
-// takeShared learns of stores from the core that reads them.
-func (c *Core) takeShared(answer watch.Response) {
+// applyStoreUpdates learns of stores from the core that reads them.
+func (c *Core) applyStoreUpdates(answer watch.Response) {
 	for _, e := range answer.Updates {
 		if isStore(e.Key) && len(e.Fields) > 0 {
-			c.learnShared(e.Key, e.Fields, answer.Snapshot)
+			c.applySharedBlocks(e.Key, e.Fields, answer.Snapshot)
 		}
 	}
 }
 
-// keptNews is what this core has read of replicas. Most of what they keep is one request's own and of no use to others: while a store
+// prefixFilter is what this core has read of replicas. Most of what they keep is one request's own and of no use to others: while a store
 // answers, only what was left there once is told; and what is there when the reading begins, of which nobody knows any more what it is.
-type keptNews struct {
-	mu      sync.Mutex
-	stores  map[string]bool        // that answer
-	shared  map[string]bool        // keys that a store has kept
-	sources map[string]*keptSource // by key of the news
+type prefixFilter struct {
+	mu           sync.Mutex
+	liveStores   map[string]bool         // that answer
+	sharedBlocks map[string]bool         // keys that a store has kept
+	sources      map[string]*cacheSource // by key of the news
 }
 
-type keptSource struct {
-	kept map[string]int
-	told map[string]bool
+type cacheSource struct {
+	cached    map[string]int
+	published map[string]bool
 }
 
-const sharedMost = 200000 // keys of shared parts that are remembered; beyond it they are learned anew
+const maxSharedBlocks = 200000 // keys of shared parts that are remembered; beyond it they are learned anew
 
-// take notes a source's news and gives those that are to be told.
-func (k *keptNews) take(source string, news map[string]int, full bool) register.Fields {
+// update notes a source's news and gives those that are to be told.
+func (k *prefixFilter) update(source string, blocks map[string]int, full bool) register.Fields {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	s := k.sources[source]
 	if s == nil || full {
-		s = &keptSource{map[string]int{}, map[string]bool{}}
+		s = &cacheSource{map[string]int{}, map[string]bool{}}
 		if k.sources == nil {
-			k.sources = map[string]*keptSource{}
+			k.sources = map[string]*cacheSource{}
 		}
 		k.sources[source] = s
 	}
 	fields := register.Fields{}
-	for block, kept := range news {
+	for block, kept := range blocks {
 		if kept > 0 {
-			s.kept[block] = kept
+			s.cached[block] = kept
 		} else {
-			delete(s.kept, block)
+			delete(s.cached, block)
 		}
-		k.tell(s, block, full || isStore(source), fields)
+		k.publishBlock(s, block, full || isStore(source), fields)
 	}
 	return fields
 }
 
-// tell adds a block to the fields if it is to be told; k.mu is held.
-func (k *keptNews) tell(s *keptSource, block string, all bool, fields register.Fields) {
-	kept, isKept := s.kept[block]
+// publishBlock adds a block to the fields if it is to be told; k.mu is held.
+func (k *prefixFilter) publishBlock(s *cacheSource, block string, all bool, fields register.Fields) {
+	kept, isKept := s.cached[block]
 	switch {
-	case isKept && (all || len(k.stores) == 0 || k.shared[block]):
-		s.told[block] = true
+	case isKept && (all || len(k.liveStores) == 0 || k.sharedBlocks[block]):
+		s.published[block] = true
 		fields[block] = json.RawMessage(strconv.Itoa(kept))
-	case !isKept && s.told[block]:
-		delete(s.told, block)
+	case !isKept && s.published[block]:
+		delete(s.published, block)
 		fields[block] = nil
 	}
 }
 
-// share notes what a store keeps, and gives by source what had been held back of it.
-func (k *keptNews) share(store string, fields register.Fields, full bool) map[string]register.Fields {
+// shareBlocks notes what a store keeps, and gives by source what had been held back of it.
+func (k *prefixFilter) shareBlocks(store string, fields register.Fields, full bool) map[string]register.Fields {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.stores == nil {
-		k.stores, k.shared = map[string]bool{}, map[string]bool{}
+	if k.liveStores == nil {
+		k.liveStores, k.sharedBlocks = map[string]bool{}, map[string]bool{}
 	}
 	if full {
-		delete(k.stores, store)
+		delete(k.liveStores, store)
 	}
-	if len(k.shared) > sharedMost {
-		k.shared = map[string]bool{}
+	if len(k.sharedBlocks) > maxSharedBlocks {
+		k.sharedBlocks = map[string]bool{}
 	}
 	all := map[string]register.Fields{}
 	for block, raw := range fields {
 		gone := register.IsDeleted(raw)
 		switch {
 		case block == router.KeptUp && gone:
-			delete(k.stores, store)
+			delete(k.liveStores, store)
 		case block == router.KeptUp:
-			k.stores[store] = true
-		case !gone && !k.shared[block]:
-			k.shared[block] = true
+			k.liveStores[store] = true
+		case !gone && !k.sharedBlocks[block]:
+			k.sharedBlocks[block] = true
 			for name, s := range k.sources {
-				if !isStore(name) && s.kept[block] > 0 && !s.told[block] {
+				if !isStore(name) && s.cached[block] > 0 && !s.published[block] {
 					if all[name] == nil {
 						all[name] = register.Fields{}
 					}
-					k.tell(s, block, false, all[name])
+					k.publishBlock(s, block, false, all[name])
 				}
 			}
 		}
@@ -233,7 +233,7 @@
 }
 
 // drop forgets a source.
-func (k *keptNews) drop(source string) register.Fields {
+func (k *prefixFilter) drop(source string) register.Fields {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.sources, source)
--- a/sim/backend_test.go
+++ b/sim/backend_test.go
@@ -56,9 +56,9 @@
 
 // source keeps parts of prompts, and tells the news of one life.
 type source struct {
-	place     daemon.KeptPlace
+	place     daemon.CacheOffset
 	kept      map[string]int
-	before    daemon.KeptPlace // the place before the last change, and what that changed
+	before    daemon.CacheOffset // the place before the last change, and what that changed
 	changed   map[string]int
 	news      chan struct{} // closed at the next change
 	gone      bool
@@ -214,12 +214,12 @@
 	return nil
 }
 
-func (v view) Kept(ctx context.Context, address string, from daemon.KeptPlace, wait time.Duration) (daemon.KeptNews, error) {
+func (v view) CachedBlocks(ctx context.Context, address string, from daemon.CacheOffset, wait time.Duration) (daemon.CacheUpdate, error) {
 	v.mu.Lock()
 	s := v.sources[address]
 	if s == nil || s.gone {
 		v.mu.Unlock()
-		return daemon.KeptNews{}, errors.New("gone")
+		return daemon.CacheUpdate{}, errors.New("gone")
 	}
 	s.readers = append(s.readers, v.core)
 	s.readTimes[v.core]++
@@ -237,15 +237,15 @@
 	defer v.mu.Unlock()
 	s.readers = slices.Delete(s.readers, slices.Index(s.readers, v.core), slices.Index(s.readers, v.core)+1)
 	if ctx.Err() != nil || s.gone {
-		return daemon.KeptNews{}, errors.New("gone meanwhile")
+		return daemon.CacheUpdate{}, errors.New("gone meanwhile")
 	}
 	switch from {
 	case s.place:
-		return daemon.KeptNews{Place: s.place}, nil
+		return daemon.CacheUpdate{Offset: s.place}, nil
 	case s.before:
-		return daemon.KeptNews{Place: s.place, Kept: maps.Clone(s.changed)}, nil
+		return daemon.CacheUpdate{Offset: s.place, Blocks: maps.Clone(s.changed)}, nil
 	}
-	return daemon.KeptNews{Place: s.place, Snapshot: true, Kept: maps.Clone(s.kept)}, nil
+	return daemon.CacheUpdate{Offset: s.place, Snapshot: true, Blocks: maps.Clone(s.kept)}, nil
 }
 
 // keep changes what a source keeps. In another epoch it has started anew.
@@ -263,9 +263,9 @@
 	}
 	maps.Copy(s.changed, kept)
 	if s.place.Epoch != epoch {
-		s.before = daemon.KeptPlace{Next: 1 << 60} // a place that nobody has
+		s.before = daemon.CacheOffset{Next: 1 << 60} // a place that nobody has
 	}
-	s.kept, s.place = kept, daemon.KeptPlace{Epoch: epoch, Next: s.place.Next + 1}
+	s.kept, s.place = kept, daemon.CacheOffset{Epoch: epoch, Next: s.place.Next + 1}
 	close(s.news)
 	s.news = make(chan struct{})
 }
