--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -21,49 +21,49 @@
 
 // The limits of §3.2.
 const (
-	freshLimit     = 1200 * time.Millisecond // T
-	undecidedLimit = 500 * time.Millisecond  // U
-	reportStep     = 300 * time.Millisecond
-	reportLimit    = time.Second
+	FreshLimit     = 1200 * time.Millisecond // T
+	UndecidedLimit = 500 * time.Millisecond  // U
+	reportInterval = 300 * time.Millisecond
+	ReportTimeout  = time.Second
 )
 
 // Agent keeps the links to the cores and feeds the proxy beside it.
 type Agent struct {
-	host    Host
-	options AgentOptions
-	dialect router.Dialect
-	wire    *rpc.Client
-	plain   *http.Client
-	source  *watch.Server
-	table   *throttle.Table
-	ring    *gossip.Detector
-	disk    disk.Disk // may be nil: then what was learned of the cores is lost with the process
+	host          Host
+	options       AgentOptions
+	dialect       router.Dialect
+	rpc           *rpc.Client
+	replicaClient *http.Client
+	proxyUpdates  *watch.Server
+	throttles     *throttle.Table
+	detector      *gossip.Detector
+	disk          disk.Disk // may be nil: then what was learned of the cores is lost with the process
 
-	mu           sync.Mutex
-	members      []config.Member
-	prior        []config.Member          // the list before, while keys are carried over from it
-	links        map[string]*watch.Client // by core's address
-	applied      map[string]register.Revision
-	undecided    map[string]doubt
-	until        time.Time // current until then, as last worked out
-	why          string
-	saidCurrent  bool // as the log has it
-	proxies      register.Fields
-	silent       map[string]bool // members, by address
-	hearingSince time.Time       // since when a majority of the members answers; zero: it does not
-	named        router.Named
-	readers      map[string]string // by key of news of kept prompts: the core they are taken from
-	replicas     map[string]context.CancelFunc
-	watched      map[string]config.Replica
+	mu               sync.Mutex
+	members          []config.Member
+	previousMembers  []config.Member          // the list before, while keys are carried over from it
+	cores            map[string]*watch.Client // by core's address
+	applied          map[string]register.Revision
+	undecided        map[string]undecidedVersion
+	currentUntil     time.Time // current until then, as last worked out
+	notCurrentReason string
+	loggedCurrent    bool // as the log has it
+	proxies          register.Fields
+	unresponsive     map[string]bool // members, by address
+	quorumSince      time.Time       // since when a majority of the members answers; zero: it does not
+	modelVersions    router.Named
+	cacheReaders     map[string]string // by key of news of kept prompts: the core they are taken from
+	stopPolling      map[string]context.CancelFunc
+	polled           map[string]config.Replica
 }
 
 // AgentOptions of an agent; what is zero has its usual value.
 type AgentOptions struct {
-	Dialect   router.Dialect
-	Fresh     time.Duration // T
-	Undecided time.Duration // U
-	LinkWait  time.Duration // how long an ask is held by a core
-	Grace     time.Duration // how long it goes on beside a proxy that has yet to stop
+	Dialect        router.Dialect
+	FreshLimit     time.Duration // T
+	UndecidedLimit time.Duration // U
+	WatchWait      time.Duration // how long an ask is held by a core
+	Grace          time.Duration // how long it goes on beside a proxy that has yet to stop
 }
 
 // NewAgent makes an agent. On its disk, if it has one, it keeps where the cores are.
@@ -71,27 +71,27 @@
 	if options.Dialect == nil {
 		options.Dialect = router.ChatDialect{}
 	}
-	if options.Fresh == 0 {
-		options.Fresh = freshLimit
+	if options.FreshLimit == 0 {
+		options.FreshLimit = FreshLimit
 	}
-	if options.Undecided == 0 {
-		options.Undecided = undecidedLimit
+	if options.UndecidedLimit == 0 {
+		options.UndecidedLimit = UndecidedLimit
 	}
-	if options.LinkWait == 0 {
-		options.LinkWait = DefaultWatchWait
+	if options.WatchWait == 0 {
+		options.WatchWait = DefaultWatchWait
 	}
 	a := &Agent{
 		disk: d, options: options,
-		host: host, dialect: options.Dialect, wire: rpc.NewClient(host.Fleet, host.Net),
-		plain: newPlain(host.Net),
-		links: map[string]*watch.Client{}, applied: map[string]register.Revision{}, undecided: map[string]doubt{},
-		why: "no core found yet", proxies: register.Fields{}, silent: map[string]bool{}, readers: map[string]string{}, replicas: map[string]context.CancelFunc{}, watched: map[string]config.Replica{},
+		host: host, dialect: options.Dialect, rpc: rpc.NewClient(host.Fleet, host.Net),
+		replicaClient: NewReplicaClient(host.Net),
+		cores:         map[string]*watch.Client{}, applied: map[string]register.Revision{}, undecided: map[string]undecidedVersion{},
+		notCurrentReason: "no core found yet", proxies: register.Fields{}, unresponsive: map[string]bool{}, cacheReaders: map[string]string{}, stopPolling: map[string]context.CancelFunc{}, polled: map[string]config.Replica{},
 	}
-	a.ring = NewDetector(host, "agent", a.wire)
-	a.source = watch.NewServer(watch.ServerOptions{ValidFor: a.remaining})
-	a.table = throttle.NewTable(func(e throttle.Entry) {
+	a.detector = NewDetector(host, "agent", a.rpc)
+	a.proxyUpdates = watch.NewServer(watch.ServerOptions{ValidFor: a.remaining})
+	a.throttles = throttle.NewTable(func(e throttle.Entry) {
 		raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
-		a.source.Publish(router.HoldKey, register.Revision{}, register.Revision{}, register.Fields{e.Scope: raw}, false)
+		a.proxyUpdates.Publish(router.HoldKey, register.Revision{}, register.Revision{}, register.Fields{e.Scope: raw}, false)
 	})
 	return a
 }
@@ -103,32 +103,32 @@
 	go func() {
 		defer stop()
 		<-stopped.Done()
-		a.seeOff()
+		a.awaitProxyStop()
 	}()
 	mux, fleet := http.NewServeMux(), a.host.Fleet
-	mux.Handle("POST /agent/pull", rpc.Handler(fleet, a.source.Watch))
-	mux.Handle("POST /agent/hold", rpc.Handler(fleet, a.tellHold))
-	mux.Handle("POST /agent/claim", rpc.Handler(fleet, a.claim))
+	mux.Handle("POST /agent/pull", rpc.Handler(fleet, a.proxyUpdates.Watch))
+	mux.Handle("POST /agent/hold", rpc.Handler(fleet, a.forwardThrottle))
+	mux.Handle("POST /agent/claim", rpc.Handler(fleet, a.forwardClaim))
 	outer := http.NewServeMux()
-	HandleGossip(outer, fleet, a.ring)
-	HandleMetrics(outer, a.figures)
-	outer.Handle("POST /agent/query", rpc.Handler(fleet, a.query))
-	outer.Handle("POST /core/hello", rpc.Handler(fleet, a.hello))
+	HandleGossip(outer, fleet, a.detector)
+	HandleMetrics(outer, a.gauges)
+	outer.Handle("POST /agent/query", rpc.Handler(fleet, a.handleQuery))
+	outer.Handle("POST /core/hello", rpc.Handler(fleet, a.handleHello))
 	rpc.HandleReady(outer, func() bool { return a.remaining() > 0 })
-	go Every(ctx, HelloInterval, func() { a.discover(ctx) })
-	go Every(ctx, readerInterval, a.changeReaders)
-	go a.ring.Run(ctx)
-	go Every(ctx, time.Minute, func() { a.table.Prune(time.Hour) })
+	go Every(ctx, HelloInterval, func() { a.discoverCores(ctx) })
+	go Every(ctx, readerInterval, a.switchCacheReaders)
+	go a.detector.Run(ctx)
+	go Every(ctx, time.Minute, func() { a.throttles.Prune(time.Hour) })
 	go func() { _ = Serve(ctx, listener, outer, time.Second) }()
 	a.host.Log.Info().Str("event", "agent_up").Str("address", a.host.Address).Msg("")
 	return Serve(ctx, local, mux, time.Second)
 }
 
-// seeOff goes on beside a proxy that is stopping, so that it stays current until its last request is answered.
-func (a *Agent) seeOff() {
+// awaitProxyStop goes on beside a proxy that is stopping, so that it stays current until its last request is answered.
+func (a *Agent) awaitProxyStop() {
 	for end := time.Now().Add(a.options.Grace); time.Now().Before(end); {
 		ok := false
-		for _, s := range a.source.ClientStates(LivenessTimeout) {
+		for _, s := range a.proxyUpdates.ClientStates(LivenessTimeout) {
 			ok = ok || s.Role == "proxy"
 		}
 		if !ok || rpc.Sleep(context.Background(), HelloInterval) != nil {
@@ -137,50 +137,50 @@
 	}
 }
 
-func (a *Agent) hello(context.Context, Hello) (Hello, error) {
+func (a *Agent) handleHello(context.Context, Hello) (Hello, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return Hello{Name: a.host.Name, Role: "agent", Address: a.host.Address, Zone: a.host.Zone, Members: a.members}, nil
 }
 
-// discover asks the seeds for the members until some are known, and links to each member.
-func (a *Agent) discover(ctx context.Context) {
+// discoverCores asks the seeds for the members until some are known, and links to each member.
+func (a *Agent) discoverCores(ctx context.Context) {
 	a.mu.Lock()
 	known := a.members
 	a.mu.Unlock()
 	if len(known) > 0 {
-		a.connect(ctx, known)
+		a.connectCores(ctx, known)
 		return
 	}
-	for _, seed := range a.asked() {
+	for _, seed := range a.seedAddresses() {
 		short, stop := context.WithTimeout(ctx, time.Second)
-		h, err := rpc.Call[Hello](short, a.wire, seed, "/core/hello", Hello{})
+		h, err := rpc.Call[Hello](short, a.rpc, seed, "/core/hello", Hello{})
 		stop()
 		if err == nil && len(h.Members) > 0 {
-			a.connect(ctx, h.Members)
+			a.connectCores(ctx, h.Members)
 			return
 		}
 	}
 }
 
-// asked is whom to ask for the members: the seeds, what the ring has heard of, and what was kept from an earlier life.
-func (a *Agent) asked() []string {
+// seedAddresses is whom to ask for the members: the seeds, what the ring has heard of, and what was kept from an earlier life.
+func (a *Agent) seedAddresses() []string {
 	all := slices.Clone(a.host.Seeds)
-	for _, d := range a.ring.Nodes()[1:] {
+	for _, d := range a.detector.Nodes()[1:] {
 		all = append(all, d.Address)
 	}
 	if a.disk != nil {
-		var kept []string
+		var recorded []string
 		raw, err := a.disk.Get(IdentityFolder, coresFile)
-		if err == nil && json.Unmarshal(raw, &kept) == nil {
-			all = append(all, kept...)
+		if err == nil && json.Unmarshal(raw, &recorded) == nil {
+			all = append(all, recorded...)
 		}
 	}
 	return all
 }
 
-// keepCores writes down where the cores are; a.mu is held, the disk is not waited for.
-func (a *Agent) keepCores() {
+// recordCores writes down where the cores are; a.mu is held, the disk is not waited for.
+func (a *Agent) recordCores() {
 	if a.disk == nil {
 		return
 	}
@@ -198,58 +198,58 @@
 
 const coresFile = "cores"
 
-func (a *Agent) connect(ctx context.Context, members []config.Member) {
+func (a *Agent) connectCores(ctx context.Context, members []config.Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.members) == 0 {
 		a.members = members
 	}
-	for address, f := range a.links {
-		if !listed(a.members, address) && !listed(a.prior, address) {
+	for address, f := range a.cores {
+		if !containsAddress(a.members, address) && !containsAddress(a.previousMembers, address) {
 			f.Stop()
-			delete(a.links, address)
+			delete(a.cores, address)
 		}
 	}
-	for _, m := range slices.Concat(a.members, a.prior) {
-		if a.links[m.Address] == nil {
+	for _, m := range slices.Concat(a.members, a.previousMembers) {
+		if a.cores[m.Address] == nil {
 			f := watch.NewClient(watch.ClientOptions{
-				RPC: a.wire, Address: m.Address, Path: "/core/pull", Wait: a.options.LinkWait, Request: a.ask,
+				RPC: a.rpc, Address: m.Address, Path: "/core/pull", Wait: a.options.WatchWait, Request: a.watchRequest,
 				OnUpdate: func(f *watch.Client, answer watch.Response) { // the rest is looked at in digest, which follows each answer
-					takeHolds(a.table)(f, answer)
-					a.takeKept(f, answer)
-					a.takeNamed(answer)
-					a.takeOccupancy(answer)
+					MergeThrottles(a.throttles)(f, answer)
+					a.forwardCached(f, answer)
+					a.forwardModelVersions(answer)
+					a.forwardOccupancy(answer)
 				},
-				OnResponse: func(*watch.Client, time.Time, time.Duration) { a.digest(ctx) },
+				OnResponse: func(*watch.Client, time.Time, time.Duration) { a.applyUpdates(ctx) },
 			})
-			a.links[m.Address] = f
+			a.cores[m.Address] = f
 			go f.Run(ctx)
 		}
 	}
 }
 
-func listed(members []config.Member, address string) bool {
+func containsAddress(members []config.Member, address string) bool {
 	return slices.ContainsFunc(members, func(m config.Member) bool { return m.Address == address })
 }
 
-func (a *Agent) ask() watch.Request {
+func (a *Agent) watchRequest() watch.Request {
 	status := AgentStatus{Address: a.host.Address, Zone: a.host.Zone, Current: a.remaining() > 0}
-	ask := watch.Request{Name: a.host.Name, Role: "agent"}
-	for _, s := range a.source.ClientStates(LivenessTimeout) {
+	request := watch.Request{Name: a.host.Name, Role: "agent"}
+	for _, s := range a.proxyUpdates.ClientStates(LivenessTimeout) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
-			status.Proxy, ask.Applied = &p, s.Applied
+			status.Proxy, request.Applied = &p, s.Applied
 		}
 	}
 	a.mu.Lock()
-	status.NotCurrentReason = a.why
+	status.NotCurrentReason = a.notCurrentReason
 	a.mu.Unlock()
-	ask.Status, _ = json.Marshal(status) // a plain struct always encodes
-	return ask
+	request.Status, _ = json.Marshal(status) // a plain struct always encodes
+	return request
 }
 
-// takeHolds merges the running holds of a link's answer; cores take them from each other by it, too.
-func takeHolds(table *throttle.Table) func(*watch.Client, watch.Response) {
+// MergeThrottles merges the running holds of a link's answer; cores take them from each other by it, too.
+func MergeThrottles(table *throttle.Table) func(*watch.Client, watch.Response) {
 	return func(_ *watch.Client, answer watch.Response) {
 		for _, e := range answer.Updates {
 			if e.Key == router.HoldKey {
@@ -259,15 +259,15 @@
 	}
 }
 
-// digest applies what is known to be accepted, and works out until when this agent is current (§3.2).
-func (a *Agent) digest(ctx context.Context) {
+// applyUpdates applies what is known to be accepted, and works out until when this agent is current (§3.2).
+func (a *Agent) applyUpdates(ctx context.Context) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.workOut()
-	a.noteSilence()
+	a.evaluateCurrency()
+	a.detectDisturbance()
 	peers := register.Fields{}
-	for _, f := range a.links {
-		if time.Since(f.FreshAt()) < a.options.Fresh {
+	for _, f := range a.cores {
+		if time.Since(f.FreshAt()) < a.options.FreshLimit {
 			for name, raw := range f.Read(router.ProxiesKey).Fields {
 				peers[name] = raw
 			}
@@ -275,30 +275,30 @@
 	}
 	if change := config.Delta(a.proxies, peers); len(change) > 0 && len(peers) > 0 {
 		a.proxies = peers
-		a.source.Publish(router.ProxiesKey, register.Revision{}, register.Revision{}, change, false)
+		a.proxyUpdates.Publish(router.ProxiesKey, register.Revision{}, register.Revision{}, change, false)
 	}
 	if a.dialect.ReportPath() != "" {
-		a.watch(ctx)
+		a.pollReplicas(ctx)
 	}
 }
 
-// takeOccupancy passes on the load of replicas; an older word than was had does no harm for long.
-func (a *Agent) takeOccupancy(answer watch.Response) {
+// forwardOccupancy passes on the load of replicas; an older word than was had does no harm for long.
+func (a *Agent) forwardOccupancy(answer watch.Response) {
 	for _, e := range answer.Updates {
 		if e.Key == router.OccupancyKey && len(e.Fields) > 0 && !answer.Snapshot {
-			a.source.PublishDeferred(e.Key, e.Fields, false)
+			a.proxyUpdates.PublishDeferred(e.Key, e.Fields, false)
 		}
 	}
 }
 
-// takeNamed passes on since when versions are named, as the core knows it that has known it for longest.
-func (a *Agent) takeNamed(answer watch.Response) {
+// forwardModelVersions passes on since when versions are named, as the core knows it that has known it for longest.
+func (a *Agent) forwardModelVersions(answer watch.Response) {
 	for _, e := range answer.Updates {
 		if e.Key != router.NamedKey {
 			continue
 		}
-		if moved := a.named.Learn(e.Fields, e.AgesMs); len(moved) > 0 {
-			a.source.Publish(router.NamedKey, register.Revision{}, register.Revision{}, moved, false)
+		if moved := a.modelVersions.Learn(e.Fields, e.AgesMs); len(moved) > 0 {
+			a.proxyUpdates.Publish(router.NamedKey, register.Revision{}, register.Revision{}, moved, false)
 		}
 	}
 }
--- a/daemon/agent_calls.go
+++ b/daemon/agent_calls.go
@@ -16,14 +16,14 @@
 	"asterridge/watch"
 )
 
-// tellHold passes a throttle on to all cores at once, so that one that is gone delays nobody; the scope's owner also keeps it. One answer is enough.
-func (a *Agent) tellHold(ctx context.Context, n throttle.Notice) (struct{}, error) {
-	a.table.Merge(n, throttle.Longest)
+// forwardThrottle passes a throttle on to all cores at once, so that one that is gone delays nobody; the scope's owner also keeps it. One answer is enough.
+func (a *Agent) forwardThrottle(ctx context.Context, n throttle.Notice) (struct{}, error) {
+	a.throttles.Merge(n, throttle.Longest)
 	cores := a.liveCores(ThrottlePrefix + n.Scope)
 	if len(cores) == 0 {
 		return struct{}{}, apierror.New(apierror.Unreachable, "no core answers")
 	}
-	told := make(chan error, len(cores))
+	results := make(chan error, len(cores))
 	for i, m := range cores {
 		path := "/core/hold"
 		if i == 0 {
@@ -32,13 +32,13 @@
 		go func() {
 			short, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*QuorumTimeout)
 			defer stop()
-			_, err := rpc.Call[struct{}](short, a.wire, m.Address, path, n)
-			told <- err
+			_, err := rpc.Call[struct{}](short, a.rpc, m.Address, path, n)
+			results <- err
 		}()
 	}
 	var err error
 	for range cores {
-		if err = <-told; err == nil {
+		if err = <-results; err == nil {
 			return struct{}{}, nil
 		}
 	}
@@ -51,7 +51,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.members {
-		if f := a.links[m.Address]; f != nil && (slices.Contains(answering, f) || time.Since(f.FreshAsOf(m.Incarnation)) < LivenessTimeout) {
+		if f := a.cores[m.Address]; f != nil && (slices.Contains(answering, f) || time.Since(f.FreshAsOf(m.Incarnation)) < LivenessTimeout) {
 			live = append(live, m)
 		}
 	}
@@ -59,42 +59,42 @@
 	return live
 }
 
-// claim passes a claim on to its group's owner.
-func (a *Agent) claim(ctx context.Context, q router.Claim) (struct{}, error) {
+// forwardClaim passes a claim on to its group's owner.
+func (a *Agent) forwardClaim(ctx context.Context, q router.Claim) (struct{}, error) {
 	o := ClaimRequest{Claim: q}
-	for _, s := range a.source.ClientStates(ProxyTimeout) {
+	for _, s := range a.proxyUpdates.ClientStates(ProxyTimeout) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
 			o.Proxy = p.Proxy + "." + p.Run
 		}
 	}
-	return callCores[struct{}](ctx, a, ClaimGroup(o), "/op/claim", o, func(err error) bool {
+	return callOwner[struct{}](ctx, a, ClaimGroup(o), "/op/claim", o, func(err error) bool {
 		return apierror.Is(err, apierror.Unreachable) || apierror.Is(err, apierror.NoMajority) || apierror.Is(err, apierror.Undecided) || apierror.Is(err, apierror.Superseded)
 	})
 }
 
-// callCores asks the core that would own the key, and then the others, while the error is one that another may not have.
-func callCores[A any](ctx context.Context, a *Agent, key, path string, q any, mayPass func(error) bool) (A, error) {
+// callOwner asks the core that would own the key, and then the others, while the error is one that another may not have.
+func callOwner[A any](ctx context.Context, a *Agent, key, path string, q any, retryable func(error) bool) (A, error) {
 	cores := a.liveCores(key)
 	var answer A
 	err := error(apierror.New(apierror.Unreachable, "no core answers"))
 	for _, m := range cores[:min(2, len(cores))] {
 		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
-		answer, err = rpc.Call[A](short, a.wire, m.Address, path, q)
+		answer, err = rpc.Call[A](short, a.rpc, m.Address, path, q)
 		stop()
-		if err == nil || !mayPass(err) {
+		if err == nil || !retryable(err) {
 			return answer, err
 		}
 	}
 	return answer, err
 }
 
-// query passes a core's question on to the proxy.
-func (a *Agent) query(ctx context.Context, q router.Query) ([]router.Row, error) {
-	for _, s := range a.source.ClientStates(ProxyTimeout) {
+// handleQuery passes a core's question on to the proxy.
+func (a *Agent) handleQuery(ctx context.Context, q router.Query) ([]router.Row, error) {
+	for _, s := range a.proxyUpdates.ClientStates(ProxyTimeout) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil && p.Admin != "" {
-			return rpc.Call[[]router.Row](ctx, a.wire, p.Admin, "/proxy/query", q)
+			return rpc.Call[[]router.Row](ctx, a.rpc, p.Admin, "/proxy/query", q)
 		}
 	}
 	return nil, apierror.New(apierror.Unreachable, "no proxy beside %s", a.host.Name)
--- a/daemon/agent_currency.go
+++ b/daemon/agent_currency.go
@@ -11,62 +11,62 @@
 	"asterridge/watch"
 )
 
-// doubt is a version seen that may be accepted, and since when it counts.
-type doubt struct {
+// undecidedVersion is a version seen that may be accepted, and since when it counts.
+type undecidedVersion struct {
 	revision register.Revision
 	since    time.Time
 }
 
-// noteSilence tells the proxy when a member falls silent or returns, so long as a majority answers. An agent that did not hear a majority just
+// detectDisturbance tells the proxy when a member falls silent or returns, so long as a majority answers. An agent that did not hear a majority just
 // now was itself frozen, cut off or not there: that members return to its hearing one by one says nothing of them. a.mu is held.
-func (a *Agent) noteSilence() {
-	now, settling := time.Now(), LivenessTimeout+a.options.LinkWait
+func (a *Agent) detectDisturbance() {
+	now, settleTime := time.Now(), LivenessTimeout+a.options.WatchWait
 	fresh, changed := 0, false
 	for _, m := range a.members {
-		f := a.links[m.Address]
-		silent := f == nil || now.Sub(f.FreshAt()) > settling
-		if !silent {
+		f := a.cores[m.Address]
+		unresponsive := f == nil || now.Sub(f.FreshAt()) > settleTime
+		if !unresponsive {
 			fresh++
 		}
-		was, ok := a.silent[m.Address]
-		changed = changed || ok && was != silent
-		a.silent[m.Address] = silent
+		was, ok := a.unresponsive[m.Address]
+		changed = changed || ok && was != unresponsive
+		a.unresponsive[m.Address] = unresponsive
 	}
 	if fresh <= len(a.members)/2 {
-		a.hearingSince = time.Time{}
+		a.quorumSince = time.Time{}
 		return
 	}
-	if a.hearingSince.IsZero() {
-		a.hearingSince = now
+	if a.quorumSince.IsZero() {
+		a.quorumSince = now
 	}
-	if changed && now.Sub(a.hearingSince) > settling {
-		a.source.Publish(router.DisturbedKey, register.Revision{}, register.Revision{}, register.Fields{router.DisturbedKey: json.RawMessage("1")}, false)
+	if changed && now.Sub(a.quorumSince) > settleTime {
+		a.proxyUpdates.Publish(router.DisturbedKey, register.Revision{}, register.Revision{}, register.Fields{router.DisturbedKey: json.RawMessage("1")}, false)
 	}
 }
 
-// lists are the lists of members that count: the present one, and the one before while keys are carried over from it (§2.8).
-func (a *Agent) lists() [][]config.Member {
-	if len(a.prior) > 0 {
-		return [][]config.Member{a.members, a.prior}
+// activeMemberLists are the lists of members that count: the present one, and the one before while keys are carried over from it (§2.8).
+func (a *Agent) activeMemberLists() [][]config.Member {
+	if len(a.previousMembers) > 0 {
+		return [][]config.Member{a.members, a.previousMembers}
 	}
 	return [][]config.Member{a.members}
 }
 
-// workOut is digest's core; a.mu is held.
-func (a *Agent) workOut() {
+// evaluateCurrency is digest's core; a.mu is held.
+func (a *Agent) evaluateCurrency() {
 	now := time.Now()
 	if len(a.members) == 0 {
 		return
 	}
-	wasCurrent := now.Before(a.until)
+	wasCurrent := now.Before(a.currentUntil)
 	keys := map[string]bool{}
-	for _, f := range a.links {
+	for _, f := range a.cores {
 		for _, key := range f.Keys() {
 			keys[key] = keys[key] || IsPublished(key)
 		}
 	}
 	var until time.Time
-	for i, list := range a.lists() {
+	for i, list := range a.activeMemberLists() {
 		if end := a.freshUntil(list); i == 0 || end.Before(until) {
 			until = end
 		}
@@ -79,25 +79,25 @@
 		if !wanted {
 			continue
 		}
-		if at, open := a.decide(key, now, wasCurrent); open && at.Before(until) {
+		if at, open := a.applyKey(key, now, wasCurrent); open && at.Before(until) {
 			until = at
 			if !now.Before(until) {
 				why = "a change of " + key + " is undecided"
 			}
 		}
 	}
-	if current := now.Before(until); current != a.saidCurrent { // a limit that has run out is told too
-		a.saidCurrent = current
+	if current := now.Before(until); current != a.loggedCurrent { // a limit that has run out is told too
+		a.loggedCurrent = current
 		a.host.Log.Info().Str("event", "currency").Bool("is_current", current).Str("why", why).Msg("")
 	}
-	a.until, a.why = until, why
+	a.currentUntil, a.notCurrentReason = until, why
 }
 
 // freshUntil is the end of the time that a majority of a list has granted by answering.
 func (a *Agent) freshUntil(list []config.Member) time.Time {
 	var sent []time.Time
 	for _, m := range list {
-		if f := a.links[m.Address]; f != nil && !f.FreshAsOf(m.Incarnation).IsZero() {
+		if f := a.cores[m.Address]; f != nil && !f.FreshAsOf(m.Incarnation).IsZero() {
 			sent = append(sent, f.FreshAsOf(m.Incarnation))
 		}
 	}
@@ -106,15 +106,15 @@
 		return time.Time{}
 	}
 	sort.Slice(sent, func(i, j int) bool { return sent[i].After(sent[j]) })
-	return sent[majority-1].Add(a.options.Fresh)
+	return sent[majority-1].Add(a.options.FreshLimit)
 }
 
-// stands says whether a majority of each list fits.
-func (a *Agent) stands(fits func(f *watch.Client) bool) bool {
-	for _, list := range a.lists() {
+// hasQuorum says whether a majority of each list fits.
+func (a *Agent) hasQuorum(fits func(f *watch.Client) bool) bool {
+	for _, list := range a.activeMemberLists() {
 		count := 0
 		for _, m := range list {
-			if f := a.links[m.Address]; f != nil && !f.FreshAsOf(m.Incarnation).IsZero() && fits(f) {
+			if f := a.cores[m.Address]; f != nil && !f.FreshAsOf(m.Incarnation).IsZero() && fits(f) {
 				count++
 			}
 		}
@@ -125,13 +125,13 @@
 	return true
 }
 
-// mayStand says whether, for all that is known, a majority of some list may hold the revision or a later one.
-func (a *Agent) mayStand(key string, revision register.Revision, now time.Time) bool {
-	for _, list := range a.lists() {
+// mayBeCommitted says whether, for all that is known, a majority of some list may hold the revision or a later one.
+func (a *Agent) mayBeCommitted(key string, revision register.Revision, now time.Time) bool {
+	for _, list := range a.activeMemberLists() {
 		lacking := 0
 		for _, m := range list {
-			f := a.links[m.Address]
-			if f == nil || now.Sub(f.FreshAsOf(m.Incarnation)) >= a.options.Fresh {
+			f := a.cores[m.Address]
+			if f == nil || now.Sub(f.FreshAsOf(m.Incarnation)) >= a.options.FreshLimit {
 				continue
 			}
 			if has, _ := f.Revisions(key); has.Less(revision) {
@@ -145,30 +145,30 @@
 	return false
 }
 
-// decide applies the highest accepted version of a key. If a higher one may be accepted too, it gives the end of the grace.
-func (a *Agent) decide(key string, now time.Time, wasCurrent bool) (end time.Time, isOpen bool) {
-	best, top := a.applied[key], a.applied[key]
+// applyKey applies the highest accepted version of a key. If a higher one may be accepted too, it gives the end of the grace.
+func (a *Agent) applyKey(key string, now time.Time, wasCurrent bool) (end time.Time, isOpen bool) {
+	committed, newest := a.applied[key], a.applied[key]
 	var from *watch.Client
-	for _, f := range a.links {
+	for _, f := range a.cores {
 		revision, settled := f.Revisions(key)
-		if top.Less(revision) {
-			top = revision
+		if newest.Less(revision) {
+			newest = revision
 		}
-		if best.Less(revision) && (register.IsCommitted(revision, settled) || a.stands(func(other *watch.Client) bool {
+		if committed.Less(revision) && (register.IsCommitted(revision, settled) || a.hasQuorum(func(other *watch.Client) bool {
 			has, _ := other.Revisions(key)
 			return has == revision
 		})) {
-			best, from = revision, f
+			committed, from = revision, f
 		}
 	}
 	if from != nil {
-		if held := from.Read(key); held.Revision == best {
-			a.applied[key] = best
-			a.source.Publish(key, best, best, held.Fields, true)
-			a.host.Log.Info().Str("event", "applied").Str("key", key).Uint64("epoch", best.Epoch).Uint64("version", best.Version).Msg("")
+		if held := from.Read(key); held.Revision == committed {
+			a.applied[key] = committed
+			a.proxyUpdates.Publish(key, committed, committed, held.Fields, true)
+			a.host.Log.Info().Str("event", "applied").Str("key", key).Uint64("epoch", committed.Epoch).Uint64("version", committed.Version).Msg("")
 			if key == config.MembersKey {
-				a.members, a.prior, _ = ReadMembers(held.Fields)
-				a.keepCores()
+				a.members, a.previousMembers, _ = ReadMembers(held.Fields)
+				a.recordCores()
 			}
 		}
 	}
@@ -176,24 +176,24 @@
 	if open := a.undecided[key]; !applied.Less(open.revision) {
 		delete(a.undecided, key)
 	}
-	if !applied.Less(top) || !a.mayStand(key, top, now) {
+	if !applied.Less(newest) || !a.mayBeCommitted(key, newest, now) {
 		return time.Time{}, false
 	}
 	open, ok := a.undecided[key]
 	if !ok {
-		open = doubt{revision: top, since: now}
+		open = undecidedVersion{revision: newest, since: now}
 		if !wasCurrent {
-			open.since = now.Add(-a.options.Undecided)
+			open.since = now.Add(-a.options.UndecidedLimit)
 		}
 		a.undecided[key] = open
 	}
-	return open.since.Add(a.options.Undecided), true
+	return open.since.Add(a.options.UndecidedLimit), true
 }
 
 // remaining is how much longer this agent is current.
 func (a *Agent) remaining() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.workOut()
-	return time.Until(a.until)
+	a.evaluateCurrency()
+	return time.Until(a.currentUntil)
 }
--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -262,7 +262,7 @@
 // before us may have told but that shows no order, which may be told by another holder only a lease later; until then it serves as before.
 func (l *modelLoader) advance(ctx context.Context, d pendingLoad, fence uint64) (loaded uint64, retryAfter time.Duration) {
 	c, name := l.core, d.replica.Name
-	short, stop := context.WithTimeout(ctx, reportLimit)
+	short, stop := context.WithTimeout(ctx, ReportTimeout)
 	defer stop()
 	c.mu.Lock()
 	reservedAt, reserved := l.reservedSince[name]
--- a/daemon/bounds.go
+++ b/daemon/bounds.go
@@ -32,12 +32,12 @@
 	if !b.Closed {
 		return staleMost
 	}
-	return max(freshLimit, min(b.Revoke-staleMargin, staleMost))
+	return max(FreshLimit, min(b.Revoke-staleMargin, staleMost))
 }
 
 // Agent gives the agent's options.
 func (b Bounds) Agent() AgentOptions {
-	return AgentOptions{Fresh: b.stale(), Undecided: b.stale(), LinkWait: longWait, Grace: max(0, b.Grace-time.Second)}
+	return AgentOptions{FreshLimit: b.stale(), UndecidedLimit: b.stale(), WatchWait: longWait, Grace: max(0, b.Grace-time.Second)}
 }
 
 // Proxy gives the proxy's options.
--- a/daemon/bounds_test.go
+++ b/daemon/bounds_test.go
@@ -13,8 +13,8 @@
 	is := is.New(t)
 	b := Bounds{Closed: true, Revoke: 5 * time.Second, Version: 15 * time.Second, Lease: 3 * time.Second, Grace: 8 * time.Second, MemoryMB: 284, Tolerance: Tolerance{Machines: 2}}
 	a, p, c := b.Agent(), b.Proxy(), b.Core()
-	is.Equal(a.Fresh, 4*time.Second)
-	is.Equal(a.Undecided, 4*time.Second)
+	is.Equal(a.FreshLimit, 4*time.Second)
+	is.Equal(a.UndecidedLimit, 4*time.Second)
 	is.Equal(p.OldWeights, 14*time.Second)
 	is.Equal(c.Lease, 3*time.Second)
 	is.True(c.AutoMembership)
@@ -24,11 +24,11 @@
 	is.Equal(p.Room, int64(71<<20))
 	is.True(p.Linger < p.Grace && p.Grace < b.Grace && p.Grace < a.Grace && a.Grace < b.Grace) // the agent ends after its proxy
 	b.Closed = false
-	is.Equal(b.Agent().Fresh, 10*time.Second)
+	is.Equal(b.Agent().FreshLimit, 10*time.Second)
 	b.Closed, b.Revoke = true, time.Minute
-	is.Equal(b.Agent().Fresh, 10*time.Second)
+	is.Equal(b.Agent().FreshLimit, 10*time.Second)
 	b.Revoke = time.Second
-	is.Equal(b.Agent().Fresh, freshLimit) // no less than links need
+	is.Equal(b.Agent().FreshLimit, FreshLimit) // no less than links need
 	b.Grace = 900 * time.Millisecond
 	is.Equal(b.Proxy().Grace, time.Duration(0))
 	is.True(b.Proxy().Linger < b.Grace)
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -104,7 +104,7 @@
 // NewCore opens the disk and loads what it has.
 func NewCore(host Host, d disk.Disk, options CoreOptions) (*Core, error) {
 	c := &Core{
-		host: host, options: options, disk: d, rpc: rpc.NewClient(host.Fleet, host.Net), replicaClient: newPlain(host.Net),
+		host: host, options: options, disk: d, rpc: rpc.NewClient(host.Fleet, host.Net), replicaClient: NewReplicaClient(host.Net),
 		peers: map[string]*watch.Client{}, bootstrapContacts: map[string]string{}, uncommittedSince: map[string]time.Time{}, joiners: map[string]joiner{},
 		membershipChanged: make(chan struct{}), wakeups: make(chan struct{}, 1), recordingSlot: make(chan struct{}, 1),
 	}
@@ -267,7 +267,7 @@
 	mux.Handle("POST /register/accept", rpc.Handler(fleet, c.handleAccept))
 	mux.Handle("POST /register/settle", rpc.Handler(fleet, c.handleCommit))
 	HandleGossip(mux, fleet, c.detector)
-	HandleMetrics(mux, c.figures)
+	HandleMetrics(mux, c.gauges)
 	mux.Handle("POST /query", rpc.Handler(fleet, c.Query))
 	rpc.HandleReady(mux, func() bool {
 		now := c.membership()
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -62,7 +62,7 @@
 // runRoles steps this core's candidates, and does the duties that it holds.
 func (c *Core) runRoles(ctx context.Context) {
 	r := &weightsRollout{core: c, dialect: router.ChatDialect{}, behindSince: map[string]behindState{},
-		replicaClient: newPlain(c.host.Net),
+		replicaClient: NewReplicaClient(c.host.Net),
 		candidate:     c.newCandidate("rollout", rolloutLease),
 	}
 	go Every(ctx, c.options.ClaimRetention/20, func() { c.pruneClaims(ctx) })
@@ -118,9 +118,9 @@
 			continue
 		}
 		asked.Go(func() {
-			short, stop := context.WithTimeout(ctx, reportLimit)
+			short, stop := context.WithTimeout(ctx, ReportTimeout)
 			defer stop()
-			report, err := askReport(short, r.replicaClient, r.dialect, replica, router.Report{})
+			report, err := GetReport(short, r.replicaClient, r.dialect, replica, router.Report{})
 			if err != nil {
 				return
 			}
@@ -148,7 +148,7 @@
 			return
 		}
 		asked.Go(func() {
-			err := postJSON(ctx, r.replicaClient, replica.Address+r.dialect.LoadPath(), map[string]any{"weights": weights, "order": order})
+			err := PostOrder(ctx, r.replicaClient, replica.Address+r.dialect.LoadPath(), map[string]any{"weights": weights, "order": order})
 			r.core.host.Log.Info().Str("event", "load_weights").Str("replica", replica.Name).Str("weights", weights).
 				Uint64("order", order).Uint64("lease", number).AnErr("failure", err).Msg("")
 		})
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -240,8 +240,8 @@
 	return register.Fields{}
 }
 
-// takeKept passes on what a core has read of the sources that are assigned to it.
-func (a *Agent) takeKept(f *watch.Client, answer watch.Response) {
+// forwardCached passes on what a core has read of the sources that are assigned to it.
+func (a *Agent) forwardCached(f *watch.Client, answer watch.Response) {
 	for _, e := range answer.Updates {
 		if !strings.HasPrefix(e.Key, router.KeptPrefix) {
 			continue
@@ -249,24 +249,24 @@
 		cores := a.liveCores(e.Key, f)
 		picked := len(cores) > 0 && cores[0].Address == f.Options.Address
 		a.mu.Lock()
-		if _, ok := a.readers[e.Key]; picked || !ok {
-			a.readers[e.Key] = ""
+		if _, ok := a.cacheReaders[e.Key]; picked || !ok {
+			a.cacheReaders[e.Key] = ""
 			if picked {
-				a.readers[e.Key] = f.Options.Address
+				a.cacheReaders[e.Key] = f.Options.Address
 			}
 		}
 		a.mu.Unlock()
 		if picked && len(e.Fields) > 0 {
-			a.source.PublishDeferred(e.Key, e.Fields, answer.Snapshot)
+			a.proxyUpdates.PublishDeferred(e.Key, e.Fields, answer.Snapshot)
 		}
 	}
 }
 
-// changeReaders takes all that a source keeps from another core, when the reading of it was handed over: what that core told before then
+// switchCacheReaders takes all that a source keeps from another core, when the reading of it was handed over: what that core told before then
 // was not passed on.
-func (a *Agent) changeReaders() {
+func (a *Agent) switchCacheReaders() {
 	a.mu.Lock()
-	before := maps.Clone(a.readers)
+	before := maps.Clone(a.cacheReaders)
 	a.mu.Unlock()
 	for key, address := range before {
 		cores := a.liveCores(key)
@@ -274,11 +274,11 @@
 			continue
 		}
 		a.mu.Lock()
-		a.readers[key] = cores[0].Address
-		f := a.links[cores[0].Address]
+		a.cacheReaders[key] = cores[0].Address
+		f := a.cores[cores[0].Address]
 		a.mu.Unlock()
 		if held := f.Read(key); len(held.Fields) > 0 {
-			a.source.PublishDeferred(key, held.Fields, true)
+			a.proxyUpdates.PublishDeferred(key, held.Fields, true)
 		}
 	}
 }
--- a/daemon/kept_test.go
+++ b/daemon/kept_test.go
@@ -19,12 +19,12 @@
 	a := NewAgent(Host{Name: "agent-1", Net: &rpc.TCP{}, Log: zerolog.Nop()}, nil, AgentOptions{})
 	for _, name := range []string{"core-1", "core-2", "core-3", "core-4"} {
 		a.members = append(a.members, config.Member{Name: name, Address: name})
-		a.links[name] = watch.NewClient(watch.ClientOptions{Address: name}) // its asks were never answered, or long ago
+		a.cores[name] = watch.NewClient(watch.ClientOptions{Address: name}) // its asks were never answered, or long ago
 	}
 	key := router.KeptPrefix + "replica-1"
 	answer := watch.Response{Snapshot: true, Updates: []watch.KeyUpdate{{Key: key, Fields: register.Fields{"block": []byte("7")}}}}
-	a.takeKept(a.links["core-3"], answer)
-	got, err := a.source.Watch(t.Context(), watch.Request{Name: "proxy"})
+	a.forwardCached(a.cores["core-3"], answer)
+	got, err := a.proxyUpdates.Watch(t.Context(), watch.Request{Name: "proxy"})
 	is.NoErr(err)
 	is.Equal(len(got.Updates), 1)
 	is.Equal(string(got.Updates[0].Fields["block"]), "7")
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -50,7 +50,7 @@
 		{Name: "POST /query, /agent/query", Type: Query{}},
 		{Name: "POST /query: answer", Type: QueryAnswer{}},
 		{Name: "question for rows of a proxy", Type: router.Query{}},
-		{Name: "report of a replica, with its cache", Type: reportBody{}},
+		{Name: "report of a replica, with its cache", Type: ReplicaReport{}},
 		{Name: "order to a replica with adapters", Type: router.AdapterOrder{}},
 		{Name: "event of an attempt, in the proxy's log", Type: router.Event{}},
 		{Name: "stored: a claim", Type: claimRecord{}},
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -49,7 +49,7 @@
 	return 0
 }
 
-func (c *Core) figures() []Gauge {
+func (c *Core) gauges() []Gauge {
 	now := c.membership()
 	all := []Gauge{
 		{Name: "core_is_member", Value: BoolValue(now.self != nil)},
@@ -73,13 +73,13 @@
 	return append(all, Gauge{Name: "ring_messages_sent", Value: float64(sent)}, Gauge{Name: "ring_alarms", Value: float64(alarms)})
 }
 
-func (a *Agent) figures() []Gauge {
-	all := []Gauge{{Name: "agent_current_ms", Value: float64(max(0, a.remaining()).Milliseconds())}, {Name: "agent_holds", Value: float64(len(a.table.All()))}}
+func (a *Agent) gauges() []Gauge {
+	all := []Gauge{{Name: "agent_current_ms", Value: float64(max(0, a.remaining()).Milliseconds())}, {Name: "agent_holds", Value: float64(len(a.throttles.All()))}}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.members {
 		age := -1.0
-		if f := a.links[m.Address]; f != nil && !f.FreshAsOf(m.Incarnation).IsZero() {
+		if f := a.cores[m.Address]; f != nil && !f.FreshAsOf(m.Incarnation).IsZero() {
 			age = float64(time.Since(f.FreshAsOf(m.Incarnation)).Milliseconds())
 		}
 		all = append(all, Gauge{Name: "agent_link_age_ms", Value: age, Label: [2]string{"core", m.Name}})
@@ -87,7 +87,7 @@
 	return all
 }
 
-func proxyFigures(r *router.Router) Gauges {
+func proxyGauges(r *router.Router) Gauges {
 	return func() []Gauge {
 		all := []Gauge{{Name: "proxy_is_current", Value: BoolValue(r.IsCurrent())}, {Name: "proxy_is_ready", Value: BoolValue(r.IsReady())}}
 		for name, n := range r.Counts() {
--- a/daemon/outside.go
+++ b/daemon/outside.go
@@ -14,14 +14,14 @@
 	"asterridge/rpc"
 )
 
-// newPlain makes a client for what is outside the fleet.
-func newPlain(network rpc.Network) *http.Client {
+// NewReplicaClient makes a client for what is outside the fleet.
+func NewReplicaClient(network rpc.Network) *http.Client {
 	return &http.Client{CheckRedirect: rpc.NoRedirects, Transport: &http.Transport{DialContext: network.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}}
 }
 
-// askReport asks a replica for its load, and for what its cache has got or lost since the last report.
-func askReport(ctx context.Context, client *http.Client, dialect router.Dialect, r config.Replica, last router.Report) (reportBody, error) {
-	var body reportBody
+// GetReport asks a replica for its load, and for what its cache has got or lost since the last report.
+func GetReport(ctx context.Context, client *http.Client, dialect router.Dialect, r config.Replica, last router.Report) (ReplicaReport, error) {
+	var body ReplicaReport
 	address := "http://" + r.Address + dialect.ReportPath() + "?run=" + last.Run + "&from=" + strconv.FormatUint(last.Number, 10)
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -38,13 +38,13 @@
 	return body, apierror.Wrap(json.NewDecoder(answer.Body).Decode(&body), apierror.Malformed, "report")
 }
 
-// postJSON sends a small order to a replica.
-func postJSON(ctx context.Context, client *http.Client, address string, order any) error {
+// PostOrder sends a small order to a replica.
+func PostOrder(ctx context.Context, client *http.Client, address string, order any) error {
 	raw, err := json.Marshal(order)
 	if err != nil {
 		return apierror.Wrap(err, apierror.Internal, "encode order")
 	}
-	short, stop := context.WithTimeout(ctx, reportLimit)
+	short, stop := context.WithTimeout(ctx, ReportTimeout)
 	defer stop()
 	q, err := http.NewRequestWithContext(short, http.MethodPost, "http://"+address, bytes.NewReader(raw))
 	if err != nil {
--- a/daemon/proxy.go
+++ b/daemon/proxy.go
@@ -59,7 +59,7 @@
 	go p.Router.Run(running)
 	mux := http.NewServeMux()
 	mux.Handle("/", p.Router.Admin())
-	HandleMetrics(mux, proxyFigures(p.Router))
+	HandleMetrics(mux, proxyGauges(p.Router))
 	go func() { _ = Serve(running, admin, mux, time.Second) }()
 	server := newCallerServer(p.Router.Handler(), func() callerTimes { return timesOf(p.Router.Limits(), p.options) })
 	failed := make(chan error, 1)
--- a/daemon/retire.go
+++ b/daemon/retire.go
@@ -19,7 +19,7 @@
 const (
 	retirementInterval = 400 * time.Millisecond
 	// drainTime is T + U + W + A: a route switched so long ago leads no request to the old base any more (§3.2).
-	drainTime = freshLimit + undecidedLimit + router.SendTime
+	drainTime = FreshLimit + UndecidedLimit + router.SendTime
 )
 
 // RetirementChange begins a retirement, or takes one back.
--- a/daemon/survey.go
+++ b/daemon/survey.go
@@ -48,9 +48,9 @@
 		}
 		s.pools[replica.Pool] = append(s.pools[replica.Pool], name)
 		asked.Go(func() {
-			short, stop := context.WithTimeout(ctx, reportLimit)
+			short, stop := context.WithTimeout(ctx, ReportTimeout)
 			defer stop()
-			body, err := askReport(short, c.replicaClient, router.ChatDialect{}, replica, router.Report{})
+			body, err := GetReport(short, c.replicaClient, router.ChatDialect{}, replica, router.Report{})
 			if err == nil {
 				mu.Lock()
 				s.reports[name] = body.Report
