--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -319,7 +319,7 @@
 		host := c.place("proxy", i, zones, agent)
 		options := router.Options{Name: host.Name, Zone: host.Zone, Fleet: fleetName, Agent: agent, Net: host.Net, Log: host.Log, Index: c.setup.Index, Seed: uint64(i)}
 		if c.setup.Platform {
-			options.Dialect, options.AgentWait = toldDialect{}, platformBounds.Proxy().AgentWait
+			options.Dialect, options.AgentWait = toldDialect{}, platformBounds.Proxy().AgentWatchWait
 		}
 		r := router.New(options)
 		c.all.Go(func() { r.Run(c.ctx) })
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -26,7 +26,7 @@
 			return err
 		}
 		proxy := daemon.NewProxy(s.Host, daemon.ProxyOptions{
-			Agent: *agent, Admin: *admin, Grace: time.Duration(*grace) * time.Millisecond, Seed: uint64(time.Now().UnixNano()), Index: *index, Room: int64(*room) << 20,
+			Agent: *agent, Admin: *admin, Grace: time.Duration(*grace) * time.Millisecond, Seed: uint64(time.Now().UnixNano()), PrefixIndexSize: *index, BodyMemory: int64(*room) << 20,
 		})
 		return proxy.Serve(ctx, callers, queries)
 	})
--- a/daemon/bounds.go
+++ b/daemon/bounds.go
@@ -43,8 +43,8 @@
 // Proxy gives the proxy's options.
 func (b Bounds) Proxy() ProxyOptions {
 	return ProxyOptions{
-		Grace: max(0, b.Grace-2*time.Second), Linger: min(lingerTime, b.Grace/3), OldWeights: max(b.Version/2, b.Version-versionMargin),
-		RetryRatio: b.RetryRatio, RetrySlack: b.RetrySlack, AgentWait: longWait, Index: b.MemoryMB * indexPerMB, Room: int64(b.MemoryMB) << 20 / roomPart,
+		Grace: max(0, b.Grace-2*time.Second), ReadinessLinger: min(lingerTime, b.Grace/3), OldWeightsLimit: max(b.Version/2, b.Version-versionMargin),
+		RetryRatio: b.RetryRatio, RetrySlack: b.RetrySlack, AgentWatchWait: longWait, PrefixIndexSize: b.MemoryMB * indexPerMB, BodyMemory: int64(b.MemoryMB) << 20 / roomPart,
 	}
 }
 
--- a/daemon/bounds_test.go
+++ b/daemon/bounds_test.go
@@ -15,14 +15,14 @@
 	a, p, c := b.Agent(), b.Proxy(), b.Core()
 	is.Equal(a.FreshLimit, 4*time.Second)
 	is.Equal(a.UndecidedLimit, 4*time.Second)
-	is.Equal(p.OldWeights, 14*time.Second)
+	is.Equal(p.OldWeightsLimit, 14*time.Second)
 	is.Equal(c.Lease, 3*time.Second)
 	is.True(c.AutoMembership)
 	is.Equal(c.Tolerance.Machines, 2)
 	is.True(c.LeaveTimeout > 0 && c.LeaveTimeout < b.Grace)
-	is.Equal(p.Index, 28400)
-	is.Equal(p.Room, int64(71<<20))
-	is.True(p.Linger < p.Grace && p.Grace < b.Grace && p.Grace < a.Grace && a.Grace < b.Grace) // the agent ends after its proxy
+	is.Equal(p.PrefixIndexSize, 28400)
+	is.Equal(p.BodyMemory, int64(71<<20))
+	is.True(p.ReadinessLinger < p.Grace && p.Grace < b.Grace && p.Grace < a.Grace && a.Grace < b.Grace) // the agent ends after its proxy
 	b.Closed = false
 	is.Equal(b.Agent().FreshLimit, 10*time.Second)
 	b.Closed, b.Revoke = true, time.Minute
@@ -31,5 +31,5 @@
 	is.Equal(b.Agent().FreshLimit, FreshLimit) // no less than links need
 	b.Grace = 900 * time.Millisecond
 	is.Equal(b.Proxy().Grace, time.Duration(0))
-	is.True(b.Proxy().Linger < b.Grace)
+	is.True(b.Proxy().ReadinessLinger < b.Grace)
 }
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -11,18 +11,18 @@
 
 // The bounds on a caller's connection where neither the options nor the configuration give one.
 const (
-	defaultHeaderTime = 10 * time.Second
-	defaultIdleTime   = 2 * time.Minute
+	defaultHeaderTimeout = 10 * time.Second
+	defaultIdleTimeout   = 2 * time.Minute
 	// maxHeaderBytes is the most that a configuration may allow; the router holds each request to what it does allow.
 	maxHeaderBytes = 1 << 20
 )
 
-// callerTimes are how long a caller's connection may be idle, and how long the header of a request may take to arrive.
-type callerTimes struct{ header, idle time.Duration }
+// connectionTimeouts are how long a caller's connection may be idle, and how long the header of a request may take to arrive.
+type connectionTimeouts struct{ header, idle time.Duration }
 
-// timesOf takes the times from the configuration's limits, and from the options what the limits leave open.
-func timesOf(limits config.Limits, options ProxyOptions) callerTimes {
-	times := callerTimes{header: options.HeaderTime, idle: options.IdleTime}
+// effectiveTimeouts takes the times from the configuration's limits, and from the options what the limits leave open.
+func effectiveTimeouts(limits config.Limits, options ProxyOptions) connectionTimeouts {
+	times := connectionTimeouts{header: options.HeaderTimeout, idle: options.IdleTimeout}
 	if limits.HeaderMs > 0 {
 		times.header = time.Duration(limits.HeaderMs) * time.Millisecond
 	}
@@ -32,72 +32,72 @@
 	return times
 }
 
-// newCallerServer makes the HTTP server that callers reach. The times are asked for anew for each request, since a new configuration may
+// newServer makes the HTTP server that callers reach. The times are asked for anew for each request, since a new configuration may
 // change them; http.Server's own are fixed for its life, so each connection has a timer of its own in their place.
-func newCallerServer(handler http.Handler, times func() callerTimes) *http.Server {
+func newServer(handler http.Handler, times func() connectionTimeouts) *http.Server {
 	return &http.Server{Handler: handler, MaxHeaderBytes: maxHeaderBytes, ConnState: func(conn net.Conn, state http.ConnState) {
-		caller, own := conn.(*callerConn)
+		caller, own := conn.(*timeoutConn)
 		if !own {
 			return
 		}
 		switch state {
 		case http.StateNew, http.StateIdle:
-			caller.rest(times())
+			caller.startIdle(times())
 		default:
-			caller.work()
+			caller.stopIdle()
 		}
 	}}
 }
 
-// callerListener wraps the connections that it accepts.
-type callerListener struct{ net.Listener }
+// timeoutListener wraps the connections that it accepts.
+type timeoutListener struct{ net.Listener }
 
 // Accept waits for the next caller's connection.
-func (l callerListener) Accept() (net.Conn, error) {
+func (l timeoutListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &callerConn{Conn: conn}, nil
+	return &timeoutConn{Conn: conn}, nil
 }
 
-// callerConn closes itself when it has been idle, or a header has been under way, for too long.
-type callerConn struct {
+// timeoutConn closes itself when it has been idle, or a header has been under way, for too long.
+type timeoutConn struct {
 	net.Conn
-	mu      sync.Mutex
-	timer   *time.Timer // runs while the connection is idle or a header is arriving
-	header  time.Duration
-	resting bool // idle: no byte of the next request has arrived
+	mu     sync.Mutex
+	timer  *time.Timer // runs while the connection is idle or a header is arriving
+	header time.Duration
+	idle   bool // idle: no byte of the next request has arrived
 }
 
-// rest begins to wait for a request.
-func (c *callerConn) rest(times callerTimes) {
+// startIdle begins to wait for a request.
+func (c *timeoutConn) startIdle(times connectionTimeouts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stop()
-	c.resting, c.header = true, times.header
+	c.idle, c.header = true, times.header
 	c.timer = time.AfterFunc(times.idle, func() { _ = c.Conn.Close() })
 }
 
-// work ends the wait: a whole header has arrived, or the connection is closed.
-func (c *callerConn) work() {
+// stopIdle ends the wait: a whole header has arrived, or the connection is closed.
+func (c *timeoutConn) stopIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stop()
 }
 
-func (c *callerConn) stop() {
-	c.resting = false
+func (c *timeoutConn) stop() {
+	c.idle = false
 	if c.timer != nil {
 		c.timer.Stop()
 	}
 }
 
 // NetConn gives the connection below.
-func (c *callerConn) NetConn() net.Conn { return c.Conn }
+func (c *timeoutConn) NetConn() net.Conn { return c.Conn }
 
 // CloseWrite is what net/http ends a connection with whose other side may still be sending.
-func (c *callerConn) CloseWrite() error {
+func (c *timeoutConn) CloseWrite() error {
 	if half, canHalf := c.Conn.(interface{ CloseWrite() error }); canHalf {
 		return half.CloseWrite()
 	}
@@ -105,13 +105,13 @@
 }
 
 // Read notes when the first byte of a request arrives: from then on its header has its own time.
-func (c *callerConn) Read(b []byte) (int, error) {
+func (c *timeoutConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.resting {
-			c.resting = false
+		if c.idle {
+			c.idle = false
 			c.timer.Reset(c.header)
 		}
 	}
--- a/daemon/callers_test.go
+++ b/daemon/callers_test.go
@@ -49,15 +49,15 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		limits := &config.Limits{}
-		options := ProxyOptions{HeaderTime: defaultHeaderTime, IdleTime: defaultIdleTime}
+		options := ProxyOptions{HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
 		handler := http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			_, _ = io.Copy(io.Discard, q.Body)
 			time.Sleep(time.Minute) // neither bound concerns a request that runs
 			_, _ = io.WriteString(w, "done")
 		})
-		server := newCallerServer(handler, func() callerTimes { return timesOf(*limits, options) })
+		server := newServer(handler, func() connectionTimeouts { return effectiveTimeouts(*limits, options) })
 		listener := newPipeListener()
-		go func() { _ = server.Serve(callerListener{listener}) }()
+		go func() { _ = server.Serve(timeoutListener{listener}) }()
 		defer server.Close()
 		play(is.New(t), listener.dial, limits)
 	})
@@ -121,8 +121,8 @@
 func TestTimesChangeOnAnOpenConnection(t *testing.T) {
 	serveCallers(t, func(is *is.I, dial func() net.Conn, limits *config.Limits) {
 		conn := dial()
-		time.Sleep(defaultIdleTime - time.Second)
-		is.True(ask(conn, 20, defaultHeaderTime-time.Second))
+		time.Sleep(defaultIdleTimeout - time.Second)
+		is.True(ask(conn, 20, defaultHeaderTimeout-time.Second))
 		synctest.Wait()
 		*limits = config.Limits{HeaderMs: 1000, IdleMs: 2000}
 		time.Sleep(time.Minute)
--- a/daemon/proxy.go
+++ b/daemon/proxy.go
@@ -19,36 +19,36 @@
 
 // ProxyOptions of a proxy.
 type ProxyOptions struct {
-	Agent string // the agent's loopback address
-	Admin string // where the agent reaches this proxy's queries
-	Grace time.Duration
-	Seed  uint64
-	Index int
-	Room  int64 // bytes of callers' bodies held at a time
-	// Linger is how long a stopping proxy, unready already, goes on taking requests: callers are still led to it for as long.
-	Linger     time.Duration
-	Dialect    router.Dialect
-	OldWeights time.Duration
-	RetrySlack float64
-	RetryRatio float64
-	AgentWait  time.Duration
-	KeepAlive  time.Duration
-	HeaderTime time.Duration // for a request's headers to come, where the configuration does not say; 0: 10 s
-	IdleTime   time.Duration // an idle connection of a caller is kept so long, where the configuration does not say; 0: 2 min
+	Agent           string // the agent's loopback address
+	Admin           string // where the agent reaches this proxy's queries
+	Grace           time.Duration
+	Seed            uint64
+	PrefixIndexSize int
+	BodyMemory      int64 // bytes of callers' bodies held at a time
+	// ReadinessLinger is how long a stopping proxy, unready already, goes on taking requests: callers are still led to it for as long.
+	ReadinessLinger time.Duration
+	Dialect         router.Dialect
+	OldWeightsLimit time.Duration
+	RetrySlack      float64
+	RetryRatio      float64
+	AgentWatchWait  time.Duration
+	KeepAlive       time.Duration
+	HeaderTimeout   time.Duration // for a request's headers to come, where the configuration does not say; 0: 10 s
+	IdleTimeout     time.Duration // an idle connection of a caller is kept so long, where the configuration does not say; 0: 2 min
 }
 
 // NewProxy makes a proxy.
 func NewProxy(host Host, options ProxyOptions) *Proxy {
-	if options.HeaderTime == 0 {
-		options.HeaderTime = defaultHeaderTime
+	if options.HeaderTimeout == 0 {
+		options.HeaderTimeout = defaultHeaderTimeout
 	}
-	if options.IdleTime == 0 {
-		options.IdleTime = defaultIdleTime
+	if options.IdleTimeout == 0 {
+		options.IdleTimeout = defaultIdleTimeout
 	}
 	return &Proxy{host: host, options: options, Router: router.New(router.Options{
 		Name: host.Name, Zone: host.Zone, Fleet: host.Fleet, Agent: options.Agent, Admin: options.Admin,
-		Net: host.Net, Log: host.Log, Seed: options.Seed, Index: options.Index, Room: options.Room, Clock: host.Clock,
-		Dialect: options.Dialect, OldWeights: options.OldWeights, RetrySlack: options.RetrySlack, RetryRatio: options.RetryRatio, AgentWait: options.AgentWait, KeepAlive: options.KeepAlive,
+		Net: host.Net, Log: host.Log, Seed: options.Seed, Index: options.PrefixIndexSize, Room: options.BodyMemory, Clock: host.Clock,
+		Dialect: options.Dialect, OldWeights: options.OldWeightsLimit, RetrySlack: options.RetrySlack, RetryRatio: options.RetryRatio, AgentWait: options.AgentWatchWait, KeepAlive: options.KeepAlive,
 	})}
 }
 
@@ -61,9 +61,9 @@
 	mux.Handle("/", p.Router.Admin())
 	HandleMetrics(mux, proxyGauges(p.Router))
 	go func() { _ = Serve(running, admin, mux, time.Second) }()
-	server := newCallerServer(p.Router.Handler(), func() callerTimes { return timesOf(p.Router.Limits(), p.options) })
+	server := newServer(p.Router.Handler(), func() connectionTimeouts { return effectiveTimeouts(p.Router.Limits(), p.options) })
 	failed := make(chan error, 1)
-	watched := callerListener{router.Watch(server, callers)}
+	watched := timeoutListener{router.Watch(server, callers)}
 	go func() { failed <- server.Serve(watched) }()
 	p.host.Log.Info().Str("event", "proxy_up").Str("address", p.host.Address).Msg("")
 	select {
@@ -74,9 +74,9 @@
 	last, end := context.WithTimeout(running, p.options.Grace)
 	defer end()
 	p.Router.Leave()
-	if p.options.Linger > 0 {
+	if p.options.ReadinessLinger > 0 {
 		server.SetKeepAlivesEnabled(false) // each answer ends its connection
-		_ = rpc.Sleep(last, p.options.Linger)
+		_ = rpc.Sleep(last, p.options.ReadinessLinger)
 	}
 	p.Router.Stop(last)
 	if server.Shutdown(last) != nil {
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -232,7 +232,7 @@
 	if index == 0 {
 		index = 200000
 	}
-	proxy := daemon.NewProxy(q, daemon.ProxyOptions{Agent: ip + ":7001", Admin: ip + ":7003", Grace: time.Second, Seed: f.Options.Seed, Index: index, Room: f.Options.Room})
+	proxy := daemon.NewProxy(q, daemon.ProxyOptions{Agent: ip + ":7001", Admin: ip + ":7003", Grace: time.Second, Seed: f.Options.Seed, PrefixIndexSize: index, BodyMemory: f.Options.Room})
 	callers, admin := must(p.Net.Listen(ip+":7002")), must(p.Net.Listen(ip+":7003"))
 	f.mu.Lock()
 	f.Proxies[i] = proxy
