--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -198,7 +198,7 @@
 	network := &countingNet{Network: c.hosts(host), counter: c.counter}
 	var step time.Duration // 0: our own
 	if c.setup.Platform {
-		step = platformBounds.Beat
+		step = platformBounds.GossipInterval
 	}
 	return daemon.Host{Name: name, Fleet: fleetName, Zone: fmt.Sprintf("zone-%d", i%zones+1), Address: address, GossipInterval: step, Seeds: c.setup.Cores[:min(3, len(c.setup.Cores))],
 		Net: network, Log: c.log.With().Str("daemon", name).Logger()}
@@ -288,8 +288,8 @@
 func (toldDialect) ReportPath() string { return "" }
 
 // platformBounds are such as the users' deployments have.
-var platformBounds = daemon.Bounds{Closed: true, Revoke: 5 * time.Second, Apply: 12 * time.Second, Version: 20 * time.Second, Lease: 3 * time.Second,
-	Drain: 3 * time.Second, Grace: 5 * time.Second, Beat: 1200 * time.Millisecond, MemoryMB: 64}
+var platformBounds = daemon.Bounds{RevocationClosed: true, KeyRevocation: 5 * time.Second, ConfigApply: 12 * time.Second, ModelVersion: 20 * time.Second, Lease: 3 * time.Second,
+	Drain: 3 * time.Second, Grace: 5 * time.Second, GossipInterval: 1200 * time.Millisecond, MemoryMB: 64}
 
 func (c *child) startAgents() (s started, err error) {
 	for i := range c.setup.Count {
--- a/daemon/bounds.go
+++ b/daemon/bounds.go
@@ -4,52 +4,52 @@
 
 // Bounds are what a deployment promises to its users; the daemons' own limits follow from them (§3.2, §6.2).
 type Bounds struct {
-	Closed     bool          // a revoked key is refused everywhere, also by a proxy that is cut off
-	Revoke     time.Duration // within which it is
-	Apply      time.Duration // a configuration is used
-	Version    time.Duration // no request begins on old weights after it
-	Lease      time.Duration // between the orders of two holders of a duty
-	Drain      time.Duration // a leaving replica gets no more work after it
-	Grace      time.Duration // from the word to stop to the end of the process
-	RetryRatio float64       // of second tries to first ones that the fleet may send; 0: not told
-	RetrySlack float64       // second tries that the fleet may send beyond that
-	Beat       time.Duration // between two beats of the ring
-	MemoryMB   int           // of one process
-	Tolerance  Tolerance     // what may be lost at once
+	RevocationClosed bool          // a revoked key is refused everywhere, also by a proxy that is cut off
+	KeyRevocation    time.Duration // within which it is
+	ConfigApply      time.Duration // a configuration is used
+	ModelVersion     time.Duration // no request begins on old weights after it
+	Lease            time.Duration // between the orders of two holders of a duty
+	Drain            time.Duration // a leaving replica gets no more work after it
+	Grace            time.Duration // from the word to stop to the end of the process
+	RetryRatio       float64       // of second tries to first ones that the fleet may send; 0: not told
+	RetrySlack       float64       // second tries that the fleet may send beyond that
+	GossipInterval   time.Duration // between two beats of the ring
+	MemoryMB         int           // of one process
+	Tolerance        Tolerance     // what may be lost at once
 }
 
 const (
-	staleMargin   = time.Second // of the bound on revoked keys: the last look, the send, and the replica's own start
-	staleMost     = 10 * time.Second
-	versionMargin = time.Second // of the bound on old versions: the word of the new one, and the way to the replica
-	longWait      = 700 * time.Millisecond
-	roomPart      = 4   // so much of the memory holds callers' bodies
-	indexPerMB    = 100 // entries of the index of kept prompts
+	staleMargin        = time.Second // of the bound on revoked keys: the last look, the send, and the replica's own start
+	maxStale           = 10 * time.Second
+	modelVersionMargin = time.Second // of the bound on old versions: the word of the new one, and the way to the replica
+	watchWait          = 700 * time.Millisecond
+	bodyMemoryShare    = 4   // so much of the memory holds callers' bodies
+	indexEntriesPerMB  = 100 // entries of the index of kept prompts
 )
 
-// stale is how long a proxy serves by what it knows without a word from a majority of cores (T and U).
-func (b Bounds) stale() time.Duration {
-	if !b.Closed {
-		return staleMost
+// maxStaleness is how long a proxy serves by what it knows without a word from a majority of cores (T and U).
+func (b Bounds) maxStaleness() time.Duration {
+	if !b.RevocationClosed {
+		return maxStale
 	}
-	return max(FreshLimit, min(b.Revoke-staleMargin, staleMost))
+	return max(FreshLimit, min(b.KeyRevocation-staleMargin, maxStale))
 }
 
 // Agent gives the agent's options.
 func (b Bounds) Agent() AgentOptions {
-	return AgentOptions{FreshLimit: b.stale(), UndecidedLimit: b.stale(), WatchWait: longWait, Grace: max(0, b.Grace-time.Second)}
+	return AgentOptions{FreshLimit: b.maxStaleness(), UndecidedLimit: b.maxStaleness(), WatchWait: watchWait, Grace: max(0, b.Grace-time.Second)}
 }
 
 // Proxy gives the proxy's options.
 func (b Bounds) Proxy() ProxyOptions {
 	return ProxyOptions{
-		Grace: max(0, b.Grace-2*time.Second), ReadinessLinger: min(lingerTime, b.Grace/3), OldWeightsLimit: max(b.Version/2, b.Version-versionMargin),
-		RetryRatio: b.RetryRatio, RetrySlack: b.RetrySlack, AgentWatchWait: longWait, PrefixIndexSize: b.MemoryMB * indexPerMB, BodyMemory: int64(b.MemoryMB) << 20 / roomPart,
+		Grace: max(0, b.Grace-2*time.Second), ReadinessLinger: min(readinessLinger, b.Grace/3), OldWeightsLimit: max(b.ModelVersion/2, b.ModelVersion-modelVersionMargin),
+		RetryRatio: b.RetryRatio, RetrySlack: b.RetrySlack, AgentWatchWait: watchWait, PrefixIndexSize: b.MemoryMB * indexEntriesPerMB, BodyMemory: int64(b.MemoryMB) << 20 / bodyMemoryShare,
 	}
 }
 
-// lingerTime covers two of the platform's checks of readiness.
-const lingerTime = 2200 * time.Millisecond
+// readinessLinger covers two of the platform's checks of readiness.
+const readinessLinger = 2200 * time.Millisecond
 
 // Core gives the core's options.
 func (b Bounds) Core() CoreOptions {
--- a/daemon/bounds_test.go
+++ b/daemon/bounds_test.go
@@ -11,7 +11,7 @@
 // takes; else for long; old versions end before their bound, and daemons before theirs.
 func TestOptionsFollowFromBounds(t *testing.T) {
 	is := is.New(t)
-	b := Bounds{Closed: true, Revoke: 5 * time.Second, Version: 15 * time.Second, Lease: 3 * time.Second, Grace: 8 * time.Second, MemoryMB: 284, Tolerance: Tolerance{Machines: 2}}
+	b := Bounds{RevocationClosed: true, KeyRevocation: 5 * time.Second, ModelVersion: 15 * time.Second, Lease: 3 * time.Second, Grace: 8 * time.Second, MemoryMB: 284, Tolerance: Tolerance{Machines: 2}}
 	a, p, c := b.Agent(), b.Proxy(), b.Core()
 	is.Equal(a.FreshLimit, 4*time.Second)
 	is.Equal(a.UndecidedLimit, 4*time.Second)
@@ -23,11 +23,11 @@
 	is.Equal(p.PrefixIndexSize, 28400)
 	is.Equal(p.BodyMemory, int64(71<<20))
 	is.True(p.ReadinessLinger < p.Grace && p.Grace < b.Grace && p.Grace < a.Grace && a.Grace < b.Grace) // the agent ends after its proxy
-	b.Closed = false
+	b.RevocationClosed = false
 	is.Equal(b.Agent().FreshLimit, 10*time.Second)
-	b.Closed, b.Revoke = true, time.Minute
+	b.RevocationClosed, b.KeyRevocation = true, time.Minute
 	is.Equal(b.Agent().FreshLimit, 10*time.Second)
-	b.Revoke = time.Second
+	b.KeyRevocation = time.Second
 	is.Equal(b.Agent().FreshLimit, FreshLimit) // no less than links need
 	b.Grace = 900 * time.Millisecond
 	is.Equal(b.Proxy().Grace, time.Duration(0))
--- a/router/old_version_test.go
+++ b/router/old_version_test.go
@@ -84,7 +84,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		options := daemon.Bounds{Version: bound}.Proxy()
+		options := daemon.Bounds{ModelVersion: bound}.Proxy()
 		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Dialect: versionDialect{}, Log: zerolog.Nop(), OldWeights: options.OldWeightsLimit})
 		defer stand.Stop()
 		stand.Serve("10.0.2.1:80", s)
