--- a/cmd/fleet/orders.go
+++ b/cmd/fleet/orders.go
@@ -47,7 +47,7 @@
 func (f *fleet) ask(core, what string) []router.Row {
 	short, stop := context.WithTimeout(context.Background(), 3*time.Second)
 	defer stop()
-	a, _ := rpc.Call[daemon.QueryAnswer](short, f.wire, core, "/query", daemon.Query{What: what})
+	a, _ := rpc.Call[daemon.QueryResponse](short, f.wire, core, "/query", daemon.Query{Kind: what})
 	return a.Rows
 }
 
--- a/cmd/shell/main.go
+++ b/cmd/shell/main.go
@@ -113,7 +113,7 @@
 	case c.quit:
 		return 0
 	case c.query != nil:
-		a, err := ask[daemon.QueryAnswer](s, "/query", c.query)
+		a, err := ask[daemon.QueryResponse](s, "/query", c.query)
 		if err != nil {
 			return s.failed(err)
 		}
@@ -175,7 +175,7 @@
 	return none, err
 }
 
-func (s *shell) print(a daemon.QueryAnswer) {
+func (s *shell) print(a daemon.QueryResponse) {
 	if s.jSON {
 		_ = json.NewEncoder(s.out).Encode(a)
 		return
@@ -203,8 +203,8 @@
 	}
 	_ = w.Flush()
 	fmt.Fprintf(s.out, "%d rows\n", len(a.Rows))
-	if len(a.Silent) > 0 {
-		fmt.Fprintf(s.out, "no answer from: %s\n", strings.Join(a.Silent, ", "))
+	if len(a.Unresponsive) > 0 {
+		fmt.Fprintf(s.out, "no answer from: %s\n", strings.Join(a.Unresponsive, ", "))
 	}
 }
 
--- a/cmd/shell/parse.go
+++ b/cmd/shell/parse.go
@@ -170,7 +170,7 @@
 	if err != nil {
 		return command{}, err
 	}
-	q := &daemon.Query{What: what}
+	q := &daemon.Query{Kind: what}
 	for first := true; err == nil && !r.isEnd(); first = false {
 		var c daemon.Condition
 		if first {
@@ -182,7 +182,7 @@
 			c.Field, err = r.name("field")
 		}
 		if err == nil {
-			c.Is, err = r.word("=", "!=", "<", ">")
+			c.Operator, err = r.word("=", "!=", "<", ">")
 		}
 		if err == nil {
 			c.Value, err = r.name("value")
@@ -199,9 +199,9 @@
 	}
 	name, err := r.name("name")
 	if kind == "request" {
-		return command{query: &daemon.Query{What: "requests", Name: name}}, err
+		return command{query: &daemon.Query{Kind: "requests", Name: name}}, err
 	}
-	return command{query: &daemon.Query{What: "proxyholds", Where: []daemon.Condition{{Field: "scope", Is: "=", Value: name}}}}, err
+	return command{query: &daemon.Query{Kind: "proxyholds", Where: []daemon.Condition{{Field: "scope", Operator: "=", Value: name}}}}, err
 }
 
 // fields reads NAME = VALUE, … as JSON members.
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -48,7 +48,7 @@
 		{Name: "answer to an accepted change", Type: Accepted{}},
 		{Name: "answer to a rejected call", Type: apierror.Body{}},
 		{Name: "POST /query, /agent/query", Type: Query{}},
-		{Name: "POST /query: answer", Type: QueryAnswer{}},
+		{Name: "POST /query: answer", Type: QueryResponse{}},
 		{Name: "question for rows of a proxy", Type: router.Query{}},
 		{Name: "report of a replica, with its cache", Type: ReplicaReport{}},
 		{Name: "order to a replica with adapters", Type: router.AdapterOrder{}},
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -17,29 +17,29 @@
 
 // Query asks for rows; where keeps those whose field has the value.
 type Query struct {
-	What  string      `json:"what"`
+	Kind  string      `json:"what"`
 	Name  string      `json:"name,omitempty"`
 	Where []Condition `json:"where,omitempty"`
 }
 
 // Condition compares one field.
 type Condition struct {
-	Field string `json:"field"`
-	Is    string `json:"is"` // "=", "!=", "<", ">"
-	Value string `json:"value"`
+	Field    string `json:"field"`
+	Operator string `json:"is"` // "=", "!=", "<", ">"
+	Value    string `json:"value"`
 }
 
-// QueryAnswer has the rows, and which daemons did not answer.
-type QueryAnswer struct {
-	Rows   []router.Row `json:"rows"`
-	Silent []string     `json:"silent,omitempty"`
+// QueryResponse has the rows, and which daemons did not answer.
+type QueryResponse struct {
+	Rows         []router.Row `json:"rows"`
+	Unresponsive []string     `json:"silent,omitempty"`
 }
 
 // Query answers from this core's own state, or asks all proxies through their agents.
-func (c *Core) Query(ctx context.Context, q Query) (QueryAnswer, error) {
-	var a QueryAnswer
+func (c *Core) Query(ctx context.Context, q Query) (QueryResponse, error) {
+	var a QueryResponse
 	followers := c.agentUpdates.ClientStates(ProxyTimeout)
-	switch q.What {
+	switch q.Kind {
 	case "holds":
 		for _, n := range c.throttles.All() {
 			a.Rows = append(a.Rows, router.Row{"scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason, router.AttemptColumn: n.Attempt,
@@ -90,7 +90,7 @@
 		record := c.acceptor.Read(config.Key)
 		kinds := map[string]string{"tenants": "tenant/", "pools": "pool/", "paths": "path/", "adapters": "adapter/", "hold": "hold"}
 		for name, raw := range record.Fields {
-			if len(name) >= len(kinds[q.What]) && name[:len(kinds[q.What])] == kinds[q.What] {
+			if len(name) >= len(kinds[q.Kind]) && name[:len(kinds[q.Kind])] == kinds[q.Kind] {
 				row := router.Row{}
 				_ = json.Unmarshal(raw, &row)
 				row["version"] = record.Revision.Version
@@ -105,7 +105,7 @@
 			}
 		}
 	case "backlog", "replicas", "requests", "counts", "proxyholds", "proxyfields":
-		ask := router.Query{What: strings.TrimPrefix(q.What, "proxy"), Name: q.Name}
+		ask := router.Query{What: strings.TrimPrefix(q.Kind, "proxy"), Name: q.Name}
 		for _, s := range followers {
 			var status AgentStatus
 			if json.Unmarshal(s.Status, &status) != nil {
@@ -115,24 +115,24 @@
 			rows, err := rpc.Call[[]router.Row](short, c.rpc, status.Address, "/agent/query", ask)
 			stop()
 			if err != nil {
-				a.Silent = append(a.Silent, s.Name)
+				a.Unresponsive = append(a.Unresponsive, s.Name)
 				continue
 			}
 			a.Rows = append(a.Rows, rows...)
 		}
 	default:
-		return a, apierror.New(apierror.NotFound, "no query %q", q.What)
+		return a, apierror.New(apierror.NotFound, "no query %q", q.Kind)
 	}
-	a.Rows = filter(a.Rows, q.Where)
+	a.Rows = filterRows(a.Rows, q.Where)
 	return a, nil
 }
 
-func filter(rows []router.Row, where []Condition) []router.Row {
+func filterRows(rows []router.Row, where []Condition) []router.Row {
 	kept := []router.Row{}
 	for _, row := range rows {
 		fit := true
 		for _, w := range where {
-			fit = fit && w.fits(row)
+			fit = fit && w.matches(row)
 		}
 		if fit {
 			kept = append(kept, row)
@@ -141,9 +141,9 @@
 	return kept
 }
 
-func (w Condition) fits(row router.Row) bool {
+func (w Condition) matches(row router.Row) bool {
 	has := fmt.Sprint(row[w.Field])
-	switch w.Is {
+	switch w.Operator {
 	case "=":
 		return has == w.Value
 	case "!=":
@@ -156,5 +156,5 @@
 	if _, err := fmt.Sscan(w.Value, &b); err != nil {
 		return false
 	}
-	return w.Is == "<" && a < b || w.Is == ">" && a > b
+	return w.Operator == "<" && a < b || w.Operator == ">" && a > b
 }
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -307,10 +307,10 @@
 }
 
 // Query asks a core for rows.
-func (f *Fleet) Query(core int, what string) (daemon.QueryAnswer, error) {
+func (f *Fleet) Query(core int, what string) (daemon.QueryResponse, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	return rpc.Call[daemon.QueryAnswer](ctx, f.Wire, At(CoreIP(core)), "/query", daemon.Query{What: what})
+	return rpc.Call[daemon.QueryResponse](ctx, f.Wire, At(CoreIP(core)), "/query", daemon.Query{Kind: what})
 }
 
 // told is the platform's word for a replica.
--- a/sim/fleet_run.go
+++ b/sim/fleet_run.go
@@ -73,7 +73,7 @@
 	return all
 }
 
-func rows(a daemon.QueryAnswer) (all []map[string]any) {
+func rows(a daemon.QueryResponse) (all []map[string]any) {
 	for _, row := range a.Rows {
 		all = append(all, row)
 	}
