--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -21,10 +21,7 @@
 
 // The limits of §3.2.
 const (
-	FreshLimit     = 1200 * time.Millisecond // T
-	UndecidedLimit = 500 * time.Millisecond  // U
 	reportInterval = 300 * time.Millisecond
-	ReportTimeout  = time.Second
 )
 
 // Agent keeps the links to the cores and feeds the proxy beside it.
@@ -248,17 +245,6 @@
 	return request
 }
 
-// MergeThrottles merges the running holds of a link's answer; cores take them from each other by it, too.
-func MergeThrottles(table *throttle.Table) func(*watch.Client, watch.Response) {
-	return func(_ *watch.Client, answer watch.Response) {
-		for _, e := range answer.Updates {
-			if e.Key == router.HoldKey {
-				table.Learn(e.Fields, e.AgesMs)
-			}
-		}
-	}
-}
-
 // applyUpdates applies what is known to be accepted, and works out until when this agent is current (§3.2).
 func (a *Agent) applyUpdates(ctx context.Context) {
 	a.mu.Lock()
--- a/daemon/agent_reports.go
+++ b/daemon/agent_reports.go
@@ -43,14 +43,6 @@
 	}
 }
 
-// ReplicaReport is a replica's report with what it keeps since the number asked from.
-type ReplicaReport struct {
-	router.Report
-	Snapshot bool     `json:"image"`
-	Cached   []string `json:"kept,omitempty"`
-	Dropped  []string `json:"dropped,omitempty"`
-}
-
 // pollReplica asks a replica for its report and passes on what it keeps.
 func (a *Agent) pollReplica(ctx context.Context, r config.Replica) {
 	var last router.Report
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"slices"
 	"strings"
 	"time"
@@ -11,15 +10,8 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/register"
-	"asterridge/router"
 )
 
-// ClaimRequest is a proxy's claim with what tells whether the proxy still runs.
-type ClaimRequest struct {
-	router.Claim
-	Proxy string `json:"proxy"`
-}
-
 // The states of a claim, in the words of router.Claim.
 const (
 	claimRunning  = "running"
@@ -36,18 +28,10 @@
 }
 
 const (
-	claimGroups       = 64
-	claimsPrefix      = "claims/"
 	maxReleased       = 8           // requests remembered as having given a key back
 	releasedRetention = time.Minute // for which a key that was given back is remembered; messages are never so late
 )
 
-func ClaimField(o ClaimRequest) string { return config.HashKey(o.Tenant + "\x00" + o.Key) }
-
-func ClaimGroup(o ClaimRequest) string {
-	return fmt.Sprintf(claimsPrefix+"%02d", register.Weight(ClaimField(o), "")%claimGroups)
-}
-
 // applyClaim takes, settles or gives back a caller's key (§5.5).
 func (c *Core) applyClaim(ctx context.Context, o ClaimRequest) (struct{}, error) {
 	_, err := c.owner.Change(ctx, ClaimGroup(o), func(now register.Fields, _ uint64) (register.Fields, error) {
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -24,16 +24,12 @@
 )
 
 const (
-	LivenessTimeout  = time.Second // a core not heard for so long is not picked as an owner
-	QuorumTimeout    = 1500 * time.Millisecond
-	tickInterval     = 300 * time.Millisecond
-	minTickInterval  = 20 * time.Millisecond // between a beat and one that is asked for
-	ProxyTimeout     = 3 * time.Second
-	DefaultWatchWait = 100 * time.Millisecond
-	IdentityFolder   = "self"
-	incarnationFile  = "incarnation"
-	founderFile      = "founder" // there since the fleet's very first start
-	ThrottlePrefix   = "hold/"
+	tickInterval    = 300 * time.Millisecond
+	minTickInterval = 20 * time.Millisecond // between a beat and one that is asked for
+
+	incarnationFile = "incarnation"
+	founderFile     = "founder" // there since the fleet's very first start
+
 )
 
 // Core keeps the control state on its disk.
@@ -221,10 +217,6 @@
 	return kept
 }
 
-func IsPublished(key string) bool {
-	return key == config.Key || key == config.ModelsKey || key == config.LoadsKey || key == config.RetirementKey || key == config.ReplicasKey || key == config.MembersKey || strings.HasPrefix(key, config.KeysPrefix)
-}
-
 func (c *Core) publishThrottle(e throttle.Entry) {
 	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
 	fields := register.Fields{e.Scope: raw}
--- /dev/null
+++ b/daemon/core_metrics.go
@@ -0,0 +1,27 @@
+package daemon
+
+import "asterridge/config"
+
+func (c *Core) gauges() []Gauge {
+	now := c.membership()
+	all := []Gauge{
+		{Name: "core_is_member", Value: BoolValue(now.self != nil)},
+		{Name: "core_members", Value: float64(len(now.members))},
+		{Name: "core_members_live", Value: float64(len(c.live()))},
+		{Name: "core_keys_owned", Value: float64(len(c.owner.OwnedKeys()))},
+		{Name: "core_holds", Value: float64(len(c.throttles.All()))},
+		{Name: "core_blueprint_version", Value: float64(c.acceptor.Revision(config.Key).Version)},
+	}
+	unsettled := 0
+	for _, key := range c.acceptor.Keys() {
+		if c.acceptor.Uncommitted(key) {
+			unsettled++
+		}
+	}
+	all = append(all, Gauge{Name: "core_keys_unsettled", Value: float64(unsettled)})
+	for _, s := range c.agentUpdates.ClientStates(ProxyTimeout) {
+		all = append(all, Gauge{Name: "core_agent_behind", Value: float64(s.Lag), Label: [2]string{"agent", s.Name}})
+	}
+	sent, alarms := c.detector.Stats()
+	return append(all, Gauge{Name: "ring_messages_sent", Value: float64(sent)}, Gauge{Name: "ring_alarms", Value: float64(alarms)})
+}
--- /dev/null
+++ b/daemon/identity_folder.go
@@ -0,0 +1,3 @@
+package daemon
+
+const IdentityFolder = "self"
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"maps"
 	"slices"
-	"sort"
 	"strconv"
 	"time"
 
@@ -22,13 +21,6 @@
 	record  *MembersRecord // the register's content that the list is read from; nil if this core does not know it
 }
 
-// MembersRecord is a settled content of the members' register. A core keeps it beside a newer change that is not settled yet, in memory and
-// on its disk, and hands it on: a member that lags may know of no list that names it, and the others cannot settle the change without it.
-type MembersRecord struct {
-	Revision register.Revision `json:"stamp"`
-	Fields   register.Fields   `json:"fields"`
-}
-
 func (c committedMembership) has(name, address string) bool {
 	for _, m := range c.members {
 		if m.Name == name && m.Address == address {
@@ -51,35 +43,14 @@
 const (
 	membershipVersionFile = "members" // the version of the newest list that is known to be settled
 	membershipFile        = "list"    // that list's content
-	previousMembersField  = "~carry"  // the list before, until every key is on a majority of the new one
-	highestIDField        = "~next"   // the highest number that a member ever had
-	minMembers            = 3
-	minMembersAfterLoss   = 2 // where a disk is gone for sure: the list is the weaker for it already
-	maxMembers            = 15
-	maxMemberID           = 1<<register.MemberBits - 1 // that a member can have: 16 million in the life of a fleet
-	joinerTimeout         = 3 * time.Second
-	membershipWait        = 500 * time.Millisecond
-)
 
-// ReadMembers takes apart the members' register.
-func ReadMembers(fields register.Fields) (members, prior []config.Member, highest uint32) {
-	for name, raw := range fields {
-		var m config.Member
-		switch {
-		case name == previousMembersField:
-			_ = json.Unmarshal(raw, &prior) // a broken one is as none: the members are then all there is
-		case name == highestIDField:
-			_ = json.Unmarshal(raw, &highest)
-		case json.Unmarshal(raw, &m) == nil:
-			members = append(members, m)
-		}
-	}
-	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
-	for _, m := range members {
-		highest = max(highest, m.ID)
-	}
-	return members, prior, highest
-}
+	minMembers          = 3
+	minMembersAfterLoss = 2 // where a disk is gone for sure: the list is the weaker for it already
+	maxMembers          = 15
+	maxMemberID         = 1<<register.MemberBits - 1 // that a member can have: 16 million in the life of a fleet
+	joinerTimeout       = 3 * time.Second
+	membershipWait      = 500 * time.Millisecond
+)
 
 func (c *Core) membership() committedMembership {
 	if now := c.members.Load(); now != nil {
--- a/daemon/outside.go
+++ b/daemon/outside.go
@@ -60,3 +60,11 @@
 	}
 	return nil
 }
+
+// ReplicaReport is a replica's report with what it keeps since the number asked from.
+type ReplicaReport struct {
+	router.Report
+	Snapshot bool     `json:"image"`
+	Cached   []string `json:"kept,omitempty"`
+	Dropped  []string `json:"dropped,omitempty"`
+}
