--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -212,7 +212,7 @@
 			f := watch.NewClient(watch.ClientOptions{
 				RPC: a.rpc, Address: m.Address, Path: "/core/pull", Wait: a.options.WatchWait, Request: a.watchRequest,
 				OnUpdate: func(f *watch.Client, answer watch.Response) { // the rest is looked at in digest, which follows each answer
-					MergeThrottles(a.throttles)(f, answer)
+					MergeThrottles(a.throttles, answer)
 					a.forwardCached(f, answer)
 					a.forwardModelVersions(answer)
 					a.forwardOccupancy(answer)
--- a/daemon/agent_calls.go
+++ b/daemon/agent_calls.go
@@ -68,7 +68,7 @@
 			o.Proxy = p.Proxy + "." + p.Run
 		}
 	}
-	return callOwner[struct{}](ctx, a, ClaimGroup(o), "/op/claim", o, func(err error) bool {
+	return callOwner[struct{}](ctx, a, o.Register(), "/op/claim", o, func(err error) bool {
 		return apierror.Is(err, apierror.Unreachable) || apierror.Is(err, apierror.NoMajority) || apierror.Is(err, apierror.Undecided) || apierror.Is(err, apierror.Superseded)
 	})
 }
--- a/daemon/carry.go
+++ b/daemon/carry.go
@@ -21,7 +21,7 @@
 // transferKeys has every key settled on a majority of the new list, and then says so in the list; only then may it change again (§2.8).
 func (c *Core) transferKeys(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
-	if record.Fields[previousMembersField] == nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.transferMu.TryLock() {
+	if record.Fields[PreviousMembersField] == nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.transferMu.TryLock() {
 		return
 	}
 	go func() {
@@ -33,10 +33,10 @@
 			return // the next beat goes on with those that are left
 		}
 		revision, err := c.owner.Change(ctx, config.MembersKey, func(now register.Fields, version uint64) (register.Fields, error) {
-			if now[previousMembersField] == nil || version != record.Revision.Version {
+			if now[PreviousMembersField] == nil || version != record.Revision.Version {
 				return nil, apierror.New(apierror.Conflict, "the list has changed meanwhile")
 			}
-			return register.Fields{previousMembersField: nil}, nil
+			return register.Fields{PreviousMembersField: nil}, nil
 		})
 		c.logOutcome("carried", config.MembersKey, revision, err)
 		if err == nil {
--- a/daemon/claim_request.go
+++ b/daemon/claim_request.go
@@ -8,18 +8,23 @@
 	"asterridge/router"
 )
 
-// ClaimRequest is a proxy's claim with what tells whether the proxy still runs.
+// ClaimRequest asks for a client's idempotency key, or reports how the request that holds it ended (docs/design.md §5.5).
 type ClaimRequest struct {
 	router.Claim
+	// Proxy names the run of the proxy that holds the key. A key whose proxy no longer runs has an unknown outcome.
 	Proxy string `json:"proxy"`
 }
 
-const claimGroups = 64
+// ClaimsPrefix begins the keys of the registers that hold claims.
+const ClaimsPrefix = "claims/"
 
-const claimsPrefix = "claims/"
+// claimGroups is the number of those registers. One register for each claim would cost a synced promise for each request.
+const claimGroups = 64
 
-func ClaimField(o ClaimRequest) string { return config.HashKey(o.Tenant + "\x00" + o.Key) }
+// Field is the claim's field in its register: a hash of the tenant and the client's key.
+func (r ClaimRequest) Field() string { return config.HashKey(r.Tenant + "\x00" + r.Key) }
 
-func ClaimGroup(o ClaimRequest) string {
-	return fmt.Sprintf(claimsPrefix+"%02d", register.Weight(ClaimField(o), "")%claimGroups)
+// Register is the key of the register that the claim belongs to.
+func (r ClaimRequest) Register() string {
+	return fmt.Sprintf(ClaimsPrefix+"%02d", register.Weight(r.Field(), "")%claimGroups)
 }
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -34,7 +34,7 @@
 
 // applyClaim takes, settles or gives back a caller's key (§5.5).
 func (c *Core) applyClaim(ctx context.Context, o ClaimRequest) (struct{}, error) {
-	_, err := c.owner.Change(ctx, ClaimGroup(o), func(now register.Fields, _ uint64) (register.Fields, error) {
+	_, err := c.owner.Change(ctx, o.Register(), func(now register.Fields, _ uint64) (register.Fields, error) {
 		return o.change(now, c.isRunning)
 	})
 	return struct{}{}, err
@@ -43,7 +43,7 @@
 // change gives the change that a claim makes. A request's claim only goes from running to one of the other states, and each message may come
 // twice, late, and behind the next one.
 func (o ClaimRequest) change(now register.Fields, running func(proxy string) bool) (register.Fields, error) {
-	field := ClaimField(o)
+	field := o.Field()
 	var before claimRecord
 	ok := now[field] != nil && json.Unmarshal(now[field], &before) == nil
 	own := ok && before.Nonce == o.Nonce
@@ -95,7 +95,7 @@
 func (c *Core) pruneClaims(ctx context.Context) {
 	known := map[string]time.Time{}
 	for _, key := range c.acceptor.Keys() {
-		if !strings.HasPrefix(key, claimsPrefix) || !c.isAssigned(key) {
+		if !strings.HasPrefix(key, ClaimsPrefix) || !c.isAssigned(key) {
 			continue
 		}
 		old := register.Fields{}
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -271,7 +271,7 @@
 	registerOperation(mux, c, config.Key, func(ConfigChange) string { return config.Key }, c.applyConfig, false)
 	registerOperation(mux, c, "keys", func(o AccessKeyChange) string { return config.KeysPrefix + o.Tenant }, c.applyAccessKey, true)
 	registerOperation(mux, c, "replicas", func(ReplicasChange) string { return config.ReplicasKey }, c.applyReplicas, true)
-	registerOperation(mux, c, "claim", func(o ClaimRequest) string { return ClaimGroup(o) }, c.applyClaim, true)
+	registerOperation(mux, c, "claim", ClaimRequest.Register, c.applyClaim, true)
 	registerOperation(mux, c, "hold", func(n throttle.Notice) string { return ThrottlePrefix + n.Scope }, c.applyThrottle, true)
 	registerOperation(mux, c, "term", func(o LeaseRequest) string { return leasePrefix + o.Role }, c.grantLease, false)
 	c.submitMembershipChange = registerOperation(mux, c, "members", func(MembershipChange) string { return config.MembersKey }, c.applyMembershipChange, false)
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -41,7 +41,7 @@
 			f := watch.NewClient(watch.ClientOptions{
 				RPC: c.rpc, Address: m.Address, Path: "/core/whole", Wait: c.watchWait(),
 				OnUpdate: func(f *watch.Client, answer watch.Response) {
-					MergeThrottles(c.throttles)(f, answer)
+					MergeThrottles(c.throttles, answer)
 					c.applyStoreUpdates(answer)
 					if answer.Snapshot {
 						c.wake() // there is much to catch up on
--- a/daemon/declare.go
+++ b/daemon/declare.go
@@ -91,7 +91,7 @@
 // every guard of the order itself stands.
 func (c *Core) reconcileMembership(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
-	if record.Fields[previousMembersField] != nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name {
+	if record.Fields[PreviousMembersField] != nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name {
 		return
 	}
 	members, _, _ := ReadMembers(record.Fields)
--- a/daemon/hello.go
+++ b/daemon/hello.go
@@ -1,23 +1,23 @@
 package daemon
 
-import (
-	"time"
+import "asterridge/config"
 
-	"asterridge/config"
-)
-
-// Hello is what daemons tell each other before they know more (§2.6).
+// Hello is the message by which processes introduce themselves before they know the members (docs/design.md §2.6). The answer to a hello is
+// a hello. From a core that is no member it is also the request to be admitted.
 type Hello struct {
-	Name              string            `json:"name"`
-	Role              string            `json:"role"`
-	Address           string            `json:"address"`
-	Zone              string            `json:"zone"`
-	Incarnation       string            `json:"incarnation"`
-	BootstrapContacts map[string]string `json:"met,omitempty"`       // founding: address → incarnation
-	MayBootstrap      bool              `json:"may_found,omitempty"` // its disk is from the fleet's very first start
-	Members           []config.Member   `json:"members,omitempty"`
-	MembersRecord     *MembersRecord    `json:"list,omitempty"`  // the members as they stand in their register
-	CaughtUp          bool              `json:"image,omitempty"` // of a joiner: it has all that a majority has settled
+	Name    string `json:"name"`
+	Role    string `json:"role"` // "core" or "agent"; empty from one that only asks
+	Address string `json:"address"`
+	Zone    string `json:"zone"`
+	// Incarnation identifies a core's disk: an emptied disk is a new incarnation, at whatever address.
+	Incarnation string `json:"incarnation"`
+	// BootstrapContacts are the cores that this one has met before the fleet was founded: incarnation by address.
+	BootstrapContacts map[string]string `json:"met,omitempty"`
+	// MayBootstrap is true if the core's disk dates from the fleet's first start.
+	MayBootstrap bool            `json:"may_found,omitempty"`
+	Members      []config.Member `json:"members,omitempty"`
+	// MembersRecord is the newest committed content of the members' register; nil if the core knows none.
+	MembersRecord *MembersRecord `json:"list,omitempty"`
+	// CaughtUp is true if the core has all that a majority had committed at its last tick. Only then may it be admitted.
+	CaughtUp bool `json:"image,omitempty"`
 }
-
-const HelloInterval = 200 * time.Millisecond
--- a/daemon/identity_folder.go
+++ /dev/null
@@ -1,3 +0,0 @@
-package daemon
-
-const IdentityFolder = "self"
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -207,7 +207,7 @@
 				return nil, err
 			}
 			change = config.Field(o.Name, made)
-			change[highestIDField] = json.RawMessage(strconv.Itoa(int(made.ID)))
+			change[HighestIDField] = json.RawMessage(strconv.Itoa(int(made.ID)))
 		case removeMember:
 			if now[o.Name] == nil {
 				return nil, apierror.New(apierror.NotFound, "no member %q", o.Name)
@@ -226,7 +226,7 @@
 				return nil, apierror.New(apierror.OutOfRange, "%d members would be left, %d of them live: too few", left, live)
 			}
 			change[o.Name] = nil
-			change[highestIDField] = json.RawMessage(strconv.Itoa(int(highest)))
+			change[HighestIDField] = json.RawMessage(strconv.Itoa(int(highest)))
 		case leaveMember:
 			if now[o.Name] == nil {
 				return nil, apierror.New(apierror.NotFound, "no member %q", o.Name)
@@ -235,11 +235,11 @@
 				return nil, apierror.New(apierror.OutOfRange, "%d members would be left: too few", len(members)-1)
 			}
 			change[o.Name] = nil
-			change[highestIDField] = json.RawMessage(strconv.Itoa(int(highest)))
+			change[HighestIDField] = json.RawMessage(strconv.Itoa(int(highest)))
 		default:
 			return nil, apierror.New(apierror.OutOfRange, "%q is none of admit, retire and leave", o.Do)
 		}
-		change[previousMembersField], _ = json.Marshal(members) // plain structs always encode
+		change[PreviousMembersField], _ = json.Marshal(members) // plain structs always encode
 		return change, nil
 	})
 	c.logOutcome("members", config.MembersKey, revision, err)
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -75,7 +75,7 @@
 func TestStoredNamesKeepTheirForm(t *testing.T) {
 	is := is.New(t)
 	is.Equal([]string{IdentityFolder, incarnationFile, founderFile, membershipVersionFile, unresponsiveFile, coresFile}, []string{"self", "incarnation", "founder", "members", "silent", "cores"})
-	is.Equal([]string{previousMembersField, highestIDField, ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
+	is.Equal([]string{PreviousMembersField, HighestIDField, ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
 	is.Equal([]string{config.Key, config.ModelsKey, config.LoadsKey, config.RetirementKey, config.ReplicasKey, config.MembersKey, config.KeysPrefix},
 		[]string{"blue" + "print", "models", "loads", "retirement", "replicas", "members", "keys/"})
 	is.Equal([]string{router.HoldKey, router.NamedKey, router.ProxiesKey, router.ReportsKey, router.KeptPrefix, router.OccupancyKey},
--- a/daemon/outside.go
+++ b/daemon/outside.go
@@ -14,57 +14,75 @@
 	"asterridge/rpc"
 )
 
-// NewReplicaClient makes a client for what is outside the fleet.
+const (
+	// ReportTimeout bounds one call to a replica.
+	ReportTimeout = time.Second
+	// idleConnections and idleTimeout bound the connections kept to each replica.
+	idleConnections = 2
+	idleTimeout     = 10 * time.Second
+)
+
+// NewReplicaClient makes an HTTP client for replicas. It follows no redirects.
 func NewReplicaClient(network rpc.Network) *http.Client {
-	return &http.Client{CheckRedirect: rpc.NoRedirects, Transport: &http.Transport{DialContext: network.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}}
+	return &http.Client{
+		CheckRedirect: rpc.NoRedirects,
+		Transport: &http.Transport{
+			DialContext:         network.DialContext,
+			MaxIdleConnsPerHost: idleConnections,
+			IdleConnTimeout:     idleTimeout,
+		},
+	}
 }
 
-// GetReport asks a replica for its load, and for what its cache has got or lost since the last report.
-func GetReport(ctx context.Context, client *http.Client, dialect router.Dialect, r config.Replica, last router.Report) (ReplicaReport, error) {
-	var body ReplicaReport
-	address := "http://" + r.Address + dialect.ReportPath() + "?run=" + last.Run + "&from=" + strconv.FormatUint(last.Number, 10)
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
+// ReplicaReport is a replica's report of its load, with the changes of its cache.
+type ReplicaReport struct {
+	router.Report
+	// Snapshot is true if Cached is all that the replica has in its cache, not only what came since the last report.
+	Snapshot bool     `json:"image"`
+	Cached   []string `json:"kept,omitempty"`    // hashes of blocks that came into the cache
+	Dropped  []string `json:"dropped,omitempty"` // hashes of blocks that left it
+}
+
+// GetReport asks a replica for its load, and for what has changed in its cache since the last report. The error is apierror.Unreachable
+// if the replica does not answer with a report, apierror.Malformed if the report cannot be read.
+func GetReport(ctx context.Context, client *http.Client, dialect router.Dialect, replica config.Replica, last router.Report) (ReplicaReport, error) {
+	var report ReplicaReport
+	address := "http://" + replica.Address + dialect.ReportPath() + "?run=" + last.Run + "&from=" + strconv.FormatUint(last.Number, 10)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return body, apierror.Wrap(err, apierror.Settings, "replica address")
+		return report, apierror.Wrap(err, apierror.Settings, "replica address")
 	}
-	answer, err := client.Do(q)
+	response, err := client.Do(request)
 	if err != nil {
-		return body, apierror.Wrap(err, apierror.Unreachable, "report")
+		return report, apierror.Wrap(err, apierror.Unreachable, "report")
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return body, apierror.New(apierror.Unreachable, "report: %s", answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return report, apierror.New(apierror.Unreachable, "report: %s", response.Status)
 	}
-	return body, apierror.Wrap(json.NewDecoder(answer.Body).Decode(&body), apierror.Malformed, "report")
+	return report, apierror.Wrap(json.NewDecoder(response.Body).Decode(&report), apierror.Malformed, "report")
 }
 
-// PostOrder sends a small order to a replica.
+// PostOrder sends an order to a replica as JSON, and waits ReportTimeout at most for the answer. The error is apierror.Unreachable if there
+// is no answer or another status than 200; the replica may have taken the order all the same.
 func PostOrder(ctx context.Context, client *http.Client, address string, order any) error {
-	raw, err := json.Marshal(order)
+	body, err := json.Marshal(order)
 	if err != nil {
 		return apierror.Wrap(err, apierror.Internal, "encode order")
 	}
-	short, stop := context.WithTimeout(ctx, ReportTimeout)
-	defer stop()
-	q, err := http.NewRequestWithContext(short, http.MethodPost, "http://"+address, bytes.NewReader(raw))
+	ctx, cancel := context.WithTimeout(ctx, ReportTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address, bytes.NewReader(body))
 	if err != nil {
 		return apierror.Wrap(err, apierror.Settings, "replica address")
 	}
-	answer, err := client.Do(q)
+	response, err := client.Do(request)
 	if err != nil {
 		return apierror.Wrap(err, apierror.Unreachable, "order")
 	}
-	_ = answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return apierror.New(apierror.Unreachable, "order: %s", answer.Status)
+	_ = response.Body.Close() // the status is all that counts
+	if response.StatusCode != http.StatusOK {
+		return apierror.New(apierror.Unreachable, "order: %s", response.Status)
 	}
 	return nil
 }
-
-// ReplicaReport is a replica's report with what it keeps since the number asked from.
-type ReplicaReport struct {
-	router.Report
-	Snapshot bool     `json:"image"`
-	Cached   []string `json:"kept,omitempty"`
-	Dropped  []string `json:"dropped,omitempty"`
-}
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -65,7 +65,7 @@
 		for _, m := range c.membership().members {
 			a.Rows = append(a.Rows, router.Row{"id": m.ID, "name": m.Name, "address": m.Address, "zone": m.Zone, "live": live[m.Name], "state": "member"})
 		}
-		if c.acceptor.Read(config.MembersKey).Fields[previousMembersField] != nil {
+		if c.acceptor.Read(config.MembersKey).Fields[PreviousMembersField] != nil {
 			a.Rows = append(a.Rows, router.Row{"name": "(keys are being carried over to this list)", "state": "carrying"})
 		}
 		c.mu.Lock()
--- a/daemon/throttles.go
+++ b/daemon/throttles.go
@@ -6,13 +6,12 @@
 	"asterridge/watch"
 )
 
-// MergeThrottles merges the running holds of a link's answer; cores take them from each other by it, too.
-func MergeThrottles(table *throttle.Table) func(*watch.Client, watch.Response) {
-	return func(_ *watch.Client, answer watch.Response) {
-		for _, e := range answer.Updates {
-			if e.Key == router.HoldKey {
-				table.Learn(e.Fields, e.AgesMs)
-			}
+// MergeThrottles merges the throttles of a watch response into the table. Cores exchange throttles among themselves by it, and agents
+// take them from cores.
+func MergeThrottles(table *throttle.Table, response watch.Response) {
+	for _, update := range response.Updates {
+		if update.Key == router.HoldKey {
+			table.Learn(update.Fields, update.AgesMs)
 		}
 	}
 }
--- a/daemon/timing.go
+++ b/daemon/timing.go
@@ -2,16 +2,20 @@
 
 import "time"
 
-const LivenessTimeout = time.Second // a core not heard for so long is not picked as an owner
-
-const QuorumTimeout = 1500 * time.Millisecond
-
-const ProxyTimeout = 3 * time.Second
-
-const DefaultWatchWait = 100 * time.Millisecond
-
-const FreshLimit = 1200 * time.Millisecond // T
-
-const UndecidedLimit = 500 * time.Millisecond // U
-
-const ReportTimeout = time.Second
+// The times that cores and agents agree on (docs/design.md §3.2 has the arithmetic).
+const (
+	// FreshLimit is T: how old a majority's answers may be for an agent to be current, where the deployment gives no bound of its own.
+	FreshLimit = 1200 * time.Millisecond
+	// UndecidedLimit is U: how long an agent stays current beside a version that may or may not be committed.
+	UndecidedLimit = 500 * time.Millisecond
+	// LivenessTimeout is the age of its last answer at which a core no longer counts as live: it is not picked as an owner.
+	LivenessTimeout = time.Second
+	// ProxyTimeout is the age of its agent's last request at which a proxy no longer counts as running.
+	ProxyTimeout = 3 * time.Second
+	// QuorumTimeout is how long an owner waits for a majority's answers. A forwarded operation gets twice as long.
+	QuorumTimeout = 1500 * time.Millisecond
+	// DefaultWatchWait is how long a watch request is held open when there is no update.
+	DefaultWatchWait = 100 * time.Millisecond
+	// HelloInterval is the time between two attempts to find the members.
+	HelloInterval = 200 * time.Millisecond
+)
