--- a/daemon/twice_test.go
+++ b/claim/claim_test.go
@@ -1,4 +1,4 @@
-package daemon
+package claim
 
 import (
 	"fmt"
@@ -17,8 +17,8 @@
 	for _, step := range steps {
 		var nonce, state string
 		_, _ = fmt.Sscan(step, &nonce, &state)
-		o := ClaimRequest{Claim: router.Claim{Tenant: "t", Key: "k", Nonce: nonce, State: state}, Proxy: "p.1"}
-		change, err := o.change(fields, func(string) bool { return true })
+		request := Request{Claim: router.Claim{Tenant: "t", Key: "k", Nonce: nonce, State: state}, Proxy: "p.1"}
+		change, err := Apply(request, fields, func(string) bool { return true })
 		fields.Apply(change)
 		word := "yes"
 		if err != nil {
--- a/cmd/hollow/fleet.go
+++ b/cmd/hollow/fleet.go
@@ -11,8 +11,10 @@
 	"os/exec"
 	"time"
 
+	"asterridge/claim"
 	"asterridge/config"
 	"asterridge/daemon"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/rpc"
@@ -186,7 +188,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
 	for _, address := range f.cores.started.Addresses {
-		h, err := rpc.Call[daemon.Hello](ctx, f.wire, address, "/core/hello", daemon.Hello{})
+		h, err := rpc.Call[protocol.Hello](ctx, f.wire, address, "/core/hello", protocol.Hello{})
 		if err != nil || len(h.Members) != coreCount {
 			return false
 		}
@@ -302,7 +304,7 @@
 		go func() {
 			for time.Now().Before(end) {
 				key := fmt.Sprintf("%d.%d.%d", i, taken[i], rand.Uint64())
-				o := daemon.ClaimRequest{Claim: router.Claim{Tenant: "tenant-001", Key: key, Nonce: key, State: "running"}, Proxy: "proxy-001.x"}
+				o := claim.Request{Claim: router.Claim{Tenant: "tenant-001", Key: key, Nonce: key, State: "running"}, Proxy: "proxy-001.x"}
 				address := f.cores.started.Addresses[(i+taken[i])%coreCount]
 				if _, err := rpc.Call[struct{}](ctx, f.wire, address, "/op/claim", o); err != nil {
 					results <- err
--- a/cmd/hollow/hollow_test.go
+++ b/cmd/hollow/hollow_test.go
@@ -19,7 +19,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/daemon"
+	"asterridge/protocol"
 	"asterridge/rpc"
 	"asterridge/sim"
 )
@@ -99,7 +99,7 @@
 	is.Equal(len(cores.started.Addresses), 2)
 	for i, address := range cores.started.Addresses {
 		is.True(strings.HasPrefix(address, fmt.Sprintf("127.1.1.%d:", i+1)))
-		h, err := rpc.Call[daemon.Hello](t.Context(), rpc.NewClient(fleetName, onLoopback(operatorIP)), address, "/core/hello", daemon.Hello{})
+		h, err := rpc.Call[protocol.Hello](t.Context(), rpc.NewClient(fleetName, onLoopback(operatorIP)), address, "/core/hello", protocol.Hello{})
 		is.NoErr(err)
 		is.Equal(h.Address, address)
 	}
--- a/daemon/agent.go
+++ b/daemon/agent.go
@@ -12,7 +12,9 @@
 	"asterridge/config"
 	"asterridge/disk"
 	"asterridge/gossip"
+	"asterridge/protocol"
 	"asterridge/register"
+	"asterridge/replicaclient"
 	"asterridge/router"
 	"asterridge/rpc"
 	"asterridge/throttle"
@@ -69,18 +71,18 @@
 		options.Dialect = router.ChatDialect{}
 	}
 	if options.FreshLimit == 0 {
-		options.FreshLimit = FreshLimit
+		options.FreshLimit = protocol.FreshLimit
 	}
 	if options.UndecidedLimit == 0 {
-		options.UndecidedLimit = UndecidedLimit
+		options.UndecidedLimit = protocol.UndecidedLimit
 	}
 	if options.WatchWait == 0 {
-		options.WatchWait = DefaultWatchWait
+		options.WatchWait = protocol.DefaultWatchWait
 	}
 	a := &Agent{
 		disk: d, options: options,
 		host: host, dialect: options.Dialect, rpc: rpc.NewClient(host.Fleet, host.Net),
-		replicaClient: NewReplicaClient(host.Net),
+		replicaClient: replicaclient.NewReplicaClient(host.Net),
 		cores:         map[string]*watch.Client{}, applied: map[string]register.Revision{}, undecided: map[string]undecidedVersion{},
 		notCurrentReason: "no core found yet", proxies: register.Fields{}, unresponsive: map[string]bool{}, cacheReaders: map[string]string{}, stopPolling: map[string]context.CancelFunc{}, polled: map[string]config.Replica{},
 	}
@@ -112,8 +114,8 @@
 	outer.Handle("POST /agent/query", rpc.Handler(fleet, a.handleQuery))
 	outer.Handle("POST /core/hello", rpc.Handler(fleet, a.handleHello))
 	rpc.HandleReady(outer, func() bool { return a.remaining() > 0 })
-	go Every(ctx, HelloInterval, func() { a.discoverCores(ctx) })
-	go Every(ctx, readerInterval, a.switchCacheReaders)
+	go Every(ctx, protocol.HelloInterval, func() { a.discoverCores(ctx) })
+	go Every(ctx, CacheReaderInterval, a.switchCacheReaders)
 	go a.detector.Run(ctx)
 	go Every(ctx, time.Minute, func() { a.throttles.Prune(time.Hour) })
 	go func() { _ = Serve(ctx, listener, outer, time.Second) }()
@@ -125,19 +127,19 @@
 func (a *Agent) awaitProxyStop() {
 	for end := time.Now().Add(a.options.Grace); time.Now().Before(end); {
 		ok := false
-		for _, s := range a.proxyUpdates.ClientStates(LivenessTimeout) {
+		for _, s := range a.proxyUpdates.ClientStates(protocol.LivenessTimeout) {
 			ok = ok || s.Role == "proxy"
 		}
-		if !ok || rpc.Sleep(context.Background(), HelloInterval) != nil {
+		if !ok || rpc.Sleep(context.Background(), protocol.HelloInterval) != nil {
 			return
 		}
 	}
 }
 
-func (a *Agent) handleHello(context.Context, Hello) (Hello, error) {
+func (a *Agent) handleHello(context.Context, protocol.Hello) (protocol.Hello, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return Hello{Name: a.host.Name, Role: "agent", Address: a.host.Address, Zone: a.host.Zone, Members: a.members}, nil
+	return protocol.Hello{Name: a.host.Name, Role: "agent", Address: a.host.Address, Zone: a.host.Zone, Members: a.members}, nil
 }
 
 // discoverCores asks the seeds for the members until some are known, and links to each member.
@@ -151,7 +153,7 @@
 	}
 	for _, seed := range a.seedAddresses() {
 		short, stop := context.WithTimeout(ctx, time.Second)
-		h, err := rpc.Call[Hello](short, a.rpc, seed, "/core/hello", Hello{})
+		h, err := rpc.Call[protocol.Hello](short, a.rpc, seed, "/core/hello", protocol.Hello{})
 		stop()
 		if err == nil && len(h.Members) > 0 {
 			a.connectCores(ctx, h.Members)
@@ -168,7 +170,7 @@
 	}
 	if a.disk != nil {
 		var recorded []string
-		raw, err := a.disk.Get(IdentityFolder, coresFile)
+		raw, err := a.disk.Get(protocol.IdentityFolder, coresFile)
 		if err == nil && json.Unmarshal(raw, &recorded) == nil {
 			all = append(all, recorded...)
 		}
@@ -187,7 +189,7 @@
 	}
 	raw, _ := json.Marshal(addresses) // strings always encode
 	go func() {
-		if err := a.disk.Put(IdentityFolder, coresFile, raw); err != nil {
+		if err := a.disk.Put(protocol.IdentityFolder, coresFile, raw); err != nil {
 			a.host.Log.Warn().Str("event", "cores_not_kept").Err(err).Msg("")
 		}
 	}()
@@ -212,7 +214,7 @@
 			f := watch.NewClient(watch.ClientOptions{
 				RPC: a.rpc, Address: m.Address, Path: "/core/pull", Wait: a.options.WatchWait, Request: a.watchRequest,
 				OnUpdate: func(f *watch.Client, answer watch.Response) { // the rest is looked at in digest, which follows each answer
-					MergeThrottles(a.throttles, answer)
+					protocol.MergeThrottles(a.throttles, answer)
 					a.forwardCached(f, answer)
 					a.forwardModelVersions(answer)
 					a.forwardOccupancy(answer)
@@ -230,9 +232,9 @@
 }
 
 func (a *Agent) watchRequest() watch.Request {
-	status := AgentStatus{Address: a.host.Address, Zone: a.host.Zone, Current: a.remaining() > 0}
+	status := protocol.AgentStatus{Address: a.host.Address, Zone: a.host.Zone, Current: a.remaining() > 0}
 	request := watch.Request{Name: a.host.Name, Role: "agent"}
-	for _, s := range a.proxyUpdates.ClientStates(LivenessTimeout) {
+	for _, s := range a.proxyUpdates.ClientStates(protocol.LivenessTimeout) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
 			status.Proxy, request.Applied = &p, s.Applied
--- a/daemon/agent_calls.go
+++ b/daemon/agent_calls.go
@@ -8,7 +8,9 @@
 	"time"
 
 	"asterridge/apierror"
+	"asterridge/claim"
 	"asterridge/config"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/rpc"
@@ -19,7 +21,7 @@
 // forwardThrottle passes a throttle on to all cores at once, so that one that is gone delays nobody; the scope's owner also keeps it. One answer is enough.
 func (a *Agent) forwardThrottle(ctx context.Context, n throttle.Notice) (struct{}, error) {
 	a.throttles.Merge(n, throttle.Longest)
-	cores := a.liveCores(ThrottlePrefix + n.Scope)
+	cores := a.liveCores(protocol.ThrottlePrefix + n.Scope)
 	if len(cores) == 0 {
 		return struct{}{}, apierror.New(apierror.Unreachable, "no core answers")
 	}
@@ -30,7 +32,7 @@
 			path = "/op/hold"
 		}
 		go func() {
-			short, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*QuorumTimeout)
+			short, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*protocol.QuorumTimeout)
 			defer stop()
 			_, err := rpc.Call[struct{}](short, a.rpc, m.Address, path, n)
 			results <- err
@@ -51,7 +53,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.members {
-		if f := a.cores[m.Address]; f != nil && (slices.Contains(answering, f) || time.Since(f.FreshAsOf(m.Incarnation)) < LivenessTimeout) {
+		if f := a.cores[m.Address]; f != nil && (slices.Contains(answering, f) || time.Since(f.FreshAsOf(m.Incarnation)) < protocol.LivenessTimeout) {
 			live = append(live, m)
 		}
 	}
@@ -61,8 +63,8 @@
 
 // forwardClaim passes a claim on to its group's owner.
 func (a *Agent) forwardClaim(ctx context.Context, q router.Claim) (struct{}, error) {
-	o := ClaimRequest{Claim: q}
-	for _, s := range a.proxyUpdates.ClientStates(ProxyTimeout) {
+	o := claim.Request{Claim: q}
+	for _, s := range a.proxyUpdates.ClientStates(protocol.ProxyTimeout) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
 			o.Proxy = p.Proxy + "." + p.Run
@@ -79,7 +81,7 @@
 	var answer A
 	err := error(apierror.New(apierror.Unreachable, "no core answers"))
 	for _, m := range cores[:min(2, len(cores))] {
-		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
+		short, stop := context.WithTimeout(ctx, 2*protocol.QuorumTimeout)
 		answer, err = rpc.Call[A](short, a.rpc, m.Address, path, q)
 		stop()
 		if err == nil || !retryable(err) {
@@ -91,7 +93,7 @@
 
 // handleQuery passes a core's question on to the proxy.
 func (a *Agent) handleQuery(ctx context.Context, q router.Query) ([]router.Row, error) {
-	for _, s := range a.proxyUpdates.ClientStates(ProxyTimeout) {
+	for _, s := range a.proxyUpdates.ClientStates(protocol.ProxyTimeout) {
 		var p router.Status
 		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil && p.Admin != "" {
 			return rpc.Call[[]router.Row](ctx, a.rpc, p.Admin, "/proxy/query", q)
--- a/daemon/agent_currency.go
+++ b/daemon/agent_currency.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"asterridge/config"
+	"asterridge/membership"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/watch"
@@ -20,7 +22,7 @@
 // detectDisturbance tells the proxy when a member falls silent or returns, so long as a majority answers. An agent that did not hear a majority just
 // now was itself frozen, cut off or not there: that members return to its hearing one by one says nothing of them. a.mu is held.
 func (a *Agent) detectDisturbance() {
-	now, settleTime := time.Now(), LivenessTimeout+a.options.WatchWait
+	now, settleTime := time.Now(), protocol.LivenessTimeout+a.options.WatchWait
 	fresh, changed := 0, false
 	for _, m := range a.members {
 		f := a.cores[m.Address]
@@ -62,7 +64,7 @@
 	keys := map[string]bool{}
 	for _, f := range a.cores {
 		for _, key := range f.Keys() {
-			keys[key] = keys[key] || IsPublished(key)
+			keys[key] = keys[key] || protocol.IsPublished(key)
 		}
 	}
 	var until time.Time
@@ -101,7 +103,7 @@
 			sent = append(sent, f.FreshAsOf(m.Incarnation))
 		}
 	}
-	majority := Majority(len(list))
+	majority := membership.Majority(len(list))
 	if len(sent) < majority {
 		return time.Time{}
 	}
@@ -118,7 +120,7 @@
 				count++
 			}
 		}
-		if count < Majority(len(list)) {
+		if count < membership.Majority(len(list)) {
 			return false
 		}
 	}
@@ -138,7 +140,7 @@
 				lacking++
 			}
 		}
-		if len(list)-lacking >= Majority(len(list)) {
+		if len(list)-lacking >= membership.Majority(len(list)) {
 			return true
 		}
 	}
@@ -167,7 +169,7 @@
 			a.proxyUpdates.Publish(key, committed, committed, held.Fields, true)
 			a.host.Log.Info().Str("event", "applied").Str("key", key).Uint64("epoch", committed.Epoch).Uint64("version", committed.Version).Msg("")
 			if key == config.MembersKey {
-				a.members, a.previousMembers, _ = ReadMembers(held.Fields)
+				a.members, a.previousMembers, _ = protocol.ReadMembers(held.Fields)
 				a.recordCores()
 			}
 		}
--- a/daemon/agent_reports.go
+++ b/daemon/agent_reports.go
@@ -6,6 +6,7 @@
 
 	"asterridge/config"
 	"asterridge/register"
+	"asterridge/replicaclient"
 	"asterridge/router"
 )
 
@@ -47,9 +48,9 @@
 func (a *Agent) pollReplica(ctx context.Context, r config.Replica) {
 	var last router.Report
 	step := func() {
-		short, stop := context.WithTimeout(ctx, ReportTimeout)
+		short, stop := context.WithTimeout(ctx, replicaclient.ReportTimeout)
 		defer stop()
-		body, err := GetReport(short, a.replicaClient, a.dialect, r, last)
+		body, err := replicaclient.GetReport(short, a.replicaClient, a.dialect, r, last)
 		if err != nil || ctx.Err() != nil {
 			return
 		}
--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -10,7 +10,9 @@
 
 	"asterridge/config"
 	"asterridge/lease"
+	"asterridge/protocol"
 	"asterridge/register"
+	"asterridge/replicaclient"
 	"asterridge/router"
 )
 
@@ -202,7 +204,7 @@
 	if now, owned := l.candidate.Held(); len(change) == 0 || !owned || now < fence {
 		return // another holder may have written marks since the survey: frozen meanwhile, this one writes nothing
 	}
-	short, stop := context.WithTimeout(ctx, QuorumTimeout)
+	short, stop := context.WithTimeout(ctx, protocol.QuorumTimeout)
 	defer stop()
 	_, err := c.submitLoads(short, change)
 	c.logOutcome("loads", config.LoadsKey, c.acceptor.Revision(config.LoadsKey), err)
@@ -262,7 +264,7 @@
 // before us may have told but that shows no order, which may be told by another holder only a lease later; until then it serves as before.
 func (l *modelLoader) advance(ctx context.Context, d pendingLoad, fence uint64) (loaded uint64, retryAfter time.Duration) {
 	c, name := l.core, d.replica.Name
-	short, stop := context.WithTimeout(ctx, ReportTimeout)
+	short, stop := context.WithTimeout(ctx, replicaclient.ReportTimeout)
 	defer stop()
 	c.mu.Lock()
 	reservedAt, reserved := l.reservedSince[name]
--- a/daemon/bounds.go
+++ b/daemon/bounds.go
@@ -1,21 +1,26 @@
 package daemon
 
-import "time"
+import (
+	"time"
+
+	"asterridge/membership"
+	"asterridge/protocol"
+)
 
 // Bounds are what a deployment promises to its users; the daemons' own limits follow from them (§3.2, §6.2).
 type Bounds struct {
-	RevocationClosed bool          // a revoked key is refused everywhere, also by a proxy that is cut off
-	KeyRevocation    time.Duration // within which it is
-	ConfigApply      time.Duration // a configuration is used
-	ModelVersion     time.Duration // no request begins on old weights after it
-	Lease            time.Duration // between the orders of two holders of a duty
-	Drain            time.Duration // a leaving replica gets no more work after it
-	Grace            time.Duration // from the word to stop to the end of the process
-	RetryRatio       float64       // of second tries to first ones that the fleet may send; 0: not told
-	RetrySlack       float64       // second tries that the fleet may send beyond that
-	GossipInterval   time.Duration // between two beats of the ring
-	MemoryMB         int           // of one process
-	Tolerance        Tolerance     // what may be lost at once
+	RevocationClosed bool                 // a revoked key is refused everywhere, also by a proxy that is cut off
+	KeyRevocation    time.Duration        // within which it is
+	ConfigApply      time.Duration        // a configuration is used
+	ModelVersion     time.Duration        // no request begins on old weights after it
+	Lease            time.Duration        // between the orders of two holders of a duty
+	Drain            time.Duration        // a leaving replica gets no more work after it
+	Grace            time.Duration        // from the word to stop to the end of the process
+	RetryRatio       float64              // of second tries to first ones that the fleet may send; 0: not told
+	RetrySlack       float64              // second tries that the fleet may send beyond that
+	GossipInterval   time.Duration        // between two beats of the ring
+	MemoryMB         int                  // of one process
+	Tolerance        membership.Tolerance // what may be lost at once
 }
 
 const (
@@ -32,7 +37,7 @@
 	if !b.RevocationClosed {
 		return maxStale
 	}
-	return max(FreshLimit, min(b.KeyRevocation-staleMargin, maxStale))
+	return max(protocol.FreshLimit, min(b.KeyRevocation-staleMargin, maxStale))
 }
 
 // Agent gives the agent's options.
@@ -55,6 +60,6 @@
 func (b Bounds) Core() CoreOptions {
 	return CoreOptions{
 		ClaimRetention: time.Hour, AutoMembership: true, Lease: b.Lease, WatchWait: 200 * time.Millisecond,
-		Tolerance: b.Tolerance, LeaveTimeout: min(maxLeaveTimeout, b.Grace/2),
+		Tolerance: b.Tolerance, LeaveTimeout: min(MaxLeaveTimeout, b.Grace/2),
 	}
 }
--- a/daemon/bounds_test.go
+++ b/daemon/bounds_test.go
@@ -5,13 +5,16 @@
 	"time"
 
 	"github.com/matryer/is"
+
+	"asterridge/membership"
+	"asterridge/protocol"
 )
 
 // What follows from a deployment's bounds: where revoked keys are to be refused everywhere, a proxy serves without news for less than that
 // takes; else for long; old versions end before their bound, and daemons before theirs.
 func TestOptionsFollowFromBounds(t *testing.T) {
 	is := is.New(t)
-	b := Bounds{RevocationClosed: true, KeyRevocation: 5 * time.Second, ModelVersion: 15 * time.Second, Lease: 3 * time.Second, Grace: 8 * time.Second, MemoryMB: 284, Tolerance: Tolerance{Machines: 2}}
+	b := Bounds{RevocationClosed: true, KeyRevocation: 5 * time.Second, ModelVersion: 15 * time.Second, Lease: 3 * time.Second, Grace: 8 * time.Second, MemoryMB: 284, Tolerance: membership.Tolerance{Machines: 2}}
 	a, p, c := b.Agent(), b.Proxy(), b.Core()
 	is.Equal(a.FreshLimit, 4*time.Second)
 	is.Equal(a.UndecidedLimit, 4*time.Second)
@@ -28,7 +31,7 @@
 	b.RevocationClosed, b.KeyRevocation = true, time.Minute
 	is.Equal(b.Agent().FreshLimit, 10*time.Second)
 	b.KeyRevocation = time.Second
-	is.Equal(b.Agent().FreshLimit, FreshLimit) // no less than links need
+	is.Equal(b.Agent().FreshLimit, protocol.FreshLimit) // no less than links need
 	b.Grace = 900 * time.Millisecond
 	is.Equal(b.Proxy().Grace, time.Duration(0))
 	is.True(b.Proxy().ReadinessLinger < b.Grace)
--- a/daemon/carry.go
+++ b/daemon/carry.go
@@ -6,6 +6,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/rpc"
@@ -21,7 +22,7 @@
 // transferKeys has every key settled on a majority of the new list, and then says so in the list; only then may it change again (§2.8).
 func (c *Core) transferKeys(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
-	if record.Fields[PreviousMembersField] == nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.transferMu.TryLock() {
+	if record.Fields[protocol.PreviousMembersField] == nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.transferMu.TryLock() {
 		return
 	}
 	go func() {
@@ -33,10 +34,10 @@
 			return // the next beat goes on with those that are left
 		}
 		revision, err := c.owner.Change(ctx, config.MembersKey, func(now register.Fields, version uint64) (register.Fields, error) {
-			if now[PreviousMembersField] == nil || version != record.Revision.Version {
+			if now[protocol.PreviousMembersField] == nil || version != record.Revision.Version {
 				return nil, apierror.New(apierror.Conflict, "the list has changed meanwhile")
 			}
-			return register.Fields{PreviousMembersField: nil}, nil
+			return register.Fields{protocol.PreviousMembersField: nil}, nil
 		})
 		c.logOutcome("carried", config.MembersKey, revision, err)
 		if err == nil {
@@ -55,7 +56,7 @@
 	}
 	done := make(chan string, len(left))
 	failed := forEachKey(left, func(key string) error {
-		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
+		short, stop := context.WithTimeout(ctx, 2*protocol.QuorumTimeout)
 		defer stop()
 		_, err := rpc.Call[CommitResponse](short, c.rpc, c.host.Address, "/op/settle", CommitRequest{Key: key, Rewrite: true})
 		if err != nil {
--- a/daemon/core.go
+++ b/daemon/core.go
@@ -13,10 +13,14 @@
 	"time"
 
 	"asterridge/apierror"
+	"asterridge/claim"
 	"asterridge/config"
 	"asterridge/disk"
 	"asterridge/gossip"
+	"asterridge/membership"
+	"asterridge/protocol"
 	"asterridge/register"
+	"asterridge/replicaclient"
 	"asterridge/router"
 	"asterridge/rpc"
 	"asterridge/throttle"
@@ -92,7 +96,7 @@
 	Lease          time.Duration               // between the last order of one holder of a duty and the first of the next
 	Endpoints      func(*Core, *http.ServeMux) // more of them, in a manner of speaking that is not ours
 	WatchWait      time.Duration               // how long the ask of another core is held; 0: 100 ms
-	Tolerance      Tolerance                   // what may be lost at once
+	Tolerance      membership.Tolerance        // what may be lost at once
 	LeaveTimeout   time.Duration               // how long a core that is told to stop may take to leave the members
 	Throttle       *config.Hold                // the waiting rule of a fleet that is declared by numbers and does not set it
 }
@@ -100,7 +104,7 @@
 // NewCore opens the disk and loads what it has.
 func NewCore(host Host, d disk.Disk, options CoreOptions) (*Core, error) {
 	c := &Core{
-		host: host, options: options, disk: d, rpc: rpc.NewClient(host.Fleet, host.Net), replicaClient: NewReplicaClient(host.Net),
+		host: host, options: options, disk: d, rpc: rpc.NewClient(host.Fleet, host.Net), replicaClient: replicaclient.NewReplicaClient(host.Net),
 		peers: map[string]*watch.Client{}, bootstrapContacts: map[string]string{}, uncommittedSince: map[string]time.Time{}, joiners: map[string]joiner{},
 		membershipChanged: make(chan struct{}), wakeups: make(chan struct{}, 1), recordingSlot: make(chan struct{}, 1),
 	}
@@ -126,10 +130,10 @@
 	}
 	c.isDamaged.Store(c.acceptor.IsDamaged())
 	c.owner = register.NewOwner(register.OwnerOptions{
-		MemberID: c.memberID.Load, Acceptor: c.acceptor, Peers: c.memberAcceptors, Timeout: QuorumTimeout,
+		MemberID: c.memberID.Load, Acceptor: c.acceptor, Peers: c.memberAcceptors, Timeout: protocol.QuorumTimeout,
 	})
 	for _, key := range c.acceptor.Keys() {
-		if scope, isHold := strings.CutPrefix(key, ThrottlePrefix); isHold {
+		if scope, isHold := strings.CutPrefix(key, protocol.ThrottlePrefix); isHold {
 			c.restoreThrottle(scope)
 		}
 	}
@@ -140,18 +144,18 @@
 
 // loadIdentity reads or makes the disk's incarnation, and whether it is from the fleet's very first start (§2.6).
 func (c *Core) loadIdentity() error {
-	raw, err := c.disk.Get(IdentityFolder, incarnationFile)
+	raw, err := c.disk.Get(protocol.IdentityFolder, incarnationFile)
 	switch {
 	case apierror.Is(err, apierror.NotFound):
 		raw, err = c.createIncarnation()
 	case err == nil:
-		err = c.disk.Sync(IdentityFolder) // a process before this one may have died while it wrote it
+		err = c.disk.Sync(protocol.IdentityFolder) // a process before this one may have died while it wrote it
 	}
 	if err != nil {
 		return apierror.Wrap(err, apierror.DiskFailed, "incarnation")
 	}
 	c.incarnation = string(raw)
-	_, err = c.disk.Get(IdentityFolder, founderFile)
+	_, err = c.disk.Get(protocol.IdentityFolder, founderFile)
 	c.mayBootstrap = err == nil || !c.host.Bootstrapped
 	if err != nil && !apierror.Is(err, apierror.NotFound) && !apierror.Is(err, apierror.Torn) {
 		return apierror.Wrap(err, apierror.DiskFailed, "founder")
@@ -162,18 +166,18 @@
 // createIncarnation names a disk that is empty. The mark of the fleet's first start comes first: a disk with an incarnation and no mark is later.
 func (c *Core) createIncarnation() ([]byte, error) {
 	if !c.host.Bootstrapped {
-		if err := c.disk.Put(IdentityFolder, founderFile, nil); err != nil {
+		if err := c.disk.Put(protocol.IdentityFolder, founderFile, nil); err != nil {
 			return nil, err
 		}
 	}
 	raw := []byte(rand.Text())
-	return raw, c.disk.Put(IdentityFolder, incarnationFile, raw)
+	return raw, c.disk.Put(protocol.IdentityFolder, incarnationFile, raw)
 }
 
 // publishAccepted passes what the disk has accepted on to the links. It is called under the key's lock.
 func (c *Core) publishAccepted(key string, at register.Record, change register.Fields, full bool) {
 	c.peerUpdates.Publish(key, at.Revision, at.Committed, change, full)
-	if IsPublished(key) {
+	if protocol.IsPublished(key) {
 		c.agentUpdates.Publish(key, at.Revision, at.Committed, withoutTexts(change), full)
 	}
 	if key == config.MembersKey && c.acceptor != nil {
@@ -227,7 +231,7 @@
 // restoreThrottle counts what a hold on disk had left from the start again: later, never earlier (§4.2).
 func (c *Core) restoreThrottle(scope string) {
 	var n throttle.Notice
-	if raw := c.acceptor.Read(ThrottlePrefix + scope).Fields["hold"]; raw != nil && json.Unmarshal(raw, &n) == nil {
+	if raw := c.acceptor.Read(protocol.ThrottlePrefix + scope).Fields["hold"]; raw != nil && json.Unmarshal(raw, &n) == nil {
 		c.throttles.Merge(n, throttle.Longest)
 	}
 }
@@ -263,7 +267,7 @@
 	mux.Handle("POST /query", rpc.Handler(fleet, c.Query))
 	rpc.HandleReady(mux, func() bool {
 		now := c.membership()
-		return now.self != nil && len(c.live()) >= Majority(len(now.members))
+		return now.self != nil && len(c.live()) >= membership.Majority(len(now.members))
 	})
 	if c.options.Backend != nil {
 		mux.Handle("POST /core/list", rpc.Handler(fleet, c.handleListRequest))
@@ -271,8 +275,8 @@
 	registerOperation(mux, c, config.Key, func(ConfigChange) string { return config.Key }, c.applyConfig, false)
 	registerOperation(mux, c, "keys", func(o AccessKeyChange) string { return config.KeysPrefix + o.Tenant }, c.applyAccessKey, true)
 	registerOperation(mux, c, "replicas", func(ReplicasChange) string { return config.ReplicasKey }, c.applyReplicas, true)
-	registerOperation(mux, c, "claim", ClaimRequest.Register, c.applyClaim, true)
-	registerOperation(mux, c, "hold", func(n throttle.Notice) string { return ThrottlePrefix + n.Scope }, c.applyThrottle, true)
+	registerOperation(mux, c, "claim", claim.Request.Register, c.applyClaim, true)
+	registerOperation(mux, c, "hold", func(n throttle.Notice) string { return protocol.ThrottlePrefix + n.Scope }, c.applyThrottle, true)
 	registerOperation(mux, c, "term", func(o LeaseRequest) string { return leasePrefix + o.Role }, c.grantLease, false)
 	c.submitMembershipChange = registerOperation(mux, c, "members", func(MembershipChange) string { return config.MembersKey }, c.applyMembershipChange, false)
 	c.submitCommit = registerOperation(mux, c, "settle", func(o CommitRequest) string { return o.Key }, c.commitKey, true)
@@ -300,7 +304,7 @@
 		if owner == c.host.Name {
 			return do(ctx, q)
 		}
-		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
+		short, stop := context.WithTimeout(ctx, 2*protocol.QuorumTimeout)
 		defer stop()
 		answer, err := rpc.Call[A](short, c.rpc, c.addressOf(owner), "/own/"+name, q)
 		var dial *net.OpError
@@ -337,7 +341,7 @@
 	if c.options.WatchWait > 0 {
 		return c.options.WatchWait
 	}
-	return DefaultWatchWait
+	return protocol.DefaultWatchWait
 }
 
 // hasQuorum says whether this core is a member and hears a majority of the members. One that does not has no part in what a single core
--- a/daemon/core_links.go
+++ b/daemon/core_links.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"asterridge/config"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/rpc"
@@ -19,7 +20,7 @@
 	var names []string
 	for _, m := range c.membership().members {
 		f := c.peers[m.Name]
-		if m.Incarnation == c.incarnation || f != nil && time.Since(f.FreshAsOf(m.Incarnation)) < LivenessTimeout {
+		if m.Incarnation == c.incarnation || f != nil && time.Since(f.FreshAsOf(m.Incarnation)) < protocol.LivenessTimeout {
 			names = append(names, m.Name)
 		}
 	}
@@ -41,7 +42,7 @@
 			f := watch.NewClient(watch.ClientOptions{
 				RPC: c.rpc, Address: m.Address, Path: "/core/whole", Wait: c.watchWait(),
 				OnUpdate: func(f *watch.Client, answer watch.Response) {
-					MergeThrottles(c.throttles, answer)
+					protocol.MergeThrottles(c.throttles, answer)
 					c.applyStoreUpdates(answer)
 					if answer.Snapshot {
 						c.wake() // there is much to catch up on
@@ -61,7 +62,7 @@
 	failed, fresh := 0, 0
 	for _, f := range peers {
 		failed += c.catchUp(f)
-		if time.Since(f.FreshAt()) < LivenessTimeout {
+		if time.Since(f.FreshAt()) < protocol.LivenessTimeout {
 			fresh++
 		}
 	}
@@ -102,7 +103,7 @@
 		if overdue {
 			owner := register.Pick(key, c.live())
 			go func() {
-				short, stop := context.WithTimeout(ctx, QuorumTimeout)
+				short, stop := context.WithTimeout(ctx, protocol.QuorumTimeout)
 				defer stop()
 				_, _ = rpc.Call[CommitResponse](short, c.rpc, c.addressOf(owner), "/own/settle", CommitRequest{Key: key, Accepted: c.acceptor.Revision(key)})
 			}()
@@ -113,8 +114,8 @@
 // publishProxies tells the agents which proxies share the replicas (§5.3).
 func (c *Core) publishProxies() {
 	fields := register.Fields{}
-	for _, s := range c.agentUpdates.ClientStates(ProxyTimeout) {
-		var status AgentStatus
+	for _, s := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
+		var status protocol.AgentStatus
 		if s.Role == "agent" && json.Unmarshal(s.Status, &status) == nil && status.Proxy != nil && !status.Proxy.Stop {
 			fields[status.Proxy.Proxy] = json.RawMessage(`true`)
 		}
--- a/daemon/core_metrics.go
+++ b/daemon/core_metrics.go
@@ -1,6 +1,9 @@
 package daemon
 
-import "asterridge/config"
+import (
+	"asterridge/config"
+	"asterridge/protocol"
+)
 
 func (c *Core) gauges() []Gauge {
 	now := c.membership()
@@ -19,7 +22,7 @@
 		}
 	}
 	all = append(all, Gauge{Name: "core_keys_unsettled", Value: float64(unsettled)})
-	for _, s := range c.agentUpdates.ClientStates(ProxyTimeout) {
+	for _, s := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
 		all = append(all, Gauge{Name: "core_agent_behind", Value: float64(s.Lag), Label: [2]string{"agent", s.Name}})
 	}
 	sent, alarms := c.detector.Stats()
--- a/daemon/declare.go
+++ b/daemon/declare.go
@@ -8,6 +8,8 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/membership"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/rpc"
 )
@@ -46,7 +48,7 @@
 
 // awaitRevision waits a short while until this core's disk has a key's settled content, of that version or a later one.
 func (c *Core) awaitRevision(ctx context.Context, key string, revision register.Revision) (register.Record, error) {
-	short, stop := context.WithTimeout(ctx, QuorumTimeout)
+	short, stop := context.WithTimeout(ctx, protocol.QuorumTimeout)
 	defer stop()
 	for {
 		record := c.acceptor.Read(key)
@@ -91,17 +93,17 @@
 // every guard of the order itself stands.
 func (c *Core) reconcileMembership(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
-	if record.Fields[PreviousMembersField] != nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name {
+	if record.Fields[protocol.PreviousMembersField] != nil || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name {
 		return
 	}
-	members, _, _ := ReadMembers(record.Fields)
+	members, _, _ := protocol.ReadMembers(record.Fields)
 	order, wanted := c.nextMembershipChange(members)
 	if !wanted || !c.reconcileMu.TryLock() {
 		return
 	}
 	go func() {
 		defer c.reconcileMu.Unlock()
-		short, stop := context.WithTimeout(ctx, 2*QuorumTimeout)
+		short, stop := context.WithTimeout(ctx, 2*protocol.QuorumTimeout)
 		defer stop()
 		if _, err := c.applyMembershipChange(short, order); err == nil { // a failure is logged there; the next step looks again
 			c.wake()
@@ -159,8 +161,8 @@
 	if len(rest) < minMembers {
 		return false
 	}
-	silent := c.liveness.countUnresponsive(members, LivenessTimeout)
+	silent := c.liveness.countUnresponsive(members, protocol.LivenessTimeout)
 	retired := min(c.liveness.countUnresponsive(members, removalTimeout), len(members)-minMembers)
-	return SpareLosses(len(rest), silent-1) >= c.options.Tolerance.Losses(rest) ||
-		SpareLosses(len(members)-retired, silent-retired) > SpareLosses(len(members), silent)
+	return membership.SpareLosses(len(rest), silent-1) >= c.options.Tolerance.Losses(rest) ||
+		membership.SpareLosses(len(members)-retired, silent-retired) > membership.SpareLosses(len(members), silent)
 }
--- a/daemon/duties.go
+++ b/daemon/duties.go
@@ -8,6 +8,7 @@
 
 	"asterridge/config"
 	"asterridge/lease"
+	"asterridge/replicaclient"
 	"asterridge/router"
 	"asterridge/rpc"
 )
@@ -62,7 +63,7 @@
 // runRoles steps this core's candidates, and does the duties that it holds.
 func (c *Core) runRoles(ctx context.Context) {
 	r := &weightsRollout{core: c, dialect: router.ChatDialect{}, behindSince: map[string]behindState{},
-		replicaClient: NewReplicaClient(c.host.Net),
+		replicaClient: replicaclient.NewReplicaClient(c.host.Net),
 		candidate:     c.newCandidate("rollout", rolloutLease),
 	}
 	go Every(ctx, c.options.ClaimRetention/20, func() { c.pruneClaims(ctx) })
@@ -118,9 +119,9 @@
 			continue
 		}
 		asked.Go(func() {
-			short, stop := context.WithTimeout(ctx, ReportTimeout)
+			short, stop := context.WithTimeout(ctx, replicaclient.ReportTimeout)
 			defer stop()
-			report, err := GetReport(short, r.replicaClient, r.dialect, replica, router.Report{})
+			report, err := replicaclient.GetReport(short, r.replicaClient, r.dialect, replica, router.Report{})
 			if err != nil {
 				return
 			}
@@ -148,7 +149,7 @@
 			return
 		}
 		asked.Go(func() {
-			err := PostOrder(ctx, r.replicaClient, replica.Address+r.dialect.LoadPath(), map[string]any{"weights": weights, "order": order})
+			err := replicaclient.PostOrder(ctx, r.replicaClient, replica.Address+r.dialect.LoadPath(), map[string]any{"weights": weights, "order": order})
 			r.core.host.Log.Info().Str("event", "load_weights").Str("replica", replica.Name).Str("weights", weights).
 				Uint64("order", order).Uint64("lease", number).AnErr("failure", err).Msg("")
 		})
--- a/daemon/found.go
+++ b/daemon/found.go
@@ -11,22 +11,23 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/rpc"
 )
 
-func (c *Core) helloMessage() Hello {
+func (c *Core) helloMessage() protocol.Hello {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.membership()
-	return Hello{
+	return protocol.Hello{
 		Name: c.host.Name, Role: "core", Address: c.host.Address, Zone: c.host.Zone, Incarnation: c.incarnation,
 		BootstrapContacts: maps.Clone(c.bootstrapContacts), MayBootstrap: c.mayBootstrap, Members: now.members, MembersRecord: now.record, CaughtUp: c.caughtUp.Load(),
 	}
 }
 
 // handleHello answers with who this core is, and notes a joiner that would be a member.
-func (c *Core) handleHello(_ context.Context, h Hello) (Hello, error) {
+func (c *Core) handleHello(_ context.Context, h protocol.Hello) (protocol.Hello, error) {
 	if now := c.membership(); h.Role == "core" && now.self != nil && !now.hasIncarnation(h.Incarnation) {
 		c.mu.Lock()
 		before := c.joiners[h.Name]
@@ -42,7 +43,7 @@
 // bootstrap makes the first list of members, once all four founders tell the same (§2.6).
 func (c *Core) bootstrap(ctx context.Context) {
 	logged := false
-	Every(ctx, HelloInterval, func() {
+	Every(ctx, protocol.HelloInterval, func() {
 		if now := c.membership(); len(now.members) > 0 {
 			if now.self == nil && !c.isLeaving.Load() {
 				if !logged {
@@ -60,7 +61,7 @@
 		}
 		founder := c.mayBootstrap && slices.Contains(founders, c.host.Address)
 		contacts := map[string]string{c.host.Address: c.incarnation}
-		hellos := []Hello{{Name: c.host.Name, Address: c.host.Address, Zone: c.host.Zone, Incarnation: c.incarnation}}
+		hellos := []protocol.Hello{{Name: c.host.Name, Address: c.host.Address, Zone: c.host.Zone, Incarnation: c.incarnation}}
 		for h := range c.contactSeeds(ctx, founders) {
 			if len(h.Members) > 0 {
 				c.adoptBootstrapMembers(h.Members)
@@ -128,18 +129,18 @@
 
 // contactSeeds says hello to the founders, the seeds and all that the ring has heard of, at once; who is silent holds up nobody for longer
 // than a second.
-func (c *Core) contactSeeds(ctx context.Context, founders []string) <-chan Hello {
+func (c *Core) contactSeeds(ctx context.Context, founders []string) <-chan protocol.Hello {
 	asked := slices.Concat(founders, c.host.Seeds)
 	for _, d := range c.detector.Nodes()[1:] {
 		asked = append(asked, d.Address)
 	}
 	slices.Sort(asked)
-	return c.broadcastHello(ctx, slices.Compact(asked), Hello{})
+	return c.broadcastHello(ctx, slices.Compact(asked), protocol.Hello{})
 }
 
 // broadcastHello says hello to all at once; the channel closes after the last answer.
-func (c *Core) broadcastHello(ctx context.Context, addresses []string, own Hello) <-chan Hello {
-	answers := make(chan Hello, len(addresses))
+func (c *Core) broadcastHello(ctx context.Context, addresses []string, own protocol.Hello) <-chan protocol.Hello {
+	answers := make(chan protocol.Hello, len(addresses))
 	var all sync.WaitGroup
 	for _, address := range addresses {
 		if address == c.host.Address {
@@ -148,7 +149,7 @@
 		all.Go(func() {
 			short, stop := context.WithTimeout(ctx, time.Second)
 			defer stop()
-			if h, err := rpc.Call[Hello](short, c.rpc, address, "/core/hello", own); err == nil {
+			if h, err := rpc.Call[protocol.Hello](short, c.rpc, address, "/core/hello", own); err == nil {
 				answers <- h
 			}
 		})
--- a/daemon/leave.go
+++ b/daemon/leave.go
@@ -8,12 +8,14 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/membership"
+	"asterridge/protocol"
 	"asterridge/rpc"
 )
 
 const (
 	leavePollInterval = 50 * time.Millisecond
-	maxLeaveTimeout   = 3 * time.Second // of the grace that a core has to end in order
+	MaxLeaveTimeout   = 3 * time.Second // of the grace that a core has to end in order
 )
 
 // ServeUntilStopped runs the core until stopped ends. It then leaves the list of members, if the rest does as well without it, and goes on
@@ -54,7 +56,7 @@
 // tryLeave does what is next for leaving, and says whether that is done.
 func (c *Core) tryLeave(ctx context.Context) (hasLeft bool, err error) {
 	record := c.acceptor.Read(config.MembersKey)
-	members, prior, _ := ReadMembers(record.Fields)
+	members, prior, _ := protocol.ReadMembers(record.Fields)
 	listed := slices.ContainsFunc(members, func(m config.Member) bool { return m.Incarnation == c.incarnation })
 	switch {
 	case !record.IsCommitted() || prior != nil:
@@ -73,9 +75,9 @@
 func (c *Core) mayLeave(members []config.Member, name string) bool {
 	rest := slices.DeleteFunc(slices.Clone(members), func(m config.Member) bool { return m.Name == name })
 	c.mu.Lock()
-	silent := c.liveness.countUnresponsive(rest, LivenessTimeout)
+	silent := c.liveness.countUnresponsive(rest, protocol.LivenessTimeout)
 	c.mu.Unlock()
-	spare := SpareLosses(len(rest), silent)
+	spare := membership.SpareLosses(len(rest), silent)
 	return len(rest) >= minMembers && spare >= 0 &&
-		(spare >= c.options.Tolerance.Losses(rest) || spare > SpareLosses(len(members), silent+1))
+		(spare >= c.options.Tolerance.Losses(rest) || spare > membership.SpareLosses(len(members), silent+1))
 }
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -10,6 +10,8 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/membership"
+	"asterridge/protocol"
 	"asterridge/register"
 )
 
@@ -17,8 +19,8 @@
 type committedMembership struct {
 	version uint64
 	members []config.Member
-	self    *config.Member // nil while this core is no member
-	record  *MembersRecord // the register's content that the list is read from; nil if this core does not know it
+	self    *config.Member          // nil while this core is no member
+	record  *protocol.MembersRecord // the register's content that the list is read from; nil if this core does not know it
 }
 
 func (c committedMembership) has(name, address string) bool {
@@ -36,7 +38,7 @@
 
 // joiner is a core that is no member, as it last said of itself.
 type joiner struct {
-	Hello
+	protocol.Hello
 	heardAt time.Time
 }
 
@@ -67,12 +69,12 @@
 	if record.Revision.Version == 0 {
 		return
 	}
-	members, prior, _ := ReadMembers(record.Fields)
+	members, prior, _ := protocol.ReadMembers(record.Fields)
 	now := committedMembership{version: record.Revision.Version, members: members}
 	if record.IsCommitted() {
-		now.record = &MembersRecord{record.Revision, record.Fields}
+		now.record = &protocol.MembersRecord{record.Revision, record.Fields}
 	} else {
-		raw, _ := c.disk.Get(IdentityFolder, membershipVersionFile) // none, or a torn one: no list is known to be settled
+		raw, _ := c.disk.Get(protocol.IdentityFolder, membershipVersionFile) // none, or a torn one: no list is known to be settled
 		if settled, _ := strconv.ParseUint(string(raw), 10, 64); settled < now.version {
 			now.version--
 			if prior != nil {
@@ -108,16 +110,16 @@
 // recordMembership writes down which list is settled. Without it this core has to learn that from others after a restart.
 func (c *Core) recordMembership(now committedMembership) {
 	raw, _ := json.Marshal(now.record) // plain maps always encode
-	if err := c.disk.Put(IdentityFolder, membershipFile, raw); err != nil {
+	if err := c.disk.Put(protocol.IdentityFolder, membershipFile, raw); err != nil {
 		c.host.Log.Warn().Str("event", "list_not_recorded").Err(err).Msg("")
 	}
-	_ = c.disk.Put(IdentityFolder, membershipVersionFile, []byte(strconv.FormatUint(now.version, 10))) // as above: it only spares a question
+	_ = c.disk.Put(protocol.IdentityFolder, membershipVersionFile, []byte(strconv.FormatUint(now.version, 10))) // as above: it only spares a question
 }
 
 // recordedMembership gives the content of the list of that version if this core wrote it down, else nil.
-func (c *Core) recordedMembership(version uint64) *MembersRecord {
-	raw, err := c.disk.Get(IdentityFolder, membershipFile)
-	var list MembersRecord
+func (c *Core) recordedMembership(version uint64) *protocol.MembersRecord {
+	raw, err := c.disk.Get(protocol.IdentityFolder, membershipFile)
+	var list protocol.MembersRecord
 	if err != nil || json.Unmarshal(raw, &list) != nil || list.Revision.Version != version {
 		return nil
 	}
@@ -126,11 +128,11 @@
 
 // adoptMembership takes over a settled list that another core knows, if it is newer and names this core. Who is not on it learns no content of
 // registers by it: a core that only follows the members takes that from their links.
-func (c *Core) adoptMembership(list *MembersRecord) {
+func (c *Core) adoptMembership(list *protocol.MembersRecord) {
 	if list == nil || list.Revision.Version <= c.membership().version {
 		return
 	}
-	members, _, _ := ReadMembers(list.Fields)
+	members, _, _ := protocol.ReadMembers(list.Fields)
 	if !slices.ContainsFunc(members, func(m config.Member) bool { return m.Incarnation == c.incarnation }) {
 		return
 	}
@@ -195,7 +197,7 @@
 // applyMembershipChange changes the list by one, under its guards.
 func (c *Core) applyMembershipChange(ctx context.Context, o MembershipChange) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.MembersKey, func(now register.Fields, _ uint64) (register.Fields, error) {
-		members, prior, highest := ReadMembers(now)
+		members, prior, highest := protocol.ReadMembers(now)
 		if prior != nil {
 			return nil, apierror.New(apierror.Conflict, "the change of members before is not carried through yet")
 		}
@@ -207,7 +209,7 @@
 				return nil, err
 			}
 			change = config.Field(o.Name, made)
-			change[HighestIDField] = json.RawMessage(strconv.Itoa(int(made.ID)))
+			change[protocol.HighestIDField] = json.RawMessage(strconv.Itoa(int(made.ID)))
 		case removeMember:
 			if now[o.Name] == nil {
 				return nil, apierror.New(apierror.NotFound, "no member %q", o.Name)
@@ -222,11 +224,11 @@
 			if o.Lost != "" {
 				least = minMembersAfterLoss
 			}
-			if left := len(members) - 1; left < least || live < Majority(left) {
+			if left := len(members) - 1; left < least || live < membership.Majority(left) {
 				return nil, apierror.New(apierror.OutOfRange, "%d members would be left, %d of them live: too few", left, live)
 			}
 			change[o.Name] = nil
-			change[HighestIDField] = json.RawMessage(strconv.Itoa(int(highest)))
+			change[protocol.HighestIDField] = json.RawMessage(strconv.Itoa(int(highest)))
 		case leaveMember:
 			if now[o.Name] == nil {
 				return nil, apierror.New(apierror.NotFound, "no member %q", o.Name)
@@ -235,11 +237,11 @@
 				return nil, apierror.New(apierror.OutOfRange, "%d members would be left: too few", len(members)-1)
 			}
 			change[o.Name] = nil
-			change[HighestIDField] = json.RawMessage(strconv.Itoa(int(highest)))
+			change[protocol.HighestIDField] = json.RawMessage(strconv.Itoa(int(highest)))
 		default:
 			return nil, apierror.New(apierror.OutOfRange, "%q is none of admit, retire and leave", o.Do)
 		}
-		change[PreviousMembersField], _ = json.Marshal(members) // plain structs always encode
+		change[protocol.PreviousMembersField], _ = json.Marshal(members) // plain structs always encode
 		return change, nil
 	})
 	c.logOutcome("members", config.MembersKey, revision, err)
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -6,11 +6,14 @@
 	"github.com/matryer/is"
 
 	"asterridge/apierror"
+	"asterridge/claim"
 	"asterridge/config"
 	"asterridge/golden"
 	"asterridge/gossip"
 	"asterridge/lease"
+	"asterridge/protocol"
 	"asterridge/register"
+	"asterridge/replicaclient"
 	"asterridge/router"
 	"asterridge/throttle"
 	"asterridge/watch"
@@ -19,10 +22,10 @@
 // What daemons of this build say to each other keeps the form that earlier builds read; so do the records that cores store.
 func TestMessagesKeepTheirForm(t *testing.T) {
 	golden.CompareMessages(t, "testdata/messages.txt", []golden.Message{
-		{Name: "POST /core/hello: question and answer", Type: Hello{}},
+		{Name: "POST /core/hello: question and answer", Type: protocol.Hello{}},
 		{Name: "POST /core/pull, /core/whole, /agent/pull: question", Type: watch.Request{}},
 		{Name: "POST /core/pull, /core/whole, /agent/pull: answer", Type: watch.Response{}},
-		{Name: "status of an agent, within the question of its link", Type: AgentStatus{}},
+		{Name: "status of an agent, within the question of its link", Type: protocol.AgentStatus{}},
 		{Name: "status of a proxy, within the question of its link", Type: router.Status{}},
 		{Name: "POST /core/hold, /agent/hold, /op/hold", Type: throttle.Notice{}},
 		{Name: "POST /register/promise, /confirm, /accept, /settle: question", Type: RegisterRequest{}},
@@ -35,7 +38,7 @@
 		{Name: "POST /op/" + config.Key, Type: ConfigChange{}},
 		{Name: "POST /op/keys", Type: AccessKeyChange{}},
 		{Name: "POST /op/replicas", Type: ReplicasChange{}},
-		{Name: "POST /op/claim, /agent/claim", Type: ClaimRequest{}},
+		{Name: "POST /op/claim, /agent/claim", Type: claim.Request{}},
 		{Name: "POST /op/claim: answer", Type: router.Claim{}},
 		{Name: "POST /op/term", Type: LeaseRequest{}},
 		{Name: "POST /op/members", Type: MembershipChange{}},
@@ -50,10 +53,10 @@
 		{Name: "POST /query, /agent/query", Type: Query{}},
 		{Name: "POST /query: answer", Type: QueryResponse{}},
 		{Name: "question for rows of a proxy", Type: router.Query{}},
-		{Name: "report of a replica, with its cache", Type: ReplicaReport{}},
+		{Name: "report of a replica, with its cache", Type: replicaclient.ReplicaReport{}},
 		{Name: "order to a replica with adapters", Type: router.AdapterOrder{}},
 		{Name: "event of an attempt, in the proxy's log", Type: router.Event{}},
-		{Name: "stored: a claim", Type: claimRecord{}},
+		{Name: "stored: a claim", Type: claim.Record{}},
 		{Name: "stored: a grant of a lease", Type: lease.Grant{}},
 		{Name: "stored: a member", Type: config.Member{}},
 		{Name: "stored: a replica", Type: config.Replica{}},
@@ -74,8 +77,8 @@
 // The names under which state is stored and sent stay as they are.
 func TestStoredNamesKeepTheirForm(t *testing.T) {
 	is := is.New(t)
-	is.Equal([]string{IdentityFolder, incarnationFile, founderFile, membershipVersionFile, unresponsiveFile, coresFile}, []string{"self", "incarnation", "founder", "members", "silent", "cores"})
-	is.Equal([]string{PreviousMembersField, HighestIDField, ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
+	is.Equal([]string{protocol.IdentityFolder, incarnationFile, founderFile, membershipVersionFile, unresponsiveFile, coresFile}, []string{"self", "incarnation", "founder", "members", "silent", "cores"})
+	is.Equal([]string{protocol.PreviousMembersField, protocol.HighestIDField, protocol.ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
 	is.Equal([]string{config.Key, config.ModelsKey, config.LoadsKey, config.RetirementKey, config.ReplicasKey, config.MembersKey, config.KeysPrefix},
 		[]string{"blue" + "print", "models", "loads", "retirement", "replicas", "members", "keys/"})
 	is.Equal([]string{router.HoldKey, router.NamedKey, router.ProxiesKey, router.ReportsKey, router.KeptPrefix, router.OccupancyKey},
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -6,6 +6,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/throttle"
 )
@@ -166,13 +167,13 @@
 	}
 	c.host.Log.Info().Str("event", "hold").Str("scope", n.Scope).Str("mark", n.ID).Int64("remaining_ms", n.RemainingMs).Str("reason", n.Reason).Msg("")
 	go func() {
-		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*QuorumTimeout)
+		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), 2*protocol.QuorumTimeout)
 		defer stop()
-		revision, err := c.owner.Change(ctx, ThrottlePrefix+n.Scope, func(register.Fields, uint64) (register.Fields, error) {
+		revision, err := c.owner.Change(ctx, protocol.ThrottlePrefix+n.Scope, func(register.Fields, uint64) (register.Fields, error) {
 			return config.Field("hold", n), nil
 		})
 		if err != nil {
-			c.logOutcome("hold", ThrottlePrefix+n.Scope, revision, err)
+			c.logOutcome("hold", protocol.ThrottlePrefix+n.Scope, revision, err)
 		}
 	}()
 	return struct{}{}, nil
--- a/daemon/query.go
+++ b/daemon/query.go
@@ -10,6 +10,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/rpc"
@@ -38,17 +39,17 @@
 // Query answers from this core's own state, or asks all proxies through their agents.
 func (c *Core) Query(ctx context.Context, q Query) (QueryResponse, error) {
 	var a QueryResponse
-	followers := c.agentUpdates.ClientStates(ProxyTimeout)
+	followers := c.agentUpdates.ClientStates(protocol.ProxyTimeout)
 	switch q.Kind {
 	case "holds":
 		for _, n := range c.throttles.All() {
 			a.Rows = append(a.Rows, router.Row{"scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason, router.AttemptColumn: n.Attempt,
-				"raw": n.Raw, "mark": n.ID, "observed": n.Observed, "owner": register.Pick(ThrottlePrefix+n.Scope, c.live())})
+				"raw": n.Raw, "mark": n.ID, "observed": n.Observed, "owner": register.Pick(protocol.ThrottlePrefix+n.Scope, c.live())})
 		}
 	case "acks":
 		version := c.acceptor.Revision(config.Key)
 		for _, s := range followers {
-			var status AgentStatus
+			var status protocol.AgentStatus
 			_ = json.Unmarshal(s.Status, &status)
 			row := router.Row{"agent": s.Name, "behind": s.Lag, "age_ms": s.AgeMs, "current": status.Current, "why": status.NotCurrentReason,
 				config.Key: s.Applied[config.Key].Version, "has_newest": s.Applied[config.Key] == version, "proxy": ""}
@@ -65,7 +66,7 @@
 		for _, m := range c.membership().members {
 			a.Rows = append(a.Rows, router.Row{"id": m.ID, "name": m.Name, "address": m.Address, "zone": m.Zone, "live": live[m.Name], "state": "member"})
 		}
-		if c.acceptor.Read(config.MembersKey).Fields[PreviousMembersField] != nil {
+		if c.acceptor.Read(config.MembersKey).Fields[protocol.PreviousMembersField] != nil {
 			a.Rows = append(a.Rows, router.Row{"name": "(keys are being carried over to this list)", "state": "carrying"})
 		}
 		c.mu.Lock()
@@ -99,7 +100,7 @@
 		}
 	case "fields":
 		for _, key := range c.acceptor.Keys() {
-			if IsPublished(key) {
+			if protocol.IsPublished(key) {
 				record := c.acceptor.Read(key)
 				a.Rows = append(a.Rows, router.FieldRows(c.host.Name, key, record.Revision, record.Fields)...)
 			}
@@ -107,7 +108,7 @@
 	case "backlog", "replicas", "requests", "counts", "proxyholds", "proxyfields":
 		ask := router.Query{What: strings.TrimPrefix(q.Kind, "proxy"), Name: q.Name}
 		for _, s := range followers {
-			var status AgentStatus
+			var status protocol.AgentStatus
 			if json.Unmarshal(s.Status, &status) != nil {
 				continue
 			}
--- a/daemon/retire.go
+++ b/daemon/retire.go
@@ -9,6 +9,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/rpc"
@@ -19,7 +20,7 @@
 const (
 	retirementInterval = 400 * time.Millisecond
 	// drainTime is T + U + W + A: a route switched so long ago leads no request to the old base any more (§3.2).
-	drainTime = FreshLimit + UndecidedLimit + router.SendTime
+	drainTime = protocol.FreshLimit + protocol.UndecidedLimit + router.SendTime
 )
 
 // RetirementChange begins a retirement, or takes one back.
@@ -166,7 +167,7 @@
 
 // newestPlan gives the configuration as of all that was accepted before.
 func (c *Core) newestPlan(ctx context.Context) (*config.Config, error) {
-	short, stop := context.WithTimeout(ctx, QuorumTimeout)
+	short, stop := context.WithTimeout(ctx, protocol.QuorumTimeout)
 	defer stop()
 	newest, err := rpc.Call[CommitResponse](short, c.rpc, c.host.Address, "/op/settle", CommitRequest{Key: config.Key})
 	if err != nil {
--- a/daemon/retirer.go
+++ b/daemon/retirer.go
@@ -10,6 +10,7 @@
 	"asterridge/config"
 	"asterridge/lease"
 	"asterridge/register"
+	"asterridge/replicaclient"
 	"asterridge/router"
 	"asterridge/rpc"
 )
@@ -151,7 +152,7 @@
 		return
 	}
 	o.Lease = number
-	err := PostOrder(ctx, r.core.replicaClient, replica.Address+router.AdapterPath, o)
+	err := replicaclient.PostOrder(ctx, r.core.replicaClient, replica.Address+router.AdapterPath, o)
 	r.core.host.Log.Info().Str("event", "adapter_order").Str("replica", replica.Name).Str("do", o.Do).Str("base", o.Base).Str("adapter", o.Adapter).
 		Str("build", o.Build).Uint64("lease", number).AnErr("failure", err).Msg("")
 }
--- a/daemon/silence.go
+++ b/daemon/silence.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"asterridge/config"
+	"asterridge/membership"
+	"asterridge/protocol"
 )
 
 const (
@@ -83,7 +85,7 @@
 // replaces another in order comes first.
 func (s *livenessTracker) isReplaced(m config.Member, members []config.Member) bool {
 	return slices.ContainsFunc(members, func(newer config.Member) bool {
-		return newer.ID > m.ID && newer.Zone == m.Zone && s.unresponsiveFor(newer) < LivenessTimeout && s.members[newer.Name].listedFor <= s.unresponsiveFor(m)+replacementTimeout
+		return newer.ID > m.ID && newer.Zone == m.Zone && s.unresponsiveFor(newer) < protocol.LivenessTimeout && s.members[newer.Name].listedFor <= s.unresponsiveFor(m)+replacementTimeout
 	})
 }
 
@@ -100,7 +102,7 @@
 
 // observeLiveness observes the members at each beat.
 func (c *Core) observeLiveness(members []config.Member) {
-	hasMajority := len(c.live()) >= Majority(len(members))
+	hasMajority := len(c.live()) >= membership.Majority(len(members))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.liveness.observe(time.Now(), members, func(m config.Member) time.Time {
@@ -125,14 +127,14 @@
 	c.mu.Lock()
 	raw, _ := json.Marshal(c.liveness.recorded) // a map of strings always encodes
 	c.mu.Unlock()
-	if err := c.disk.Put(IdentityFolder, unresponsiveFile, raw); err != nil {
+	if err := c.disk.Put(protocol.IdentityFolder, unresponsiveFile, raw); err != nil {
 		c.host.Log.Warn().Str("event", "silence_not_noted").Err(err).Msg("")
 	}
 }
 
 // loadUnresponsive reads who was silent before this life. Without the note, or with a torn one, the count begins at zero.
 func (c *Core) loadUnresponsive() {
-	raw, err := c.disk.Get(IdentityFolder, unresponsiveFile)
+	raw, err := c.disk.Get(protocol.IdentityFolder, unresponsiveFile)
 	if err == nil {
 		err = json.Unmarshal(raw, &c.liveness.recorded)
 	}
--- a/daemon/survey.go
+++ b/daemon/survey.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"asterridge/config"
+	"asterridge/replicaclient"
 	"asterridge/router"
 )
 
@@ -48,9 +49,9 @@
 		}
 		s.pools[replica.Pool] = append(s.pools[replica.Pool], name)
 		asked.Go(func() {
-			short, stop := context.WithTimeout(ctx, ReportTimeout)
+			short, stop := context.WithTimeout(ctx, replicaclient.ReportTimeout)
 			defer stop()
-			body, err := GetReport(short, c.replicaClient, router.ChatDialect{}, replica, router.Report{})
+			body, err := replicaclient.GetReport(short, c.replicaClient, router.ChatDialect{}, replica, router.Report{})
 			if err == nil {
 				mu.Lock()
 				s.reports[name] = body.Report
--- a/daemon/tolerance_test.go
+++ b/daemon/tolerance_test.go
@@ -7,6 +7,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/config"
+	"asterridge/membership"
 )
 
 // What may be lost at once: machines, or the largest zones, or the largest regions, whichever is more of the members.
@@ -17,21 +18,21 @@
 		members = append(members, config.Member{Zone: zone})
 	}
 	regions := map[string]string{"a": "north", "b": "south", "c": "south", "d": "south"}
-	is.Equal(Tolerance{}.Losses(members), 0)
-	is.Equal(Tolerance{Machines: 2}.Losses(members), 2)
-	is.Equal(Tolerance{Machines: 2, Zones: 1}.Losses(members), 3)
-	is.Equal(Tolerance{Zones: 2}.Losses(members), 5)
-	is.Equal(Tolerance{Zones: 9}.Losses(members), 7)
-	is.Equal(Tolerance{Regions: 1, RegionOf: regions}.Losses(members), 4)
-	is.Equal(Tolerance{Regions: 1}.Losses(members), 0)
+	is.Equal(membership.Tolerance{}.Losses(members), 0)
+	is.Equal(membership.Tolerance{Machines: 2}.Losses(members), 2)
+	is.Equal(membership.Tolerance{Machines: 2, Zones: 1}.Losses(members), 3)
+	is.Equal(membership.Tolerance{Zones: 2}.Losses(members), 5)
+	is.Equal(membership.Tolerance{Zones: 9}.Losses(members), 7)
+	is.Equal(membership.Tolerance{Regions: 1, RegionOf: regions}.Losses(members), 4)
+	is.Equal(membership.Tolerance{Regions: 1}.Losses(members), 0)
 }
 
 // How many more members may go: an odd list bears as many as the even one that is larger by one.
 func TestSpareMembers(t *testing.T) {
 	is := is.New(t)
 	for members, spare := range map[int]int{1: 0, 2: 0, 3: 1, 4: 1, 5: 2, 7: 3, 8: 3, 9: 4} {
-		is.Equal(SpareLosses(members, 0), spare)
-		is.Equal(SpareLosses(members, 1), spare-1)
+		is.Equal(membership.SpareLosses(members, 0), spare)
+		is.Equal(membership.SpareLosses(members, 1), spare-1)
 	}
 }
 
--- a/daemon/tolerance.go
+++ b/membership/tolerance.go
@@ -1,4 +1,4 @@
-package daemon
+package membership
 
 import (
 	"slices"
--- a/daemon/agent_status.go
+++ b/protocol/agent_status.go
@@ -1,4 +1,4 @@
-package daemon
+package protocol
 
 import "asterridge/router"
 
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -12,6 +12,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/apierror"
+	"asterridge/claim"
 	"asterridge/config"
 	"asterridge/daemon"
 	"asterridge/register"
@@ -210,7 +211,7 @@
 	o.ClaimAge = 20 * time.Second
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		claim := func(nonce, state string) error {
-			_, err := f.Order(0, "claim", daemon.ClaimRequest{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "p"})
+			_, err := f.Order(0, "claim", claim.Request{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "p"})
 			return err
 		}
 		is.NoErr(claim("one", "running"))
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -17,6 +17,7 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/daemon"
+	"asterridge/membership"
 	"asterridge/register"
 )
 
@@ -26,7 +27,7 @@
 	o.Cores, o.Replicas, o.Proxies = cores, 0, 2
 	o.Founders = []string{At(CoreIP(0)), At(CoreIP(1)), At(CoreIP(2))}
 	o.Core = daemon.CoreOptions{AutoMembership: true, Lease: 700 * time.Millisecond, WatchWait: 200 * time.Millisecond,
-		Tolerance: daemon.Tolerance{Machines: 1}}
+		Tolerance: membership.Tolerance{Machines: 1}}
 	return o
 }
 
--- a/sim/replacement_test.go
+++ b/sim/replacement_test.go
@@ -13,6 +13,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/daemon"
+	"asterridge/membership"
 )
 
 // replaceable is a fleet of some cores that bears some losses; machines beyond the first ones stand in the zones of those that they replace.
@@ -34,7 +35,7 @@
 	}
 	o := numberedOptions(seed, cores)
 	o.Proxies = 0
-	o.Core.Tolerance = daemon.Tolerance{Machines: losses}
+	o.Core.Tolerance = membership.Tolerance{Machines: losses}
 	o.PlaceCore = func(i int, p *daemon.Host) {
 		if i < cores && f.number == 0 {
 			return
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -19,6 +19,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/apierror"
+	"asterridge/claim"
 	"asterridge/config"
 	"asterridge/daemon"
 	"asterridge/fake"
@@ -264,7 +265,7 @@
 	t.Parallel()
 	inBubble(t, options(310), func(is *is.I, f *Fleet) {
 		claim := func(core int, key, nonce, state string) string {
-			o := daemon.ClaimRequest{Claim: router.Claim{Tenant: "a", Key: key, Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
+			o := claim.Request{Claim: router.Claim{Tenant: "a", Key: key, Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
 			_, err := rpc.Call[struct{}](context.Background(), f.Wire, At(CoreIP(core)), "/op/claim", o)
 			if err == nil {
 				return "yes"
@@ -292,7 +293,7 @@
 	o.ClaimAge = 20 * time.Second
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		claim := func(nonce, state string) error {
-			o := daemon.ClaimRequest{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
+			o := claim.Request{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
 			_, err := rpc.Call[struct{}](context.Background(), f.Wire, At(CoreIP(0)), "/op/claim", o)
 			return err
 		}
