--- a/daemon/agent.go
+++ b/agent/agent.go
@@ -1,4 +1,4 @@
-package daemon
+package agent
 
 import (
 	"context"
@@ -10,6 +10,7 @@
 	"time"
 
 	"asterridge/config"
+	"asterridge/daemon"
 	"asterridge/disk"
 	"asterridge/gossip"
 	"asterridge/protocol"
@@ -28,7 +29,7 @@
 
 // Agent keeps the links to the cores and feeds the proxy beside it.
 type Agent struct {
-	host          Host
+	host          daemon.Host
 	options       AgentOptions
 	dialect       router.Dialect
 	rpc           *rpc.Client
@@ -66,7 +67,7 @@
 }
 
 // NewAgent makes an agent. On its disk, if it has one, it keeps where the cores are.
-func NewAgent(host Host, d disk.Disk, options AgentOptions) *Agent {
+func NewAgent(host daemon.Host, d disk.Disk, options AgentOptions) *Agent {
 	if options.Dialect == nil {
 		options.Dialect = router.ChatDialect{}
 	}
@@ -86,7 +87,7 @@
 		cores:         map[string]*watch.Client{}, applied: map[string]register.Revision{}, undecided: map[string]undecidedVersion{},
 		notCurrentReason: "no core found yet", proxies: register.Fields{}, unresponsive: map[string]bool{}, cacheReaders: map[string]string{}, stopPolling: map[string]context.CancelFunc{}, polled: map[string]config.Replica{},
 	}
-	a.detector = NewDetector(host, "agent", a.rpc)
+	a.detector = daemon.NewDetector(host, "agent", a.rpc)
 	a.proxyUpdates = watch.NewServer(watch.ServerOptions{ValidFor: a.remaining})
 	a.throttles = throttle.NewTable(func(e throttle.Entry) {
 		raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
@@ -109,18 +110,18 @@
 	mux.Handle("POST /agent/hold", rpc.Handler(fleet, a.forwardThrottle))
 	mux.Handle("POST /agent/claim", rpc.Handler(fleet, a.forwardClaim))
 	outer := http.NewServeMux()
-	HandleGossip(outer, fleet, a.detector)
-	HandleMetrics(outer, a.gauges)
+	daemon.HandleGossip(outer, fleet, a.detector)
+	daemon.HandleMetrics(outer, a.gauges)
 	outer.Handle("POST /agent/query", rpc.Handler(fleet, a.handleQuery))
 	outer.Handle("POST /core/hello", rpc.Handler(fleet, a.handleHello))
 	rpc.HandleReady(outer, func() bool { return a.remaining() > 0 })
-	go Every(ctx, protocol.HelloInterval, func() { a.discoverCores(ctx) })
-	go Every(ctx, CacheReaderInterval, a.switchCacheReaders)
+	go daemon.Every(ctx, protocol.HelloInterval, func() { a.discoverCores(ctx) })
+	go daemon.Every(ctx, protocol.CacheReaderInterval, a.switchCacheReaders)
 	go a.detector.Run(ctx)
-	go Every(ctx, time.Minute, func() { a.throttles.Prune(time.Hour) })
-	go func() { _ = Serve(ctx, listener, outer, time.Second) }()
+	go daemon.Every(ctx, time.Minute, func() { a.throttles.Prune(time.Hour) })
+	go func() { _ = daemon.Serve(ctx, listener, outer, time.Second) }()
 	a.host.Log.Info().Str("event", "agent_up").Str("address", a.host.Address).Msg("")
-	return Serve(ctx, local, mux, time.Second)
+	return daemon.Serve(ctx, local, mux, time.Second)
 }
 
 // awaitProxyStop goes on beside a proxy that is stopping, so that it stays current until its last request is answered.
--- a/daemon/agent_reports.go
+++ b/agent/agent_reports.go
@@ -1,10 +1,11 @@
-package daemon
+package agent
 
 import (
 	"context"
 	"encoding/json"
 
 	"asterridge/config"
+	"asterridge/daemon"
 	"asterridge/register"
 	"asterridge/replicaclient"
 	"asterridge/router"
@@ -69,5 +70,5 @@
 		last = body.Report
 	}
 	step()
-	Every(ctx, reportInterval, step)
+	daemon.Every(ctx, reportInterval, step)
 }
--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -4,6 +4,7 @@
 import (
 	"context"
 
+	"asterridge/agent"
 	"asterridge/daemon"
 	"asterridge/disk"
 )
@@ -30,6 +31,6 @@
 		if err != nil {
 			return err
 		}
-		return daemon.NewAgent(s.Host, kept, daemon.AgentOptions{}).Serve(ctx, inner, outer)
+		return agent.NewAgent(s.Host, kept, agent.AgentOptions{}).Serve(ctx, inner, outer)
 	})
 }
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -19,8 +19,10 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
+	"asterridge/agent"
 	"asterridge/config"
 	"asterridge/daemon"
+	"asterridge/deployment"
 	"asterridge/disk"
 	"asterridge/router"
 	"asterridge/rpc"
@@ -288,7 +290,7 @@
 func (toldDialect) ReportPath() string { return "" }
 
 // platformBounds are such as the users' deployments have.
-var platformBounds = daemon.Bounds{RevocationClosed: true, KeyRevocation: 5 * time.Second, ConfigApply: 12 * time.Second, ModelVersion: 20 * time.Second, Lease: 3 * time.Second,
+var platformBounds = deployment.Bounds{RevocationClosed: true, KeyRevocation: 5 * time.Second, ConfigApply: 12 * time.Second, ModelVersion: 20 * time.Second, Lease: 3 * time.Second,
 	Drain: 3 * time.Second, Grace: 5 * time.Second, GossipInterval: 1200 * time.Millisecond, MemoryMB: 64}
 
 func (c *child) startAgents() (s started, err error) {
@@ -301,12 +303,12 @@
 		if err != nil {
 			return s, err
 		}
-		options := daemon.AgentOptions{}
+		options := agent.AgentOptions{}
 		if c.setup.Platform {
 			options = platformBounds.Agent()
 			options.Dialect, options.Grace = toldDialect{}, 0
 		}
-		agent := daemon.NewAgent(c.place("agent", i, zones, outer.Addr().String()), nil, options)
+		agent := agent.NewAgent(c.place("agent", i, zones, outer.Addr().String()), nil, options)
 		c.all.Go(func() { _ = agent.Serve(c.ctx, local, outer) })
 		s.Addresses, s.Locals = append(s.Addresses, outer.Addr().String()), append(s.Locals, local.Addr().String())
 	}
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"asterridge/daemon"
+	"asterridge/proxy"
 )
 
 func main() {
@@ -25,7 +26,7 @@
 		if err != nil {
 			return err
 		}
-		proxy := daemon.NewProxy(s.Host, daemon.ProxyOptions{
+		proxy := proxy.NewProxy(s.Host, proxy.ProxyOptions{
 			Agent: *agent, Admin: *admin, Grace: time.Duration(*grace) * time.Millisecond, Seed: uint64(time.Now().UnixNano()), PrefixIndexSize: *index, BodyMemory: int64(*room) << 20,
 		})
 		return proxy.Serve(ctx, callers, queries)
--- a/daemon/kept.go
+++ b/daemon/kept.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"asterridge/config"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/rpc"
@@ -16,10 +17,9 @@
 )
 
 const (
-	CacheReaderInterval = 500 * time.Millisecond
-	cacheWatchWait      = time.Second
-	cacheUpdateDelay    = 250 * time.Millisecond // news that come close together are told together
-	maxReadFailures     = 2                      // failures in a row after which a source counts as gone
+	cacheWatchWait   = time.Second
+	cacheUpdateDelay = 250 * time.Millisecond // news that come close together are told together
+	maxReadFailures  = 2                      // failures in a row after which a source counts as gone
 )
 
 // runCacheReaders has one core read each source's news of kept prompts: the one that would own the source's key (§6.4). What it has read is
@@ -27,7 +27,7 @@
 func (c *Core) runCacheReaders(ctx context.Context) {
 	reading := map[string]context.CancelFunc{}
 	var assigned map[string]string // at the step before: a core that is being cut off misses the others one after another, and draws more for a moment
-	Every(ctx, CacheReaderInterval, func() {
+	Every(ctx, protocol.CacheReaderInterval, func() {
 		if c.membership().self != nil && !c.hasQuorum() {
 			return // agents may hear this core as before: it reads on what it has read, and nothing else
 		}
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -72,7 +72,7 @@
 	members, prior, _ := protocol.ReadMembers(record.Fields)
 	now := committedMembership{version: record.Revision.Version, members: members}
 	if record.IsCommitted() {
-		now.record = &protocol.MembersRecord{record.Revision, record.Fields}
+		now.record = &protocol.MembersRecord{Revision: record.Revision, Fields: record.Fields}
 	} else {
 		raw, _ := c.disk.Get(protocol.IdentityFolder, membershipVersionFile) // none, or a torn one: no list is known to be settled
 		if settled, _ := strconv.ParseUint(string(raw), 10, 64); settled < now.version {
--- a/daemon/bounds.go
+++ b/deployment/bounds.go
@@ -1,10 +1,13 @@
-package daemon
+package deployment
 
 import (
 	"time"
 
+	"asterridge/agent"
+	"asterridge/daemon"
 	"asterridge/membership"
 	"asterridge/protocol"
+	"asterridge/proxy"
 )
 
 // Bounds are what a deployment promises to its users; the daemons' own limits follow from them (§3.2, §6.2).
@@ -41,13 +44,13 @@
 }
 
 // Agent gives the agent's options.
-func (b Bounds) Agent() AgentOptions {
-	return AgentOptions{FreshLimit: b.maxStaleness(), UndecidedLimit: b.maxStaleness(), WatchWait: watchWait, Grace: max(0, b.Grace-time.Second)}
+func (b Bounds) Agent() agent.AgentOptions {
+	return agent.AgentOptions{FreshLimit: b.maxStaleness(), UndecidedLimit: b.maxStaleness(), WatchWait: watchWait, Grace: max(0, b.Grace-time.Second)}
 }
 
 // Proxy gives the proxy's options.
-func (b Bounds) Proxy() ProxyOptions {
-	return ProxyOptions{
+func (b Bounds) Proxy() proxy.ProxyOptions {
+	return proxy.ProxyOptions{
 		Grace: max(0, b.Grace-2*time.Second), ReadinessLinger: min(readinessLinger, b.Grace/3), OldWeightsLimit: max(b.ModelVersion/2, b.ModelVersion-modelVersionMargin),
 		RetryRatio: b.RetryRatio, RetrySlack: b.RetrySlack, AgentWatchWait: watchWait, PrefixIndexSize: b.MemoryMB * indexEntriesPerMB, BodyMemory: int64(b.MemoryMB) << 20 / bodyMemoryShare,
 	}
@@ -57,9 +60,9 @@
 const readinessLinger = 2200 * time.Millisecond
 
 // Core gives the core's options.
-func (b Bounds) Core() CoreOptions {
-	return CoreOptions{
+func (b Bounds) Core() daemon.CoreOptions {
+	return daemon.CoreOptions{
 		ClaimRetention: time.Hour, AutoMembership: true, Lease: b.Lease, WatchWait: 200 * time.Millisecond,
-		Tolerance: b.Tolerance, LeaveTimeout: min(MaxLeaveTimeout, b.Grace/2),
+		Tolerance: b.Tolerance, LeaveTimeout: min(daemon.MaxLeaveTimeout, b.Grace/2),
 	}
 }
--- a/protocol/timing.go
+++ b/protocol/timing.go
@@ -18,4 +18,6 @@
 	DefaultWatchWait = 100 * time.Millisecond
 	// HelloInterval is the time between two attempts to find the members.
 	HelloInterval = 200 * time.Millisecond
+	// CacheReaderInterval is the time between two looks at which core reads which replica's cache updates.
+	CacheReaderInterval = 500 * time.Millisecond
 )
--- a/daemon/proxy.go
+++ b/proxy/proxy.go
@@ -1,4 +1,4 @@
-package daemon
+package proxy
 
 import (
 	"context"
@@ -6,6 +6,7 @@
 	"net/http"
 	"time"
 
+	"asterridge/daemon"
 	"asterridge/router"
 	"asterridge/rpc"
 )
@@ -13,7 +14,7 @@
 // Proxy is the thin daemon over the router library.
 type Proxy struct {
 	Router  *router.Router
-	host    Host
+	host    daemon.Host
 	options ProxyOptions
 }
 
@@ -38,7 +39,7 @@
 }
 
 // NewProxy makes a proxy.
-func NewProxy(host Host, options ProxyOptions) *Proxy {
+func NewProxy(host daemon.Host, options ProxyOptions) *Proxy {
 	if options.HeaderTimeout == 0 {
 		options.HeaderTimeout = defaultHeaderTimeout
 	}
@@ -59,8 +60,8 @@
 	go p.Router.Run(running)
 	mux := http.NewServeMux()
 	mux.Handle("/", p.Router.Admin())
-	HandleMetrics(mux, proxyGauges(p.Router))
-	go func() { _ = Serve(running, admin, mux, time.Second) }()
+	daemon.HandleMetrics(mux, proxyGauges(p.Router))
+	go func() { _ = daemon.Serve(running, admin, mux, time.Second) }()
 	server := newServer(p.Router.Handler(), func() connectionTimeouts { return effectiveTimeouts(p.Router.Limits(), p.options) })
 	failed := make(chan error, 1)
 	watched := timeoutListener{router.Watch(server, callers)}
