--- a/agent/agent.go
+++ b/agent/agent.go
@@ -30,7 +30,7 @@
 // Agent keeps the links to the cores and feeds the proxy beside it.
 type Agent struct {
 	host          daemon.Host
-	options       AgentOptions
+	options       Options
 	dialect       router.Dialect
 	rpc           *rpc.Client
 	replicaClient *http.Client
@@ -57,8 +57,8 @@
 	polled           map[string]config.Replica
 }
 
-// AgentOptions of an agent; what is zero has its usual value.
-type AgentOptions struct {
+// Options of an agent; what is zero has its usual value.
+type Options struct {
 	Dialect        router.Dialect
 	FreshLimit     time.Duration // T
 	UndecidedLimit time.Duration // U
@@ -66,8 +66,8 @@
 	Grace          time.Duration // how long it goes on beside a proxy that has yet to stop
 }
 
-// NewAgent makes an agent. On its disk, if it has one, it keeps where the cores are.
-func NewAgent(host daemon.Host, d disk.Disk, options AgentOptions) *Agent {
+// New makes an agent. On its disk, if it has one, it keeps where the cores are.
+func New(host daemon.Host, d disk.Disk, options Options) *Agent {
 	if options.Dialect == nil {
 		options.Dialect = router.ChatDialect{}
 	}
--- a/agent/agent_cache_test.go
+++ b/agent/agent_cache_test.go
@@ -17,7 +17,7 @@
 // A core whose answer was long on its way still counts as the reader of its sources, though all are silent by their last answers (§6.4).
 func TestNewsOfKeptPromptsCountHoweverLongTheyTook(t *testing.T) {
 	is := is.New(t)
-	a := NewAgent(daemon.Host{Name: "agent-1", Net: &rpc.TCP{}, Log: zerolog.Nop()}, nil, AgentOptions{})
+	a := New(daemon.Host{Name: "agent-1", Net: &rpc.TCP{}, Log: zerolog.Nop()}, nil, Options{})
 	for _, name := range []string{"core-1", "core-2", "core-3", "core-4"} {
 		a.members = append(a.members, config.Member{Name: name, Address: name})
 		a.cores[name] = watch.NewClient(watch.ClientOptions{Address: name}) // its asks were never answered, or long ago
--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -31,6 +31,6 @@
 		if err != nil {
 			return err
 		}
-		return agent.NewAgent(s.Host, kept, agent.AgentOptions{}).Serve(ctx, inner, outer)
+		return agent.New(s.Host, kept, agent.Options{}).Serve(ctx, inner, outer)
 	})
 }
--- a/cmd/core/main.go
+++ b/cmd/core/main.go
@@ -5,6 +5,7 @@
 	"context"
 	"time"
 
+	"asterridge/controlplane"
 	"asterridge/daemon"
 	"asterridge/disk"
 )
@@ -19,7 +20,7 @@
 		if err != nil {
 			return err
 		}
-		core, err := daemon.NewCore(s.Host, folder, daemon.CoreOptions{ClaimRetention: time.Duration(*age) * time.Second})
+		core, err := controlplane.New(s.Host, folder, controlplane.Options{ClaimRetention: time.Duration(*age) * time.Second})
 		if err != nil {
 			return err
 		}
--- a/cmd/fleet/chaos.go
+++ b/cmd/fleet/chaos.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 )
 
 // chaos brings faults about, drawn from the seed.
@@ -82,12 +82,12 @@
 func (c *chaos) say(name, state string) {
 	pool, _, _ := strings.Cut(name, "-")
 	c.orders.Wait()
-	c.tell("replicas", daemon.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[{"name":%q,"address":%q,"pool":%q,"zone":"zone-1","limit":8,"state":%q}]}`,
+	c.tell("replicas", controlplane.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[{"name":%q,"address":%q,"pool":%q,"zone":"zone-1","limit":8,"state":%q}]}`,
 		name, c.replicas[name], pool, state)})
 }
 
 func (c *chaos) partial(format string, args ...any) {
-	c.tell(config.Key, daemon.ConfigChange{Partial: true, Text: fmt.Appendf(nil, format, args...)})
+	c.tell(config.Key, controlplane.ConfigChange{Partial: true, Text: fmt.Appendf(nil, format, args...)})
 }
 
 // wipe loses a core's disk and starts the core anew, as a joiner.
@@ -119,7 +119,7 @@
 // try orders a change of the members under whatever faults there are; what does not come about is made good at the end.
 func (c *chaos) try(do, name string) {
 	for range 6 {
-		if _, err := c.order(c.ctx, "members", daemon.MembershipChange{Do: do, Name: name}); err == nil {
+		if _, err := c.order(c.ctx, "members", controlplane.MembershipChange{Do: do, Name: name}); err == nil {
 			return
 		}
 		after(c.ctx, 500*time.Millisecond)
--- a/cmd/fleet/faults.go
+++ b/cmd/fleet/faults.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 	"asterridge/router"
 )
@@ -87,7 +87,7 @@
 	{"wipe", "a core's disk is lost in the instant after a yes", true, func(c *chaos) (func() error, error) {
 		i := c.core()
 		text := fmt.Appendf(nil, `{"tenants":[{"name":%q,"weight":%d}]}`, c.tenant(), 1+c.random.IntN(9))
-		_, _ = c.order(c.ctx, config.Key, daemon.ConfigChange{Partial: true, Text: text}) // asked of the cores in turn: the first says yes
+		_, _ = c.order(c.ctx, config.Key, controlplane.ConfigChange{Partial: true, Text: text}) // asked of the cores in turn: the first says yes
 		return nothing, c.wipe(i)
 	}},
 	{"torn", "a core's newest file of the configuration is torn", true, func(c *chaos) (func() error, error) {
@@ -213,8 +213,8 @@
 	{"revoke-spare", "a tenant's second key is revoked", false, func(c *chaos) (func() error, error) {
 		tenant := c.tenant()
 		c.spared++
-		c.tell("keys", daemon.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(c.spare(tenant)), Revoked: true})
-		c.tell("keys", daemon.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(fmt.Sprint(tenant, c.spared))})
+		c.tell("keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(c.spare(tenant)), Revoked: true})
+		c.tell("keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(fmt.Sprint(tenant, c.spared))})
 		return nothing, nil
 	}},
 	{"leave", "a replica leaves and comes back", false, func(c *chaos) (func() error, error) {
@@ -270,7 +270,7 @@
 			name, _ := row["name"].(string)
 			member := row["state"] == "member"
 			if member && (joiners[name] || row["live"] != true) {
-				_, _ = f.order(ctx, "members", daemon.MembershipChange{Do: "retire", Name: name})
+				_, _ = f.order(ctx, "members", controlplane.MembershipChange{Do: "retire", Name: name})
 				return false
 			}
 			if member {
@@ -279,7 +279,7 @@
 		}
 		for name := range joiners {
 			if joiners[name] && count < 4 {
-				_, _ = f.order(ctx, "members", daemon.MembershipChange{Do: "admit", Name: name.(string)})
+				_, _ = f.order(ctx, "members", controlplane.MembershipChange{Do: "admit", Name: name.(string)})
 				return false
 			}
 		}
--- a/cmd/fleet/fleet.go
+++ b/cmd/fleet/fleet.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 	"asterridge/rpc"
 )
@@ -184,11 +184,11 @@
 	if err != nil {
 		return err
 	}
-	if _, err := f.order(ctx, config.Key, daemon.ConfigChange{Text: text}); err != nil {
+	if _, err := f.order(ctx, config.Key, controlplane.ConfigChange{Text: text}); err != nil {
 		return err
 	}
 	if f.options.observe {
-		if _, err := f.order(ctx, config.Key, daemon.ConfigChange{Text: []byte(`{"hold":{"observe":true}}`), Partial: true}); err != nil {
+		if _, err := f.order(ctx, config.Key, controlplane.ConfigChange{Text: []byte(`{"hold":{"observe":true}}`), Partial: true}); err != nil {
 			return err
 		}
 	}
@@ -206,7 +206,7 @@
 		f.keys = append(f.keys, fake.Caller{Tenant: name, Access: f.spare(name), Weight: 1})
 	}
 	for _, c := range f.keys {
-		if _, err := f.order(ctx, "keys", daemon.AccessKeyChange{Tenant: c.Tenant, Hash: config.HashKey(c.Access)}); err != nil {
+		if _, err := f.order(ctx, "keys", controlplane.AccessKeyChange{Tenant: c.Tenant, Hash: config.HashKey(c.Access)}); err != nil {
 			return err
 		}
 	}
--- a/cmd/fleet/orders.go
+++ b/cmd/fleet/orders.go
@@ -9,18 +9,18 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 	"asterridge/router"
 	"asterridge/rpc"
 )
 
 // order sends a change to the first core that takes it, and notes it as a fact where a rule speaks of it.
-func (f *fleet) order(ctx context.Context, name string, q any) (daemon.Accepted, error) {
+func (f *fleet) order(ctx context.Context, name string, q any) (controlplane.Accepted, error) {
 	var last error
 	for _, core := range f.cores {
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
-		a, err := rpc.Call[daemon.Accepted](short, f.wire, core, "/op/"+name, q)
+		a, err := rpc.Call[controlplane.Accepted](short, f.wire, core, "/op/"+name, q)
 		stop()
 		if err == nil || apierror.Of(err).Code.Ran != apierror.NotRun {
 			f.factLog.Order(name, q, a.Version, err != nil)
@@ -30,7 +30,7 @@
 		}
 		last = err
 	}
-	return daemon.Accepted{}, last
+	return controlplane.Accepted{}, last
 }
 
 // query asks the first core that answers.
@@ -47,7 +47,7 @@
 func (f *fleet) ask(core, what string) []router.Row {
 	short, stop := context.WithTimeout(context.Background(), 3*time.Second)
 	defer stop()
-	a, _ := rpc.Call[daemon.QueryResponse](short, f.wire, core, "/query", daemon.Query{Kind: what})
+	a, _ := rpc.Call[controlplane.QueryResponse](short, f.wire, core, "/query", controlplane.Query{Kind: what})
 	return a.Rows
 }
 
--- a/cmd/fleet/retire.go
+++ b/cmd/fleet/retire.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 )
 
@@ -67,7 +67,7 @@
 }
 
 func move(ctx context.Context, f *fleet, disturb func(w *retirementWatcher) error) error {
-	if _, err := f.order(ctx, config.Key, daemon.ConfigChange{Text: []byte(adapters), Partial: true}); err != nil {
+	if _, err := f.order(ctx, config.Key, controlplane.ConfigChange{Text: []byte(adapters), Partial: true}); err != nil {
 		return err
 	}
 	w := &retirementWatcher{fleet: f, began: time.Now(), shown: map[string]string{}}
@@ -87,7 +87,7 @@
 		}
 	})
 	after(ctx, 3*time.Second)
-	if _, err := f.order(ctx, "retirement", daemon.RetirementChange{Do: "retire", Old: "ridge-1", New: "ridge-2"}); err != nil {
+	if _, err := f.order(ctx, "retirement", controlplane.RetirementChange{Do: "retire", Old: "ridge-1", New: "ridge-2"}); err != nil {
 		return err
 	}
 	w.say("retire model ridge-1 for ridge-2: accepted")
--- a/cmd/fleet/scripts.go
+++ b/cmd/fleet/scripts.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 )
 
@@ -92,7 +92,7 @@
 			what = "a small change upon it"
 		}
 		began := time.Now()
-		a, err := f.order(ctx, config.Key, daemon.ConfigChange{Text: text, Partial: true})
+		a, err := f.order(ctx, config.Key, controlplane.ConfigChange{Text: text, Partial: true})
 		if err != nil {
 			return err
 		}
@@ -109,10 +109,10 @@
 func (f *fleet) change(ctx context.Context, what string, weight int) error {
 	began := time.Now()
 	text := fmt.Appendf(nil, `{"tenants":[{"name":%q,"weight":%d}]}`, f.keys[0].Tenant, weight)
-	var a daemon.Accepted
+	var a controlplane.Accepted
 	err := eventually(ctx, 12*time.Second, "a change is accepted "+what, func() (so bool) {
 		var err error
-		a, err = f.order(ctx, config.Key, daemon.ConfigChange{Text: text, Partial: true})
+		a, err = f.order(ctx, config.Key, controlplane.ConfigChange{Text: text, Partial: true})
 		return err == nil
 	})
 	if err != nil {
@@ -131,7 +131,7 @@
 	began := time.Now()
 	for _, pool := range []string{"quick", "deep"} {
 		text := fmt.Appendf(nil, `{"pools":[{"name":%q,"weights":"w2"}]}`, pool)
-		if _, err := f.order(ctx, config.Key, daemon.ConfigChange{Text: text, Partial: true}); err != nil {
+		if _, err := f.order(ctx, config.Key, controlplane.ConfigChange{Text: text, Partial: true}); err != nil {
 			return err
 		}
 	}
@@ -153,10 +153,10 @@
 func revoke(ctx context.Context, f *fleet) error {
 	after(ctx, 3*time.Second)
 	victim := f.keys[1]
-	if _, err := f.order(ctx, "keys", daemon.AccessKeyChange{Tenant: victim.Tenant, Hash: config.HashKey(victim.Access), Revoked: true}); err != nil {
+	if _, err := f.order(ctx, "keys", controlplane.AccessKeyChange{Tenant: victim.Tenant, Hash: config.HashKey(victim.Access), Revoked: true}); err != nil {
 		return err
 	}
-	if _, err := f.order(ctx, "replicas", daemon.ReplicasChange{Text: []byte(`{"replicas":[{"name":"deep-1","state":"leaving"}]}`)}); err != nil {
+	if _, err := f.order(ctx, "replicas", controlplane.ReplicasChange{Text: []byte(`{"replicas":[{"name":"deep-1","state":"leaving"}]}`)}); err != nil {
 		return err
 	}
 	return nil
@@ -212,7 +212,7 @@
 		text := fmt.Appendf(nil, `{"tenants":[{"name":%q,"weight":%d}]}`, f.keys[0].Tenant, 30+i)
 		began := time.Now()
 		err := eventually(ctx, 12*time.Second, "a change is accepted with "+name+" frozen", func() bool {
-			_, err := f.order(ctx, config.Key, daemon.ConfigChange{Text: text, Partial: true})
+			_, err := f.order(ctx, config.Key, controlplane.ConfigChange{Text: text, Partial: true})
 			return err == nil
 		})
 		f.note("%s frozen: a change accepted after %d ms", name, time.Since(began).Milliseconds())
@@ -249,7 +249,7 @@
 	began := time.Now()
 	for _, do := range []string{"retire", "admit"} {
 		err := eventually(ctx, 20*time.Second, do+" core-3", func() bool {
-			_, err := f.order(ctx, "members", daemon.MembershipChange{Do: do, Name: "core-3"})
+			_, err := f.order(ctx, "members", controlplane.MembershipChange{Do: do, Name: "core-3"})
 			return err == nil
 		})
 		if err != nil {
--- a/cmd/hollow/backend.go
+++ b/cmd/hollow/backend.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/router"
 	"asterridge/rpc"
 )
@@ -57,22 +57,22 @@
 }
 
 // Load does nothing.
-func (b *hollowBackend) Load(context.Context, config.Replica, daemon.Order) error { return nil }
+func (b *hollowBackend) Load(context.Context, config.Replica, controlplane.Order) error { return nil }
 
 // CachedBlocks gives all that is kept at first, and then as many events as the rate has it: half of them blocks got, half dropped.
-func (b *hollowBackend) CachedBlocks(ctx context.Context, address string, from daemon.CacheOffset, wait time.Duration) (daemon.CacheUpdate, error) {
+func (b *hollowBackend) CachedBlocks(ctx context.Context, address string, from controlplane.CacheOffset, wait time.Duration) (controlplane.CacheUpdate, error) {
 	key := func(n int) string { return fmt.Sprintf("common@1/%s/%016x", address[6:], uint64(n)*0x9e3779b97f4a7c15) }
 	b.mu.Lock()
-	k, first := b.news[address], from == daemon.CacheOffset{}
+	k, first := b.news[address], from == controlplane.CacheOffset{}
 	if k == nil {
 		k = &keptNews{next: b.setup.Blocks / b.setup.Replicas, at: time.Now()}
 		b.news[address] = k
 	}
 	b.mu.Unlock()
-	news := daemon.CacheUpdate{Blocks: map[string]int{}, Snapshot: first}
+	news := controlplane.CacheUpdate{Blocks: map[string]int{}, Snapshot: first}
 	if !first {
 		if b.setup.Events == 0 {
-			return daemon.CacheUpdate{Offset: from}, rpc.Sleep(ctx, wait)
+			return controlplane.CacheUpdate{Offset: from}, rpc.Sleep(ctx, wait)
 		}
 		_ = rpc.Sleep(ctx, wait/4) // news come long before a held call ends
 	}
@@ -94,6 +94,6 @@
 		k.next++
 		k.first++
 	}
-	news.Offset = daemon.CacheOffset{Epoch: 1, Next: uint64(k.next) + 1}
+	news.Offset = controlplane.CacheOffset{Epoch: 1, Next: uint64(k.next) + 1}
 	return news, nil
 }
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -21,6 +21,7 @@
 
 	"asterridge/agent"
 	"asterridge/config"
+	"asterridge/controlplane"
 	"asterridge/daemon"
 	"asterridge/deployment"
 	"asterridge/disk"
@@ -251,12 +252,12 @@
 	if err != nil {
 		return err
 	}
-	options := daemon.CoreOptions{ClaimRetention: time.Hour}
+	options := controlplane.Options{ClaimRetention: time.Hour}
 	if c.setup.Platform {
 		options = platformBounds.Core()
 		options.Backend = c.backend
 	}
-	core, err := daemon.NewCore(r.host, folder, options)
+	core, err := controlplane.New(r.host, folder, options)
 	if err != nil {
 		return err
 	}
@@ -303,12 +304,12 @@
 		if err != nil {
 			return s, err
 		}
-		options := agent.AgentOptions{}
+		options := agent.Options{}
 		if c.setup.Platform {
 			options = platformBounds.Agent()
 			options.Dialect, options.Grace = toldDialect{}, 0
 		}
-		agent := agent.NewAgent(c.place("agent", i, zones, outer.Addr().String()), nil, options)
+		agent := agent.New(c.place("agent", i, zones, outer.Addr().String()), nil, options)
 		c.all.Go(func() { _ = agent.Serve(c.ctx, local, outer) })
 		s.Addresses, s.Locals = append(s.Addresses, outer.Addr().String()), append(s.Locals, local.Addr().String())
 	}
--- a/cmd/hollow/fleet.go
+++ b/cmd/hollow/fleet.go
@@ -13,7 +13,7 @@
 
 	"asterridge/claim"
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
@@ -243,7 +243,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = rpc.Call[daemon.Accepted](ctx, f.wire, f.cores.started.Addresses[0], "/op/replicas", daemon.ReplicasChange{Text: text})
+	_, err = rpc.Call[controlplane.Accepted](ctx, f.wire, f.cores.started.Addresses[0], "/op/replicas", controlplane.ReplicasChange{Text: text})
 	return err
 }
 
@@ -261,10 +261,10 @@
 			d.Order = append(d.Order, name)
 		}
 	}
-	var a daemon.Accepted
+	var a controlplane.Accepted
 	failure := eventually(ctx, "a configuration is accepted", func() bool { // the same one again is answered as it was the first time (§2.9)
 		var err error
-		a, err = rpc.Call[daemon.Accepted](ctx, f.wire, f.cores.started.Addresses[int(f.number)%coreCount], "/op/declaration", d)
+		a, err = rpc.Call[controlplane.Accepted](ctx, f.wire, f.cores.started.Addresses[int(f.number)%coreCount], "/op/declaration", d)
 		return err == nil
 	})
 	if failure == nil {
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return err
 		}
-		proxy := proxy.NewProxy(s.Host, proxy.ProxyOptions{
+		proxy := proxy.New(s.Host, proxy.Options{
 			Agent: *agent, Admin: *admin, Grace: time.Duration(*grace) * time.Millisecond, Seed: uint64(time.Now().UnixNano()), PrefixIndexSize: *index, BodyMemory: int64(*room) << 20,
 		})
 		return proxy.Serve(ctx, callers, queries)
--- a/cmd/shell/main.go
+++ b/cmd/shell/main.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"asterridge/apierror"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/router"
 	"asterridge/rpc"
 )
@@ -113,14 +113,14 @@
 	case c.quit:
 		return 0
 	case c.query != nil:
-		a, err := ask[daemon.QueryResponse](s, "/query", c.query)
+		a, err := ask[controlplane.QueryResponse](s, "/query", c.query)
 		if err != nil {
 			return s.failed(err)
 		}
 		s.print(a)
 		return 0
 	}
-	a, err := ask[daemon.Accepted](s, "/op/"+c.order, c.body)
+	a, err := ask[controlplane.Accepted](s, "/op/"+c.order, c.body)
 	if err != nil {
 		return s.failed(err)
 	}
@@ -140,7 +140,7 @@
 	if !json.Valid(text) {
 		return apierror.New(apierror.Malformed, "%s is not JSON", c.file)
 	}
-	c.body.(*daemon.ConfigChange).Text = text
+	c.body.(*controlplane.ConfigChange).Text = text
 	return nil
 }
 
@@ -175,7 +175,7 @@
 	return none, err
 }
 
-func (s *shell) print(a daemon.QueryResponse) {
+func (s *shell) print(a controlplane.QueryResponse) {
 	if s.jSON {
 		_ = json.NewEncoder(s.out).Encode(a)
 		return
--- a/cmd/shell/parse.go
+++ b/cmd/shell/parse.go
@@ -8,12 +8,12 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 )
 
 // command is a parsed line: a query, or an order to one of the cores' endpoints.
 type command struct {
-	query *daemon.Query
+	query *controlplane.Query
 	order string // endpoint below /op/
 	body  any
 	file  string // of apply and merge: read into the order's text
@@ -170,9 +170,9 @@
 	if err != nil {
 		return command{}, err
 	}
-	q := &daemon.Query{Kind: what}
+	q := &controlplane.Query{Kind: what}
 	for first := true; err == nil && !r.isEnd(); first = false {
-		var c daemon.Condition
+		var c controlplane.Condition
 		if first {
 			_, err = r.word("where")
 		} else {
@@ -199,9 +199,9 @@
 	}
 	name, err := r.name("name")
 	if kind == "request" {
-		return command{query: &daemon.Query{Kind: "requests", Name: name}}, err
+		return command{query: &controlplane.Query{Kind: "requests", Name: name}}, err
 	}
-	return command{query: &daemon.Query{Kind: "proxyholds", Where: []daemon.Condition{{Field: "scope", Operator: "=", Value: name}}}}, err
+	return command{query: &controlplane.Query{Kind: "proxyholds", Where: []controlplane.Condition{{Field: "scope", Operator: "=", Value: name}}}}, err
 }
 
 // fields reads NAME = VALUE, … as JSON members.
@@ -238,7 +238,7 @@
 
 func partial(doc any, named string) command {
 	raw, _ := json.Marshal(doc) // maps of plain values always encode
-	return command{order: config.Key, body: &daemon.ConfigChange{Text: raw, Partial: true, NameCondition: named}}
+	return command{order: config.Key, body: &controlplane.ConfigChange{Text: raw, Partial: true, NameCondition: named}}
 }
 
 func (r *reader) declare(verb string) (command, error) {
@@ -299,7 +299,7 @@
 		return command{}, err
 	}
 	tenant, err := r.name("tenant")
-	return command{order: "keys", body: &daemon.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(key), Revoked: revoked}}, err
+	return command{order: "keys", body: &controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(key), Revoked: revoked}}, err
 }
 
 func (r *reader) members(verb string) (command, error) {
@@ -311,7 +311,7 @@
 		return r.retireModel(err)
 	}
 	name, err := r.name("name")
-	return command{order: "members", body: &daemon.MembershipChange{Do: verb, Name: name}}, err
+	return command{order: "members", body: &controlplane.MembershipChange{Do: verb, Name: name}}, err
 }
 
 func (r *reader) apply(partial bool) (command, error) {
@@ -319,7 +319,7 @@
 	if err != nil {
 		return command{}, err
 	}
-	o := &daemon.ConfigChange{Partial: partial}
+	o := &controlplane.ConfigChange{Partial: partial}
 	if !r.isEnd() {
 		if _, err := r.word("expect"); err != nil {
 			return command{}, err
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -16,6 +16,7 @@
 
 	"github.com/rs/zerolog"
 
+	"asterridge/controlplane"
 	"asterridge/daemon"
 	"asterridge/fake"
 	"asterridge/rpc"
@@ -183,7 +184,7 @@
 func tell(ctx context.Context, wire *rpc.Client, cores []string, text []byte, log zerolog.Logger) bool {
 	for _, core := range cores {
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
-		a, err := rpc.Call[daemon.Accepted](short, wire, core, "/op/replicas", daemon.ReplicasChange{Text: text})
+		a, err := rpc.Call[controlplane.Accepted](short, wire, core, "/op/replicas", controlplane.ReplicasChange{Text: text})
 		stop()
 		if err == nil {
 			log.Info().Str("event", "told").Str("core", core).Uint64("version", a.Version).Msg("")
--- a/daemon/backend.go
+++ b/controlplane/backend.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplane
 
 import (
 	"cmp"
@@ -9,6 +9,7 @@
 	"time"
 
 	"asterridge/config"
+	"asterridge/daemon"
 	"asterridge/lease"
 	"asterridge/protocol"
 	"asterridge/register"
@@ -63,10 +64,10 @@
 	l := &modelLoader{core: c, reservedSince: map[string]time.Time{}, orderedAt: map[string]time.Time{}, retryAfter: map[string]time.Time{}, ownReservations: map[string]bool{},
 		candidate: c.newCandidate("loading", loadLease)}
 	list := &replicaLister{core: c}
-	go Every(ctx, listInterval, func() { list.step(ctx) })
+	go daemon.Every(ctx, listInterval, func() { list.step(ctx) })
 	go c.runCacheReaders(ctx)
-	go Every(ctx, occupancyInterval, func() { c.publishOccupancy(ctx) })
-	go Every(ctx, loadInterval, func() { l.step(ctx) })
+	go daemon.Every(ctx, occupancyInterval, func() { c.publishOccupancy(ctx) })
+	go daemon.Every(ctx, loadInterval, func() { l.step(ctx) })
 }
 
 // applyLoads writes reservations of the loader.
--- a/daemon/core.go
+++ b/controlplane/core.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplane
 
 import (
 	"context"
@@ -15,6 +15,7 @@
 	"asterridge/apierror"
 	"asterridge/claim"
 	"asterridge/config"
+	"asterridge/daemon"
 	"asterridge/disk"
 	"asterridge/gossip"
 	"asterridge/membership"
@@ -38,8 +39,8 @@
 
 // Core keeps the control state on its disk.
 type Core struct {
-	host          Host
-	options       CoreOptions
+	host          daemon.Host
+	options       Options
 	disk          disk.Disk
 	incarnation   string
 	mayBootstrap  bool // this disk is from the fleet's very first start (§2.6)
@@ -87,8 +88,8 @@
 	proxies           register.Fields
 }
 
-// CoreOptions of a core.
-type CoreOptions struct {
+// Options of a core.
+type Options struct {
 	ClaimRetention time.Duration // how long callers' keys are remembered, at the least
 	// AutoMembership lets the core's members admit joiners and retire the lost by themselves (§2.8).
 	AutoMembership bool
@@ -101,15 +102,15 @@
 	Throttle       *config.Hold                // the waiting rule of a fleet that is declared by numbers and does not set it
 }
 
-// NewCore opens the disk and loads what it has.
-func NewCore(host Host, d disk.Disk, options CoreOptions) (*Core, error) {
+// New opens the disk and loads what it has.
+func New(host daemon.Host, d disk.Disk, options Options) (*Core, error) {
 	c := &Core{
 		host: host, options: options, disk: d, rpc: rpc.NewClient(host.Fleet, host.Net), replicaClient: replicaclient.NewReplicaClient(host.Net),
 		peers: map[string]*watch.Client{}, bootstrapContacts: map[string]string{}, uncommittedSince: map[string]time.Time{}, joiners: map[string]joiner{},
 		membershipChanged: make(chan struct{}), wakeups: make(chan struct{}, 1), recordingSlot: make(chan struct{}, 1),
 	}
 	c.throttles = throttle.NewTable(c.publishThrottle)
-	c.detector = NewDetector(host, "core", c.rpc)
+	c.detector = daemon.NewDetector(host, "core", c.rpc)
 	who := watch.ServerOptions{Incarnation: func() string {
 		if c.membership().self == nil || c.isDamaged.Load() {
 			return ""
@@ -249,7 +250,7 @@
 	}
 	go c.detector.Run(ctx)
 	c.host.Log.Info().Str("event", "core_up").Str("address", c.host.Address).Str("incarnation", c.incarnation).Msg("")
-	return Serve(ctx, listener, handler, time.Second)
+	return daemon.Serve(ctx, listener, handler, time.Second)
 }
 
 func (c *Core) handler() http.Handler {
@@ -262,8 +263,8 @@
 	mux.Handle("POST /register/confirm", rpc.Handler(fleet, c.handleConfirm))
 	mux.Handle("POST /register/accept", rpc.Handler(fleet, c.handleAccept))
 	mux.Handle("POST /register/settle", rpc.Handler(fleet, c.handleCommit))
-	HandleGossip(mux, fleet, c.detector)
-	HandleMetrics(mux, c.gauges)
+	daemon.HandleGossip(mux, fleet, c.detector)
+	daemon.HandleMetrics(mux, c.gauges)
 	mux.Handle("POST /query", rpc.Handler(fleet, c.Query))
 	rpc.HandleReady(mux, func() bool {
 		now := c.membership()
--- a/daemon/core_metrics.go
+++ b/controlplane/core_metrics.go
@@ -1,14 +1,15 @@
-package daemon
+package controlplane
 
 import (
 	"asterridge/config"
+	"asterridge/daemon"
 	"asterridge/protocol"
 )
 
-func (c *Core) gauges() []Gauge {
+func (c *Core) gauges() []daemon.Gauge {
 	now := c.membership()
-	all := []Gauge{
-		{Name: "core_is_member", Value: BoolValue(now.self != nil)},
+	all := []daemon.Gauge{
+		{Name: "core_is_member", Value: daemon.BoolValue(now.self != nil)},
 		{Name: "core_members", Value: float64(len(now.members))},
 		{Name: "core_members_live", Value: float64(len(c.live()))},
 		{Name: "core_keys_owned", Value: float64(len(c.owner.OwnedKeys()))},
@@ -21,10 +22,10 @@
 			unsettled++
 		}
 	}
-	all = append(all, Gauge{Name: "core_keys_unsettled", Value: float64(unsettled)})
+	all = append(all, daemon.Gauge{Name: "core_keys_unsettled", Value: float64(unsettled)})
 	for _, s := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
-		all = append(all, Gauge{Name: "core_agent_behind", Value: float64(s.Lag), Label: [2]string{"agent", s.Name}})
+		all = append(all, daemon.Gauge{Name: "core_agent_behind", Value: float64(s.Lag), Label: [2]string{"agent", s.Name}})
 	}
 	sent, alarms := c.detector.Stats()
-	return append(all, Gauge{Name: "ring_messages_sent", Value: float64(sent)}, Gauge{Name: "ring_alarms", Value: float64(alarms)})
+	return append(all, daemon.Gauge{Name: "ring_messages_sent", Value: float64(sent)}, daemon.Gauge{Name: "ring_alarms", Value: float64(alarms)})
 }
--- a/daemon/duties.go
+++ b/controlplane/duties.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplane
 
 import (
 	"context"
@@ -7,6 +7,7 @@
 	"time"
 
 	"asterridge/config"
+	"asterridge/daemon"
 	"asterridge/lease"
 	"asterridge/replicaclient"
 	"asterridge/router"
@@ -66,17 +67,17 @@
 		replicaClient: replicaclient.NewReplicaClient(c.host.Net),
 		candidate:     c.newCandidate("rollout", rolloutLease),
 	}
-	go Every(ctx, c.options.ClaimRetention/20, func() { c.pruneClaims(ctx) })
+	go daemon.Every(ctx, c.options.ClaimRetention/20, func() { c.pruneClaims(ctx) })
 	if c.options.Backend != nil {
 		return // its replicas take their orders from the loader
 	}
 	go c.runRetirements(ctx)
-	go Every(ctx, rolloutLease/5, func() {
+	go daemon.Every(ctx, rolloutLease/5, func() {
 		if c.membership().self != nil {
 			r.candidate.Campaign(ctx)
 		}
 	})
-	Every(ctx, rolloutInterval, func() { r.step(ctx) })
+	daemon.Every(ctx, rolloutInterval, func() { r.step(ctx) })
 }
 
 // behindState is the weights that replicas of a pool were last seen behind, and since when without a break.
--- a/daemon/found.go
+++ b/controlplane/found.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplane
 
 import (
 	"context"
@@ -11,6 +11,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/daemon"
 	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/rpc"
@@ -43,7 +44,7 @@
 // bootstrap makes the first list of members, once all four founders tell the same (§2.6).
 func (c *Core) bootstrap(ctx context.Context) {
 	logged := false
-	Every(ctx, protocol.HelloInterval, func() {
+	daemon.Every(ctx, protocol.HelloInterval, func() {
 		if now := c.membership(); len(now.members) > 0 {
 			if now.self == nil && !c.isLeaving.Load() {
 				if !logged {
--- a/daemon/kept.go
+++ b/controlplane/kept.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplane
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 	"time"
 
 	"asterridge/config"
+	"asterridge/daemon"
 	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
@@ -27,7 +28,7 @@
 func (c *Core) runCacheReaders(ctx context.Context) {
 	reading := map[string]context.CancelFunc{}
 	var assigned map[string]string // at the step before: a core that is being cut off misses the others one after another, and draws more for a moment
-	Every(ctx, protocol.CacheReaderInterval, func() {
+	daemon.Every(ctx, protocol.CacheReaderInterval, func() {
 		if c.membership().self != nil && !c.hasQuorum() {
 			return // agents may hear this core as before: it reads on what it has read, and nothing else
 		}
--- a/daemon/orders.go
+++ b/controlplane/orders.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplane
 
 import (
 	"context"
--- a/daemon/query.go
+++ b/controlplane/query.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplane
 
 import (
 	"context"
@@ -10,6 +10,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/daemon"
 	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/router"
@@ -80,7 +81,7 @@
 	case "retirement":
 		a.Rows = c.retirementRows(ctx)
 	case "daemons":
-		a.Rows = NodeRows(c.detector)
+		a.Rows = daemon.NodeRows(c.detector)
 	case "owners":
 		for _, key := range c.acceptor.Keys() {
 			r := c.acceptor.Read(key)
--- a/daemon/retirer.go
+++ b/controlplane/retirer.go
@@ -1,4 +1,4 @@
-package daemon
+package controlplane
 
 import (
 	"context"
@@ -8,6 +8,7 @@
 	"time"
 
 	"asterridge/config"
+	"asterridge/daemon"
 	"asterridge/lease"
 	"asterridge/register"
 	"asterridge/replicaclient"
@@ -28,7 +29,7 @@
 	r := &retirementController{core: c, candidate: c.newCandidate("retirement", rolloutLease), since: map[uint64]time.Time{}}
 	var seen register.Revision
 	hasAdapters := false
-	go Every(ctx, rolloutLease/5, func() {
+	go daemon.Every(ctx, rolloutLease/5, func() {
 		if revision := c.acceptor.Revision(config.Key); revision != seen {
 			plan, err := config.FromFields(c.acceptor.Read(config.Key).Fields)
 			seen, hasAdapters = revision, err == nil && len(plan.Adapters) > 0
@@ -37,7 +38,7 @@
 			r.candidate.Campaign(ctx)
 		}
 	})
-	Every(ctx, retirementInterval, func() {
+	daemon.Every(ctx, retirementInterval, func() {
 		if _, own := r.candidate.Held(); own {
 			r.step(ctx)
 		}
--- a/deployment/bounds.go
+++ b/deployment/bounds.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"asterridge/agent"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/membership"
 	"asterridge/protocol"
 	"asterridge/proxy"
@@ -44,13 +44,13 @@
 }
 
 // Agent gives the agent's options.
-func (b Bounds) Agent() agent.AgentOptions {
-	return agent.AgentOptions{FreshLimit: b.maxStaleness(), UndecidedLimit: b.maxStaleness(), WatchWait: watchWait, Grace: max(0, b.Grace-time.Second)}
+func (b Bounds) Agent() agent.Options {
+	return agent.Options{FreshLimit: b.maxStaleness(), UndecidedLimit: b.maxStaleness(), WatchWait: watchWait, Grace: max(0, b.Grace-time.Second)}
 }
 
 // Proxy gives the proxy's options.
-func (b Bounds) Proxy() proxy.ProxyOptions {
-	return proxy.ProxyOptions{
+func (b Bounds) Proxy() proxy.Options {
+	return proxy.Options{
 		Grace: max(0, b.Grace-2*time.Second), ReadinessLinger: min(readinessLinger, b.Grace/3), OldWeightsLimit: max(b.ModelVersion/2, b.ModelVersion-modelVersionMargin),
 		RetryRatio: b.RetryRatio, RetrySlack: b.RetrySlack, AgentWatchWait: watchWait, PrefixIndexSize: b.MemoryMB * indexEntriesPerMB, BodyMemory: int64(b.MemoryMB) << 20 / bodyMemoryShare,
 	}
@@ -60,9 +60,9 @@
 const readinessLinger = 2200 * time.Millisecond
 
 // Core gives the core's options.
-func (b Bounds) Core() daemon.CoreOptions {
-	return daemon.CoreOptions{
+func (b Bounds) Core() controlplane.Options {
+	return controlplane.Options{
 		ClaimRetention: time.Hour, AutoMembership: true, Lease: b.Lease, WatchWait: 200 * time.Millisecond,
-		Tolerance: b.Tolerance, LeaveTimeout: min(daemon.MaxLeaveTimeout, b.Grace/2),
+		Tolerance: b.Tolerance, LeaveTimeout: min(controlplane.MaxLeaveTimeout, b.Grace/2),
 	}
 }
--- a/proxy/callers.go
+++ b/proxy/callers.go
@@ -21,7 +21,7 @@
 type connectionTimeouts struct{ header, idle time.Duration }
 
 // effectiveTimeouts takes the times from the configuration's limits, and from the options what the limits leave open.
-func effectiveTimeouts(limits config.Limits, options ProxyOptions) connectionTimeouts {
+func effectiveTimeouts(limits config.Limits, options Options) connectionTimeouts {
 	times := connectionTimeouts{header: options.HeaderTimeout, idle: options.IdleTimeout}
 	if limits.HeaderMs > 0 {
 		times.header = time.Duration(limits.HeaderMs) * time.Millisecond
--- a/proxy/callers_test.go
+++ b/proxy/callers_test.go
@@ -49,7 +49,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		limits := &config.Limits{}
-		options := ProxyOptions{HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
+		options := Options{HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
 		handler := http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			_, _ = io.Copy(io.Discard, q.Body)
 			time.Sleep(time.Minute) // neither bound concerns a request that runs
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -15,11 +15,11 @@
 type Proxy struct {
 	Router  *router.Router
 	host    daemon.Host
-	options ProxyOptions
+	options Options
 }
 
-// ProxyOptions of a proxy.
-type ProxyOptions struct {
+// Options of a proxy.
+type Options struct {
 	Agent           string // the agent's loopback address
 	Admin           string // where the agent reaches this proxy's queries
 	Grace           time.Duration
@@ -38,8 +38,8 @@
 	IdleTimeout     time.Duration // an idle connection of a caller is kept so long, where the configuration does not say; 0: 2 min
 }
 
-// NewProxy makes a proxy.
-func NewProxy(host daemon.Host, options ProxyOptions) *Proxy {
+// New makes a proxy.
+func New(host daemon.Host, options Options) *Proxy {
 	if options.HeaderTimeout == 0 {
 		options.HeaderTimeout = defaultHeaderTimeout
 	}
--- a/sim/backend_test.go
+++ b/sim/backend_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/watch"
@@ -47,7 +47,7 @@
 
 // ordered is an order that came to a replica.
 type ordered struct {
-	daemon.Order
+	controlplane.Order
 	core    int
 	replica string
 	at      time.Time
@@ -56,9 +56,9 @@
 
 // source keeps parts of prompts, and tells the news of one life.
 type source struct {
-	place     daemon.CacheOffset
+	place     controlplane.CacheOffset
 	kept      map[string]int
-	before    daemon.CacheOffset // the place before the last change, and what that changed
+	before    controlplane.CacheOffset // the place before the last change, and what that changed
 	changed   map[string]int
 	news      chan struct{} // closed at the next change
 	gone      bool
@@ -186,7 +186,7 @@
 	return models, busy, nil
 }
 
-func (v view) Load(ctx context.Context, r config.Replica, o daemon.Order) error {
+func (v view) Load(ctx context.Context, r config.Replica, o controlplane.Order) error {
 	told := ordered{Order: o, core: v.core, replica: r.Name, at: time.Now()}
 	if v.onLoad != nil {
 		v.onLoad(told)
@@ -214,12 +214,12 @@
 	return nil
 }
 
-func (v view) CachedBlocks(ctx context.Context, address string, from daemon.CacheOffset, wait time.Duration) (daemon.CacheUpdate, error) {
+func (v view) CachedBlocks(ctx context.Context, address string, from controlplane.CacheOffset, wait time.Duration) (controlplane.CacheUpdate, error) {
 	v.mu.Lock()
 	s := v.sources[address]
 	if s == nil || s.gone {
 		v.mu.Unlock()
-		return daemon.CacheUpdate{}, errors.New("gone")
+		return controlplane.CacheUpdate{}, errors.New("gone")
 	}
 	s.readers = append(s.readers, v.core)
 	s.readTimes[v.core]++
@@ -237,15 +237,15 @@
 	defer v.mu.Unlock()
 	s.readers = slices.Delete(s.readers, slices.Index(s.readers, v.core), slices.Index(s.readers, v.core)+1)
 	if ctx.Err() != nil || s.gone {
-		return daemon.CacheUpdate{}, errors.New("gone meanwhile")
+		return controlplane.CacheUpdate{}, errors.New("gone meanwhile")
 	}
 	switch from {
 	case s.place:
-		return daemon.CacheUpdate{Offset: s.place}, nil
+		return controlplane.CacheUpdate{Offset: s.place}, nil
 	case s.before:
-		return daemon.CacheUpdate{Offset: s.place, Blocks: maps.Clone(s.changed)}, nil
+		return controlplane.CacheUpdate{Offset: s.place, Blocks: maps.Clone(s.changed)}, nil
 	}
-	return daemon.CacheUpdate{Offset: s.place, Snapshot: true, Blocks: maps.Clone(s.kept)}, nil
+	return controlplane.CacheUpdate{Offset: s.place, Snapshot: true, Blocks: maps.Clone(s.kept)}, nil
 }
 
 // keep changes what a source keeps. In another epoch it has started anew.
@@ -263,9 +263,9 @@
 	}
 	maps.Copy(s.changed, kept)
 	if s.place.Epoch != epoch {
-		s.before = daemon.CacheOffset{Next: 1 << 60} // a place that nobody has
+		s.before = controlplane.CacheOffset{Next: 1 << 60} // a place that nobody has
 	}
-	s.kept, s.place = kept, daemon.CacheOffset{Epoch: epoch, Next: s.place.Next + 1}
+	s.kept, s.place = kept, controlplane.CacheOffset{Epoch: epoch, Next: s.place.Next + 1}
 	close(s.news)
 	s.news = make(chan struct{})
 }
@@ -284,7 +284,7 @@
 func (b *backends) options(seed uint64) FleetOptions {
 	o := numberedOptions(seed, 3)
 	o.Proxies = 0
-	o.Backend = func(i int) daemon.Backend { return view{b, i} }
+	o.Backend = func(i int) controlplane.Backend { return view{b, i} }
 	return o
 }
 
--- a/sim/chaos_test.go
+++ b/sim/chaos_test.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 	"asterridge/router"
 )
@@ -90,11 +90,11 @@
 }
 
 func (c *chaos) partial(format string, args ...any) {
-	c.order(config.Key, daemon.ConfigChange{Partial: true, Text: fmt.Appendf(nil, format, args...)})
+	c.order(config.Key, controlplane.ConfigChange{Partial: true, Text: fmt.Appendf(nil, format, args...)})
 }
 
 func (c *chaos) tell(i int, state string) {
-	c.order("replicas", daemon.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[%s]}`, c.told(i, state))})
+	c.order("replicas", controlplane.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[%s]}`, c.told(i, state))})
 }
 
 // stop ends a host's processes kindly: no new work, streams finish, what waits is rejected.
@@ -189,7 +189,7 @@
 	{name: "a disk lost", harm: true, do: func(c *chaos) func() { return c.wipe(c.core()) }},
 	{name: "a disk lost in the instant after a yes", harm: true, do: func(c *chaos) func() {
 		i := c.core()
-		_, _ = c.Order(i, config.Key, daemon.ConfigChange{Partial: true, Text: fmt.Appendf(nil, `{"tenants":[{"name":%q,"weight":%d}]}`, c.tenant(), 1+c.random.IntN(9))})
+		_, _ = c.Order(i, config.Key, controlplane.ConfigChange{Partial: true, Text: fmt.Appendf(nil, `{"tenants":[{"name":%q,"weight":%d}]}`, c.tenant(), 1+c.random.IntN(9))})
 		return c.wipe(i)
 	}},
 	{name: "a file torn", harm: true, do: func(c *chaos) func() {
@@ -369,8 +369,8 @@
 	{name: "a key revoked, another granted", do: func(c *chaos) func() {
 		tenant := c.tenant()
 		c.spare++
-		c.order("keys", daemon.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(tenant + "-spare"), Revoked: true})
-		c.order("keys", daemon.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(fmt.Sprint(tenant, c.spare))})
+		c.order("keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(tenant + "-spare"), Revoked: true})
+		c.order("keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(fmt.Sprint(tenant, c.spare))})
 		return func() {}
 	}},
 	{name: "a wall put up and taken down", do: func(c *chaos) func() {
@@ -406,7 +406,7 @@
 func (c *chaos) try(do, name string) {
 	for range 4 {
 		for _, core := range c.cores() {
-			if _, err := c.Order(core, "members", daemon.MembershipChange{Do: do, Name: name}); err == nil {
+			if _, err := c.Order(core, "members", controlplane.MembershipChange{Do: do, Name: name}); err == nil {
 				return
 			}
 		}
@@ -534,7 +534,7 @@
 			o, callers := deployment(name, seed)
 			inBubble(t, o, func(is *is.I, f *Fleet) {
 				for _, tenant := range o.Tenants {
-					must(f.Order(0, "keys", daemon.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(tenant + "-spare")}))
+					must(f.Order(0, "keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(tenant + "-spare")}))
 				}
 				c := &chaos{Fleet: f, random: rand.New(rand.NewPCG(seed, 3))}
 				var played []string
--- a/sim/codes_test.go
+++ b/sim/codes_test.go
@@ -15,7 +15,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 	"asterridge/register"
 	"asterridge/rpc"
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is, f := is.New(t), NewFleet(options(140))
 		defer f.Stop()
-		weight := daemon.ConfigChange{Partial: true, Text: json.RawMessage(`{"tenants":[{"name":"a","weight":7}]}`)}
+		weight := controlplane.ConfigChange{Partial: true, Text: json.RawMessage(`{"tenants":[{"name":"a","weight":7}]}`)}
 		_, err := f.Order(0, config.Key, weight)
 		is.True(apierror.Is(err, apierror.NotFounded))
 		f.Declare()
@@ -50,7 +50,7 @@
 		asker := string(must(f.Disks[1].Open().Get("self", "incarnation")))
 		f.StartCore(1) // the look at its disk has ended the process before
 		_, err = rpc.Call[register.Record](context.Background(), f.Wire, At(CoreIP(0)), "/register/promise",
-			daemon.RegisterRequest{From: asker, MembersVersion: 77, Key: config.Key, Epoch: 1 << 40})
+			controlplane.RegisterRequest{From: asker, MembersVersion: 77, Key: config.Key, Epoch: 1 << 40})
 		is.True(apierror.Is(err, apierror.OtherMembers))
 		time.Sleep(2 * time.Second)
 
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -14,7 +14,7 @@
 	"asterridge/apierror"
 	"asterridge/claim"
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/register"
 	"asterridge/router"
 )
@@ -126,20 +126,20 @@
 		key := config.KeysPrefix + "a"
 		owner, other := ownerOf(key)
 		hash := config.HashKey("another")
-		_, err := f.Order(owner, "keys", daemon.AccessKeyChange{Tenant: "a", Hash: hash, Revoked: true}) // the owner holds the key from here on
+		_, err := f.Order(owner, "keys", controlplane.AccessKeyChange{Tenant: "a", Hash: hash, Revoked: true}) // the owner holds the key from here on
 		is.True(apierror.Is(err, apierror.NotFound))
 		f.isolate(owner, true, true, true)
 		f.Until(6*time.Second, "the others take the key", func() bool {
-			_, err := f.Order(other, "keys", daemon.AccessKeyChange{Tenant: "a", Hash: hash})
+			_, err := f.Order(other, "keys", controlplane.AccessKeyChange{Tenant: "a", Hash: hash})
 			return err == nil
 		})
 		for since := time.Now(); time.Since(since) < longCut; time.Sleep(time.Second) {
-			_, err = f.Order(owner, "keys", daemon.AccessKeyChange{Tenant: "a", Hash: hash, Revoked: true})
+			_, err = f.Order(owner, "keys", controlplane.AccessKeyChange{Tenant: "a", Hash: hash, Revoked: true})
 			is.True(err != nil && !apierror.Is(err, apierror.NotFound))
 		}
 		f.isolate(owner, true, true, false)
 		f.Until(6*time.Second, "the key is revoked", func() bool {
-			_, err := f.Order(owner, "keys", daemon.AccessKeyChange{Tenant: "a", Hash: hash, Revoked: true})
+			_, err := f.Order(owner, "keys", controlplane.AccessKeyChange{Tenant: "a", Hash: hash, Revoked: true})
 			return err == nil
 		})
 	})
@@ -190,8 +190,8 @@
 	inBubble(t, options(711), func(is *is.I, f *Fleet) {
 		version, _, err := f.config(0)
 		is.NoErr(err)
-		order := func(weight int) daemon.ConfigChange {
-			return daemon.ConfigChange{Partial: true, ExpectedVersion: &version, Text: fmt.Appendf(nil, `{"tenants":[{"name":"a","weight":%d}]}`, weight)}
+		order := func(weight int) controlplane.ConfigChange {
+			return controlplane.ConfigChange{Partial: true, ExpectedVersion: &version, Text: fmt.Appendf(nil, `{"tenants":[{"name":"a","weight":%d}]}`, weight)}
 		}
 		_, err = f.Order(0, config.Key, order(7))
 		is.NoErr(err)
--- a/sim/exchange_test.go
+++ b/sim/exchange_test.go
@@ -19,7 +19,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 	"asterridge/golden"
 	"asterridge/router"
@@ -103,7 +103,7 @@
 		say("a stream that the replica breaks off", f.exchange(0, "POST", chatAddress, bearer("c", "Idempotency-Key", "k2"), chat("light")))
 		time.Sleep(time.Second)
 		say("its key again", f.exchange(1, "POST", chatAddress, bearer("c", "Idempotency-Key", "k2"), chat("light")))
-		must(f.Order(0, "keys", daemon.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-key"), Revoked: true}))
+		must(f.Order(0, "keys", controlplane.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-key"), Revoked: true}))
 		time.Sleep(time.Second)
 		say("a revoked key", f.exchange(0, "POST", chatAddress, bearer("b"), chat("light")))
 		golden.Compare(t, "testdata/exchanges.txt", changing.ReplaceAllString(out.String(), "…"))
@@ -143,7 +143,7 @@
 	for i := range f.Options.Replicas {
 		news = append(news, fmt.Sprintf(`{"name":%q,"state":"gone"}`, ReplicaName(i)))
 	}
-	must(f.Order(0, "replicas", daemon.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(news, ",") + `]}`)}))
+	must(f.Order(0, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(news, ",") + `]}`)}))
 	time.Sleep(2 * time.Second)
 	return func() { _ = server.Close(); running.Wait() }
 }
--- a/sim/faults_test.go
+++ b/sim/faults_test.go
@@ -11,18 +11,18 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 	"asterridge/register"
 	"asterridge/router"
 )
 
 // merge has a partial configuration accepted by whichever core takes it.
-func (f *Fleet) merge(text string) (daemon.Accepted, error) {
-	var a daemon.Accepted
+func (f *Fleet) merge(text string) (controlplane.Accepted, error) {
+	var a controlplane.Accepted
 	var err error
 	for _, core := range f.cores() {
-		if a, err = f.Order(core, config.Key, daemon.ConfigChange{Text: json.RawMessage(text), Partial: true}); err == nil {
+		if a, err = f.Order(core, config.Key, controlplane.ConfigChange{Text: json.RawMessage(text), Partial: true}); err == nil {
 			return a, nil
 		}
 	}
@@ -66,7 +66,7 @@
 				r.Behave(fake.Behaviour{Tenant: "b", Refusing: true, RetryAfter: "4"})
 			}
 			time.Sleep(time.Second)
-			must(f.Order(2, "keys", daemon.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-key"), Revoked: true}))
+			must(f.Order(2, "keys", controlplane.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-key"), Revoked: true}))
 			for _, r := range f.Replicas {
 				r.Behave(fake.Behaviour{Tenant: "b"})
 			}
@@ -87,7 +87,7 @@
 	inBubble(t, options(12), func(is *is.I, f *Fleet) {
 		f.during(500, 30, 12, func() {
 			time.Sleep(4 * time.Second)
-			must(f.Order(1, "replicas", daemon.ReplicasChange{Text: json.RawMessage(`{"replicas":[{"name":"pool-1","state":"leaving"}]}`)}))
+			must(f.Order(1, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[{"name":"pool-1","state":"leaving"}]}`)}))
 		})
 		after := 0
 		for _, r := range f.Ledgers.Runs {
@@ -235,7 +235,7 @@
 			f.Net.Part(ips[:2], ips[2:], true)
 			time.Sleep(1500 * time.Millisecond)
 			for core := range 4 {
-				_, err := f.Order(core, config.Key, daemon.ConfigChange{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":50}]}`), Partial: true})
+				_, err := f.Order(core, config.Key, controlplane.ConfigChange{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":50}]}`), Partial: true})
 				is.True(err != nil)
 			}
 			f.Net.Part(ips[:2], ips[2:], false)
@@ -245,10 +245,10 @@
 			})
 			f.Net.Part(ips[:1], ips[1:], true)
 			f.Until(6*time.Second, "three of four accept", func() bool {
-				_, err := f.Order(2, config.Key, daemon.ConfigChange{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":52}]}`), Partial: true})
+				_, err := f.Order(2, config.Key, controlplane.ConfigChange{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":52}]}`), Partial: true})
 				return err == nil
 			})
-			_, err := f.Order(0, config.Key, daemon.ConfigChange{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":53}]}`), Partial: true})
+			_, err := f.Order(0, config.Key, controlplane.ConfigChange{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":53}]}`), Partial: true})
 			is.True(err != nil)
 			f.Net.Part(ips[:1], ips[1:], false)
 			time.Sleep(3 * time.Second)
@@ -300,7 +300,7 @@
 					name := fmt.Sprintf("t-%d-%d", op, n)
 					version, _, err := f.config(op)
 					is.NoErr(err)
-					_, err = f.Order(op, config.Key, daemon.ConfigChange{Partial: true, ExpectedVersion: &version,
+					_, err = f.Order(op, config.Key, controlplane.ConfigChange{Partial: true, ExpectedVersion: &version,
 						Text: json.RawMessage(`{"tenants":[{"name":"` + name + `"}]}`)})
 					mu.Lock()
 					if err == nil {
@@ -318,7 +318,7 @@
 		for n := range 60 {
 			burst.Go(func() {
 				name := fmt.Sprintf("burst-%d", n)
-				_, err := f.Order(n%4, config.Key, daemon.ConfigChange{Partial: true, Text: json.RawMessage(`{"tenants":[{"name":"` + name + `"}]}`)})
+				_, err := f.Order(n%4, config.Key, controlplane.ConfigChange{Partial: true, Text: json.RawMessage(`{"tenants":[{"name":"` + name + `"}]}`)})
 				is.NoErr(err)
 				mu.Lock()
 				defer mu.Unlock()
@@ -347,7 +347,7 @@
 	t.Parallel()
 	inBubble(t, options(35), func(is *is.I, f *Fleet) {
 		tell := func(i int, state string) {
-			must(f.Order(i%4, "replicas", daemon.ReplicasChange{Text: fmt.Appendf(nil,
+			must(f.Order(i%4, "replicas", controlplane.ReplicasChange{Text: fmt.Appendf(nil,
 				`{"replicas":[{"name":%q,"address":%q,"pool":"pool","zone":"zone-1","limit":12,"state":%q}]}`, ReplicaName(i), At(ReplicaIP(i)), state)}))
 		}
 		all := f.during(1100, 30, 35, func() {
@@ -443,7 +443,7 @@
 		f.Net.Cut(CoreIP(owner-1), CoreIP(asked))
 		var ordering sync.WaitGroup
 		ordering.Go(func() {
-			_, err := f.Order(asked, "replicas", daemon.ReplicasChange{Text: json.RawMessage(`{"replicas":[{"name":"pool-1","state":"leaving"}]}`)})
+			_, err := f.Order(asked, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[{"name":"pool-1","state":"leaving"}]}`)})
 			is.True(err != nil)
 			is.Equal(apierror.Of(err).Code, apierror.Undecided)
 		})
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -16,6 +16,7 @@
 	"asterridge/agent"
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/controlplane"
 	"asterridge/daemon"
 	"asterridge/fake"
 	"asterridge/proxy"
@@ -35,11 +36,11 @@
 	Replica                  fake.ReplicaOptions // what all replicas share
 	Names                    []string            // of the replicas: POOL-N; kinds web and store by their pool's name; none: pool-1, pool-2 …
 	Founders                 []string            // the cores' founders and seeds; nil: each core's own address and its neighbours
-	Core                     daemon.CoreOptions
-	Agent                    agent.AgentOptions
-	PlaceCore                func(i int, p *daemon.Host)     // changes where a core stands, before it starts; nil: nothing
-	Backend                  func(i int) daemon.Backend      // how a core speaks with a platform; nil: not at all
-	Wrap                     func(n rpc.Network) rpc.Network // stands between each daemon and the network; nil: nothing
+	Core                     controlplane.Options
+	Agent                    agent.Options
+	PlaceCore                func(i int, p *daemon.Host)      // changes where a core stands, before it starts; nil: nothing
+	Backend                  func(i int) controlplane.Backend // how a core speaks with a platform; nil: not at all
+	Wrap                     func(n rpc.Network) rpc.Network  // stands between each daemon and the network; nil: nothing
 }
 
 // Fleet is cores, agents, proxies and fakes in one bubble.
@@ -55,7 +56,7 @@
 	kills      map[string]context.CancelFunc // by host
 	running    sync.WaitGroup
 	Proxies    []*proxy.Proxy
-	Cores      map[int]*daemon.Core // as last started and serving
+	Cores      map[int]*controlplane.Core // as last started and serving
 	Ledgers    fake.Ledgers
 	FactLog    fake.FactLog
 	AgentSeeds []string // of agents started from now on
@@ -86,7 +87,7 @@
 // NewFleet makes the network and the disks, and starts all daemons and fakes.
 func NewFleet(o FleetOptions) *Fleet {
 	f := &Fleet{Options: o, Net: NewNetwork(time.Millisecond), Replicas: map[string]*fake.Replica{}, kills: map[string]context.CancelFunc{},
-		Proxies: make([]*proxy.Proxy, o.Proxies), AgentDisks: map[int]*Disk{}, Cores: map[int]*daemon.Core{}, gone: map[int]bool{}, dead: map[string]bool{}, skews: map[string]time.Duration{}, AgentSeeds: []string{At(CoreIP(0)), At(CoreIP(1)), At(CoreIP(2))}}
+		Proxies: make([]*proxy.Proxy, o.Proxies), AgentDisks: map[int]*Disk{}, Cores: map[int]*controlplane.Core{}, gone: map[int]bool{}, dead: map[string]bool{}, skews: map[string]time.Duration{}, AgentSeeds: []string{At(CoreIP(0)), At(CoreIP(1)), At(CoreIP(2))}}
 	outside := f.Net.Host(CallerIP)
 	f.Wire = rpc.NewClient(fleetName, outside)
 	f.Client = &http.Client{Transport: &http.Transport{DialContext: outside.DialContext, MaxIdleConnsPerHost: 256}}
@@ -180,7 +181,7 @@
 	if f.Options.Backend != nil {
 		o.Backend = f.Options.Backend(i)
 	}
-	o.Endpoints = func(c *daemon.Core, _ *http.ServeMux) { // it can be asked from now on
+	o.Endpoints = func(c *controlplane.Core, _ *http.ServeMux) { // it can be asked from now on
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.Cores[i] = c
@@ -195,7 +196,7 @@
 	f.mu.Unlock()
 	d := f.Disks[i].Open()
 	f.launch(CoreIP(i), func(ctx context.Context) {
-		core, err := daemon.NewCore(p, d, o) // waits while the disk stalls
+		core, err := controlplane.New(p, d, o) // waits while the disk stalls
 		if err != nil {
 			f.Options.Log.Error().Str("event", "core_not_started").Err(err).Msg("")
 			f.mu.Lock()
@@ -226,7 +227,7 @@
 	}
 	kept := f.AgentDisks[i].Open()
 	f.mu.Unlock()
-	agent := agent.NewAgent(p, kept, f.Options.Agent)
+	agent := agent.New(p, kept, f.Options.Agent)
 	local, outer := must(p.Net.Listen(ip+":7001")), must(p.Net.Listen(p.Address))
 	q := p
 	q.Name, q.Log = fmt.Sprintf("proxy-%d", i+1), f.Options.Log.With().Str("daemon", fmt.Sprintf("proxy-%d", i+1)).Logger()
@@ -234,7 +235,7 @@
 	if index == 0 {
 		index = 200000
 	}
-	proxy := proxy.NewProxy(q, proxy.ProxyOptions{Agent: ip + ":7001", Admin: ip + ":7003", Grace: time.Second, Seed: f.Options.Seed, PrefixIndexSize: index, BodyMemory: f.Options.Room})
+	proxy := proxy.New(q, proxy.Options{Agent: ip + ":7001", Admin: ip + ":7003", Grace: time.Second, Seed: f.Options.Seed, PrefixIndexSize: index, BodyMemory: f.Options.Room})
 	callers, admin := must(p.Net.Listen(ip+":7002")), must(p.Net.Listen(ip+":7003"))
 	f.mu.Lock()
 	f.Proxies[i] = proxy
@@ -298,10 +299,10 @@
 }
 
 // Order sends a change to a core.
-func (f *Fleet) Order(core int, name string, q any) (daemon.Accepted, error) {
+func (f *Fleet) Order(core int, name string, q any) (controlplane.Accepted, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	a, err := rpc.Call[daemon.Accepted](ctx, f.Wire, At(CoreIP(core)), "/op/"+name, q)
+	a, err := rpc.Call[controlplane.Accepted](ctx, f.Wire, At(CoreIP(core)), "/op/"+name, q)
 	if err == nil || apierror.Of(err).Code.Ran != apierror.NotRun {
 		f.FactLog.Order(name, q, a.Version, err != nil)
 	}
@@ -309,10 +310,10 @@
 }
 
 // Query asks a core for rows.
-func (f *Fleet) Query(core int, what string) (daemon.QueryResponse, error) {
+func (f *Fleet) Query(core int, what string) (controlplane.QueryResponse, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
-	return rpc.Call[daemon.QueryResponse](ctx, f.Wire, At(CoreIP(core)), "/query", daemon.Query{Kind: what})
+	return rpc.Call[controlplane.QueryResponse](ctx, f.Wire, At(CoreIP(core)), "/query", controlplane.Query{Kind: what})
 }
 
 // told is the platform's word for a replica.
@@ -324,11 +325,11 @@
 // Declare waits for the fleet to be founded and gives it its configuration, keys and replicas.
 func (f *Fleet) Declare() {
 	f.Until(10*time.Second, "a founded fleet takes the configuration", func() bool {
-		_, err := f.Order(0, config.Key, daemon.ConfigChange{Text: json.RawMessage(f.Options.Config)})
+		_, err := f.Order(0, config.Key, controlplane.ConfigChange{Text: json.RawMessage(f.Options.Config)})
 		return err == nil
 	})
 	for _, tenant := range f.Options.Tenants {
-		must(f.Order(0, "keys", daemon.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(tenant + "-key")}))
+		must(f.Order(0, "keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(tenant + "-key")}))
 	}
 	var told []string
 	for i := range f.Options.Replicas {
@@ -337,7 +338,7 @@
 	if len(f.Options.Names) == 0 {
 		told = append(told, f.told(webAt, "present"))
 	}
-	must(f.Order(0, "replicas", daemon.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(told, ",") + `]}`)}))
+	must(f.Order(0, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(told, ",") + `]}`)}))
 	f.Until(10*time.Second, "all proxies are ready", f.AreReady)
 	time.Sleep(time.Second) // replicas have reported, and the proxies know of each other
 }
--- a/sim/fleet_run.go
+++ b/sim/fleet_run.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 )
 
@@ -73,7 +73,7 @@
 	return all
 }
 
-func rows(a daemon.QueryResponse) (all []map[string]any) {
+func rows(a controlplane.QueryResponse) (all []map[string]any) {
 	for _, row := range a.Rows {
 		all = append(all, row)
 	}
--- a/sim/listing_test.go
+++ b/sim/listing_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/watch"
@@ -115,7 +115,7 @@
 		for _, r := range listed { // another core has written the list meanwhile
 			told = append(told, `{"name":"`+r.Name+`","address":"`+r.Address+`","pool":"pool","zone":"`+r.Zone+`","limit":`+strconv.Itoa(r.Limit)+`,"state":"present"}`)
 		}
-		_, err = f.Order(other, "replicas", daemon.ReplicasChange{Text: []byte(`{"replicas":[` + strings.Join(told, ",") + `]}`)})
+		_, err = f.Order(other, "replicas", controlplane.ReplicasChange{Text: []byte(`{"replicas":[` + strings.Join(told, ",") + `]}`)})
 		is.NoErr(err)
 		lost := false
 		f.Until(3*time.Second, "it is known", func() bool { return len(watcher.Read(config.ReplicasKey).Fields) == 4 })
--- a/sim/load_test.go
+++ b/sim/load_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 )
 
@@ -70,7 +70,7 @@
 						must(f.merge(`{"hold":{"observe":true}}`))
 					}
 					for _, tenant := range f.Options.Tenants {
-						_, _ = f.Order(0, "keys", daemon.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(tenant + "-spare")})
+						_, _ = f.Order(0, "keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(tenant + "-spare")})
 					}
 					span := 5 * time.Second
 					if *isLarge {
--- a/sim/loading_test.go
+++ b/sim/loading_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/router"
 	"asterridge/watch"
 )
@@ -37,7 +37,7 @@
 // name has the fleet take a model's version.
 func (f *Fleet) nameVersion(core int, model string, version uint64) {
 	f.Until(5*time.Second, "the version is named", func() bool {
-		return f.core(core).PublishModelVersion(context.Background(), daemon.ModelVersionChange{Model: model, Version: version}) == nil
+		return f.core(core).PublishModelVersion(context.Background(), controlplane.ModelVersionChange{Model: model, Version: version}) == nil
 	})
 }
 
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -16,6 +16,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
+	"asterridge/controlplane"
 	"asterridge/daemon"
 	"asterridge/membership"
 	"asterridge/register"
@@ -26,7 +27,7 @@
 	o := options(seed)
 	o.Cores, o.Replicas, o.Proxies = cores, 0, 2
 	o.Founders = []string{At(CoreIP(0)), At(CoreIP(1)), At(CoreIP(2))}
-	o.Core = daemon.CoreOptions{AutoMembership: true, Lease: 700 * time.Millisecond, WatchWait: 200 * time.Millisecond,
+	o.Core = controlplane.Options{AutoMembership: true, Lease: 700 * time.Millisecond, WatchWait: 200 * time.Millisecond,
 		Tolerance: membership.Tolerance{Machines: 1}}
 	return o
 }
@@ -113,7 +114,7 @@
 }
 
 // core gives a core as it was last started.
-func (f *Fleet) core(i int) *daemon.Core {
+func (f *Fleet) core(i int) *controlplane.Core {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Cores[i]
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -16,6 +16,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/config"
+	"asterridge/controlplane"
 	"asterridge/daemon"
 	"asterridge/linearizability"
 )
@@ -49,7 +50,7 @@
 }
 
 // serving gives a core if it runs now. What a process answers after its end is nobody's answer.
-func (o *operators) serving(i int) (*daemon.Core, bool) {
+func (o *operators) serving(i int) (*controlplane.Core, bool) {
 	o.Fleet.mu.Lock()
 	defer o.Fleet.mu.Unlock()
 	core := o.Cores[i]
@@ -186,7 +187,7 @@
 
 // look collects the lists that the cores which run act on.
 func (m *membersCheck) look() error {
-	var acting []daemon.Membership
+	var acting []controlplane.Membership
 	for i := range m.Disks {
 		if core, serving := m.serving(i); serving {
 			acting = append(acting, core.Membership())
@@ -197,7 +198,7 @@
 
 // judge finds two lists that could decide at the same time: a majority of the members of each acts on it. Each core acts on one list, so two
 // such majorities do not meet.
-func (m *membersCheck) judge(acting []daemon.Membership) error {
+func (m *membersCheck) judge(acting []controlplane.Membership) error {
 	count := map[string]int{} // by list
 	var deciding []string
 	for _, list := range acting {
@@ -221,8 +222,8 @@
 }
 
 // listOf is a list of members as one of them acts on it.
-func listOf(version uint64, numbers ...uint32) daemon.Membership {
-	list := daemon.Membership{Version: version, Member: true}
+func listOf(version uint64, numbers ...uint32) controlplane.Membership {
+	list := controlplane.Membership{Version: version, Member: true}
 	for _, number := range numbers {
 		list.Members = append(list.Members, config.Member{ID: number, Name: fmt.Sprint("core-", number)})
 	}
@@ -232,7 +233,7 @@
 // The test of the test: lists that change by two members at once can decide beside each other, and one version with two lists is none.
 func TestMembersCheckFindsPlantedLists(t *testing.T) {
 	is := is.New(t)
-	judge := func(acting ...daemon.Membership) error {
+	judge := func(acting ...controlplane.Membership) error {
 		return (&membersCheck{lists: map[uint64]string{}}).judge(acting)
 	}
 	old, next := listOf(3, 1, 2, 3, 4), listOf(4, 1, 2, 3, 4, 5)
--- a/sim/points_test.go
+++ b/sim/points_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/daemon"
+	"asterridge/controlplane"
 )
 
 // broken is a replica that breaks its answers at one point.
@@ -153,7 +153,7 @@
 		for i := range f.Options.Replicas {
 			news = append(news, fmt.Sprintf(`{"name":%q,"state":"leaving"}`, ReplicaName(i)))
 		}
-		must(f.Order(2, "replicas", daemon.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(news, ",") + `]}`)}))
+		must(f.Order(2, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(news, ",") + `]}`)}))
 		time.Sleep(time.Second)
 		began := time.Now()
 		_, code, _ = f.Ask(0, "a", "", chat("light"))
--- a/sim/redundancy_test.go
+++ b/sim/redundancy_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/matryer/is"
 
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/lease"
 )
 
@@ -27,7 +27,7 @@
 		room <- struct{}{}
 		all.Go(func() {
 			defer func() { <-room }()
-			must(f.Order(f.live[i%len(f.live)], "term", daemon.LeaseRequest{Role: fmt.Sprint("duty-", i), Grant: lease.Grant{Holder: "nobody"}}))
+			must(f.Order(f.live[i%len(f.live)], "term", controlplane.LeaseRequest{Role: fmt.Sprint("duty-", i), Grant: lease.Grant{Holder: "nobody"}}))
 		})
 	}
 	all.Wait()
--- a/sim/replacement_test.go
+++ b/sim/replacement_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/matryer/is"
 
+	"asterridge/controlplane"
 	"asterridge/daemon"
 	"asterridge/membership"
 )
@@ -382,7 +383,7 @@
 			host.Bootstrapped, host.Seeds = true, f.Options.Founders
 			options := f.Options.Core
 			options.LeaveTimeout, options.ClaimRetention = 3*time.Second, time.Hour
-			core := must(daemon.NewCore(host, disk.Open(), options))
+			core := must(controlplane.New(host, disk.Open(), options))
 			listener := must(host.Net.Listen(host.Address))
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
--- a/sim/retire_test.go
+++ b/sim/retire_test.go
@@ -15,7 +15,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 	"asterridge/router"
 )
@@ -108,7 +108,7 @@
 }
 
 // order has a change taken by whichever core takes it.
-func (f *Fleet) retirement(o daemon.RetirementChange) (a daemon.Accepted, err error) {
+func (f *Fleet) retirement(o controlplane.RetirementChange) (a controlplane.Accepted, err error) {
 	for _, core := range f.cores() {
 		if a, err = f.Order(core, "retirement", o); err == nil || apierror.Of(err).Code.Ran == apierror.NotRun && apierror.Of(err).Code.Number >= 300 && !apierror.Is(err, apierror.NoMajority) {
 			return a, err
@@ -117,11 +117,11 @@
 	return a, err
 }
 
-func retire(from, to string) daemon.RetirementChange {
-	return daemon.RetirementChange{Do: "retire", Old: from, New: to}
+func retire(from, to string) controlplane.RetirementChange {
+	return controlplane.RetirementChange{Do: "retire", Old: from, New: to}
 }
 
-var undo = daemon.RetirementChange{Do: "undo"}
+var undo = controlplane.RetirementChange{Do: "undo"}
 
 // inAdapterBubble runs a fleet with adapters under load while something happens.
 func inAdapterBubble(t *testing.T, seed uint64, count int, play func(is *is.I, f *Fleet), judge func(is *is.I, f *Fleet, all []fake.Asked)) {
@@ -195,7 +195,7 @@
 	t.Parallel()
 	inBubble(t, adapterOptions(710), func(is *is.I, f *Fleet) {
 		f.adaptersReady()
-		refused := func(o daemon.RetirementChange, code apierror.Code) {
+		refused := func(o controlplane.RetirementChange, code apierror.Code) {
 			is.Helper()
 			_, err := f.retirement(o)
 			is.Equal(apierror.Of(err).Code, code)
@@ -262,7 +262,7 @@
 			}
 		})
 		refused(undo, apierror.PastUndo)
-		refused(daemon.RetirementChange{Do: "undo", Old: "ridge-1"}, apierror.PastUndo)
+		refused(controlplane.RetirementChange{Do: "undo", Old: "ridge-1"}, apierror.PastUndo)
 		refused(retire("ridge-2", "ridge-1"), apierror.Crossed) // it is gone
 		noBreach(is, f)
 	})
@@ -397,7 +397,7 @@
 			t.Parallel()
 			inAdapterBubble(t, 770+seed, 1000, func(is *is.I, f *Fleet) {
 				told := func(i int, state string) {
-					must(f.Order(1, "replicas", daemon.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + f.told(i, state) + `]}`)}))
+					must(f.Order(1, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + f.told(i, state) + `]}`)}))
 				}
 				must(f.retirement(retire("ridge-1", "ridge-2")))
 				f.Until(10*time.Second, "a base loads", func() bool { return f.anyReplica("bases", "ridge-1 ridge-2") })
@@ -438,7 +438,7 @@
 		time.Sleep(2 * time.Second)
 		for i := range 2 { // one takes it back while the other begins it again
 			both.Go(func() {
-				order := []daemon.RetirementChange{undo, retire("ridge-1", "ridge-2")}[i]
+				order := []controlplane.RetirementChange{undo, retire("ridge-1", "ridge-2")}[i]
 				for range 5 {
 					_, _ = f.Order(1+i, "retirement", order)
 					time.Sleep(300 * time.Millisecond)
@@ -511,7 +511,7 @@
 		is.True(strings.Contains(fmt.Sprint(f.retired()["replica pool-1"]["bases"]), "ridge-1"))
 		dropped := config.Retirement{Number: 1, Old: "ridge-1", New: "ridge-2", Phase: config.Dropping}
 		for version := range uint64(40) { // whatever version it saw
-			_, err := f.Order(0, "advance", daemon.RetirementStep{Old: "ridge-1", To: &dropped, ExpectedVersion: version, Holder: config.Duty{Holder: "core-9", Lease: 0}})
+			_, err := f.Order(0, "advance", controlplane.RetirementStep{Old: "ridge-1", To: &dropped, ExpectedVersion: version, Holder: config.Duty{Holder: "core-9", Lease: 0}})
 			is.True(apierror.Is(err, apierror.Superseded))
 		}
 		is.Equal(f.phase("ridge-1"), "moving")
--- a/sim/send_test.go
+++ b/sim/send_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 )
 
@@ -31,11 +31,11 @@
 		order func(f *Fleet)
 	}{
 		{"key revoked", 5, 6 * time.Second, func(f *Fleet) {
-			must(f.Order(0, "keys", daemon.AccessKeyChange{Tenant: "a", Hash: config.HashKey("a-key"), Revoked: true}))
+			must(f.Order(0, "keys", controlplane.AccessKeyChange{Tenant: "a", Hash: config.HashKey("a-key"), Revoked: true}))
 		}},
 		{"all replicas leaving", 7, 4 * time.Second, func(f *Fleet) {
 			for i := range f.Options.Replicas {
-				must(f.Order(0, "replicas", daemon.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[{"name":%q,"state":"leaving"}]}`, ReplicaName(i))}))
+				must(f.Order(0, "replicas", controlplane.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[{"name":%q,"state":"leaving"}]}`, ReplicaName(i))}))
 			}
 		}},
 		{"weights accepted that no replica loads", 9, 22 * time.Second, func(f *Fleet) {
@@ -84,7 +84,7 @@
 		asking.Go(func() { _, code, _ = f.Ask(0, "a", "", chat("light")) })
 		asking.Go(func() { _, again, _ = f.Ask(0, "b", "", chat("light")) })
 		time.Sleep(100 * time.Millisecond)
-		must(f.Order(0, "keys", daemon.AccessKeyChange{Tenant: "a", Hash: config.HashKey("a-key"), Revoked: true}))
+		must(f.Order(0, "keys", controlplane.AccessKeyChange{Tenant: "a", Hash: config.HashKey("a-key"), Revoked: true}))
 		time.Sleep(700 * time.Millisecond) // less than a dial may take
 		f.cutReplicas(0, false)
 		asking.Wait()
@@ -118,7 +118,7 @@
 		time.Sleep(time.Second)
 		_, code, _ := f.Ask(0, "b", "", chat("light"))
 		is.Equal(code, "200") // the key was the former tenant's
-		fresh := daemon.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-key")}
+		fresh := controlplane.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-key")}
 		must(f.Order(1, "keys", fresh)) // … and may be granted to the new one
 		time.Sleep(time.Second)
 		before := len(f.Ledgers.Runs)
--- a/sim/stored_data_test.go
+++ b/sim/stored_data_test.go
@@ -16,7 +16,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/config"
-	"asterridge/daemon"
+	"asterridge/controlplane"
 	"asterridge/fake"
 	"asterridge/golden"
 	"asterridge/register"
@@ -81,8 +81,8 @@
 		for i := range 70 { // more changes than a snapshot is followed by
 			must(f.merge(fmt.Sprintf(`{"tenants":[{"name":"a","backlog":%d}]}`, 400+i)))
 		}
-		must(f.Order(0, "keys", daemon.AccessKeyChange{Tenant: "c", Hash: config.HashKey("c-old")}))
-		must(f.Order(0, "keys", daemon.AccessKeyChange{Tenant: "c", Hash: config.HashKey("c-old"), Revoked: true}))
+		must(f.Order(0, "keys", controlplane.AccessKeyChange{Tenant: "c", Hash: config.HashKey("c-old")}))
+		must(f.Order(0, "keys", controlplane.AccessKeyChange{Tenant: "c", Hash: config.HashKey("c-old"), Revoked: true}))
 		f.StartCore(4)
 		f.members("admit", "core-5")
 		f.members("retire", "core-4")
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -21,6 +21,7 @@
 	"asterridge/apierror"
 	"asterridge/claim"
 	"asterridge/config"
+	"asterridge/controlplane"
 	"asterridge/daemon"
 	"asterridge/fake"
 	"asterridge/router"
@@ -132,9 +133,9 @@
 		asked := f.during(700, 30, seed, func() {
 			time.Sleep(2 * time.Second)
 			must(f.merge(`{"tenants":[{"name":"a","weight":3}]}`))
-			must(f.Order(1, "keys", daemon.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-more")}))
+			must(f.Order(1, "keys", controlplane.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-more")}))
 			time.Sleep(time.Second)
-			must(f.Order(2, "keys", daemon.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-more"), Revoked: true}))
+			must(f.Order(2, "keys", controlplane.AccessKeyChange{Tenant: "b", Hash: config.HashKey("b-more"), Revoked: true}))
 			f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "3"})
 			time.Sleep(2 * time.Second)
 			f.behave(fake.Behaviour{Tenant: "a"})
@@ -315,7 +316,7 @@
 	inBubble(t, options(312), func(is *is.I, f *Fleet) {
 		tell := func(core int, state string) {
 			text := fmt.Appendf(nil, `{"replicas":[%s]}`, f.told(0, state))
-			must(f.Order(core, "replicas", daemon.ReplicasChange{Text: json.RawMessage(text)}))
+			must(f.Order(core, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(text)}))
 		}
 		state := func(core int) string {
 			for _, row := range rows(must(f.Query(core, "fields"))) {
