--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,3 +1,13 @@
+// Package agent is the program that runs beside each proxy. It watches all cores and feeds its proxy over loopback with what a majority of
+// them has committed.
+//
+// An agent is current while a majority of the members has answered lately and no register shows a version that may or may not be committed
+// for too long (currency.go; docs/design.md §3.2 has the arithmetic). It tells its proxy for how much longer it is current, and the proxy
+// admits no request beyond that. So a proxy that is cut off stops before the cores can have moved on without it.
+//
+// The other files: discovery.go finds the members and watches them, forwarding.go takes calls of the proxy to the cores and the cores'
+// queries to the proxy, replica_reports.go polls replicas that speak our own interface, cache_updates.go passes on what cores have read of
+// the replicas' caches.
 package agent
 
 import (
@@ -5,7 +15,6 @@
 	"encoding/json"
 	"net"
 	"net/http"
-	"slices"
 	"sync"
 	"time"
 
@@ -13,6 +22,7 @@
 	"asterridge/daemon"
 	"asterridge/disk"
 	"asterridge/gossip"
+	"asterridge/membership"
 	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/replicaclient"
@@ -22,51 +32,68 @@
 	"asterridge/watch"
 )
 
-// The limits of §3.2.
 const (
-	reportInterval = 300 * time.Millisecond
+	agentRole = "agent"
+	proxyRole = "proxy"
+	// throttleRetention is how long throttles that are over stay in the table.
+	throttleRetention = time.Hour
 )
 
-// Agent keeps the links to the cores and feeds the proxy beside it.
+// Options of an agent.
+type Options struct {
+	// Dialect is how replicas are spoken to; nil: router.ChatDialect.
+	Dialect router.Dialect
+	// FreshLimit is T: how old a majority's answers may be for the agent to be current; 0: protocol.FreshLimit.
+	FreshLimit time.Duration
+	// UndecidedLimit is U: how long the agent stays current beside a version that may be committed; 0: protocol.UndecidedLimit.
+	UndecidedLimit time.Duration
+	// WatchWait is how long a core holds a watch request open; 0: protocol.DefaultWatchWait.
+	WatchWait time.Duration
+	// Grace is how long a stopping agent goes on beside a proxy that has yet to stop; 0: not at all.
+	Grace time.Duration
+}
+
+// Agent watches the cores and feeds the proxy beside it.
 type Agent struct {
 	host          daemon.Host
 	options       Options
-	dialect       router.Dialect
 	rpc           *rpc.Client
 	replicaClient *http.Client
 	proxyUpdates  *watch.Server
 	throttles     *throttle.Table
 	detector      *gossip.Detector
-	disk          disk.Disk // may be nil: then what was learned of the cores is lost with the process
-
-	mu               sync.Mutex
-	members          []config.Member
-	previousMembers  []config.Member          // the list before, while keys are carried over from it
-	cores            map[string]*watch.Client // by core's address
-	applied          map[string]register.Revision
-	undecided        map[string]undecidedVersion
-	currentUntil     time.Time // current until then, as last worked out
+	// disk holds the cores' addresses; nil: they are lost with the process.
+	disk disk.Disk
+
+	mu sync.Mutex // guards what follows
+	// members is the list in force, previousMembers the one before while keys are transferred from it.
+	members         []config.Member
+	previousMembers []config.Member
+	// cores are the watches of the members, by address.
+	cores map[string]*watch.Client
+	// applied is the revision of each register that the proxy was given; it only rises.
+	applied map[string]register.Revision
+	// undecided are the versions above it that may be committed.
+	undecided map[string]undecidedVersion
+	// currentUntil is the end of currency as last evaluated, notCurrentReason why it has ended, loggedCurrent what the log says.
+	currentUntil     time.Time
 	notCurrentReason string
-	loggedCurrent    bool // as the log has it
-	proxies          register.Fields
-	unresponsive     map[string]bool // members, by address
-	quorumSince      time.Time       // since when a majority of the members answers; zero: it does not
-	modelVersions    router.Named
-	cacheReaders     map[string]string // by key of news of kept prompts: the core they are taken from
-	stopPolling      map[string]context.CancelFunc
-	polled           map[string]config.Replica
+	loggedCurrent    bool
+	// unresponsive is which members did not answer when last looked at, by address.
+	unresponsive map[string]bool
+	// quorumSince is since when a majority of the members answers; zero while it does not.
+	quorumSince time.Time
+	// proxies are those that share the replicas, as the proxy was told.
+	proxies       register.Fields
+	modelVersions router.Named
+	// cacheReaders is, by the key of a source's cache updates, the address of the core that they are taken from.
+	cacheReaders map[string]string
+	// polled are the replicas that are polled for reports, stopPolling what ends that.
+	polled      map[string]config.Replica
+	stopPolling map[string]context.CancelFunc
 }
 
-// Options of an agent; what is zero has its usual value.
-type Options struct {
-	Dialect        router.Dialect
-	FreshLimit     time.Duration // T
-	UndecidedLimit time.Duration // U
-	WatchWait      time.Duration // how long an ask is held by a core
-	Grace          time.Duration // how long it goes on beside a proxy that has yet to stop
-}
-
-// New makes an agent. On its disk, if it has one, it keeps where the cores are.
+// New makes an agent. Its disk may be nil.
 func New(host daemon.Host, d disk.Disk, options Options) *Agent {
 	if options.Dialect == nil {
 		options.Dialect = router.ChatDialect{}
@@ -81,213 +108,109 @@
 		options.WatchWait = protocol.DefaultWatchWait
 	}
 	a := &Agent{
-		disk: d, options: options,
-		host: host, dialect: options.Dialect, rpc: rpc.NewClient(host.Fleet, host.Net),
-		replicaClient: replicaclient.NewReplicaClient(host.Net),
-		cores:         map[string]*watch.Client{}, applied: map[string]register.Revision{}, undecided: map[string]undecidedVersion{},
-		notCurrentReason: "no core found yet", proxies: register.Fields{}, unresponsive: map[string]bool{}, cacheReaders: map[string]string{}, stopPolling: map[string]context.CancelFunc{}, polled: map[string]config.Replica{},
-	}
-	a.detector = daemon.NewDetector(host, "agent", a.rpc)
+		host:             host,
+		options:          options,
+		rpc:              rpc.NewClient(host.Fleet, host.Net),
+		replicaClient:    replicaclient.New(host.Net),
+		disk:             d,
+		cores:            map[string]*watch.Client{},
+		applied:          map[string]register.Revision{},
+		undecided:        map[string]undecidedVersion{},
+		notCurrentReason: "no core found yet",
+		unresponsive:     map[string]bool{},
+		proxies:          register.Fields{},
+		cacheReaders:     map[string]string{},
+		polled:           map[string]config.Replica{},
+		stopPolling:      map[string]context.CancelFunc{},
+	}
+	a.detector = daemon.NewDetector(host, agentRole, a.rpc)
 	a.proxyUpdates = watch.NewServer(watch.ServerOptions{ValidFor: a.remaining})
-	a.throttles = throttle.NewTable(func(e throttle.Entry) {
-		raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
-		a.proxyUpdates.Publish(router.HoldKey, register.Revision{}, register.Revision{}, register.Fields{e.Scope: raw}, false)
-	})
+	a.throttles = throttle.NewTable(a.publishThrottle)
 	return a
 }
 
-// Serve runs the agent: local is the loopback side for its proxy, listener the side for the cores.
+// Serve runs the agent until stopped ends, and then for as long as its proxy still runs, options.Grace at most. local is the loopback
+// listener for the proxy, listener the one that cores reach.
 func (a *Agent) Serve(stopped context.Context, local, listener net.Listener) error {
-	ctx, stop := context.WithCancel(context.WithoutCancel(stopped))
-	defer stop()
+	ctx, cancel := context.WithCancel(context.WithoutCancel(stopped))
+	defer cancel()
 	go func() {
-		defer stop()
+		defer cancel()
 		<-stopped.Done()
 		a.awaitProxyStop()
 	}()
-	mux, fleet := http.NewServeMux(), a.host.Fleet
-	mux.Handle("POST /agent/pull", rpc.Handler(fleet, a.proxyUpdates.Watch))
-	mux.Handle("POST /agent/hold", rpc.Handler(fleet, a.forwardThrottle))
-	mux.Handle("POST /agent/claim", rpc.Handler(fleet, a.forwardClaim))
-	outer := http.NewServeMux()
-	daemon.HandleGossip(outer, fleet, a.detector)
-	daemon.HandleMetrics(outer, a.gauges)
-	outer.Handle("POST /agent/query", rpc.Handler(fleet, a.handleQuery))
-	outer.Handle("POST /core/hello", rpc.Handler(fleet, a.handleHello))
-	rpc.HandleReady(outer, func() bool { return a.remaining() > 0 })
 	go daemon.Every(ctx, protocol.HelloInterval, func() { a.discoverCores(ctx) })
 	go daemon.Every(ctx, protocol.CacheReaderInterval, a.switchCacheReaders)
+	go daemon.Every(ctx, time.Minute, func() { a.throttles.Prune(throttleRetention) })
 	go a.detector.Run(ctx)
-	go daemon.Every(ctx, time.Minute, func() { a.throttles.Prune(time.Hour) })
-	go func() { _ = daemon.Serve(ctx, listener, outer, time.Second) }()
-	a.host.Log.Info().Str("event", "agent_up").Str("address", a.host.Address).Msg("")
-	return daemon.Serve(ctx, local, mux, time.Second)
-}
-
-// awaitProxyStop goes on beside a proxy that is stopping, so that it stays current until its last request is answered.
-func (a *Agent) awaitProxyStop() {
-	for end := time.Now().Add(a.options.Grace); time.Now().Before(end); {
-		ok := false
-		for _, s := range a.proxyUpdates.ClientStates(protocol.LivenessTimeout) {
-			ok = ok || s.Role == "proxy"
-		}
-		if !ok || rpc.Sleep(context.Background(), protocol.HelloInterval) != nil {
-			return
-		}
-	}
-}
-
-func (a *Agent) handleHello(context.Context, protocol.Hello) (protocol.Hello, error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return protocol.Hello{Name: a.host.Name, Role: "agent", Address: a.host.Address, Zone: a.host.Zone, Members: a.members}, nil
-}
-
-// discoverCores asks the seeds for the members until some are known, and links to each member.
-func (a *Agent) discoverCores(ctx context.Context) {
-	a.mu.Lock()
-	known := a.members
-	a.mu.Unlock()
-	if len(known) > 0 {
-		a.connectCores(ctx, known)
-		return
-	}
-	for _, seed := range a.seedAddresses() {
-		short, stop := context.WithTimeout(ctx, time.Second)
-		h, err := rpc.Call[protocol.Hello](short, a.rpc, seed, "/core/hello", protocol.Hello{})
-		stop()
-		if err == nil && len(h.Members) > 0 {
-			a.connectCores(ctx, h.Members)
-			return
+	go func() {
+		if err := daemon.Serve(ctx, listener, a.coreHandler(), time.Second); err != nil {
+			a.host.Log.Error().Err(err).Msg("listener for cores failed")
 		}
-	}
+	}()
+	a.host.Log.Info().Str("address", a.host.Address).Msg("agent started")
+	return daemon.Serve(ctx, local, a.proxyHandler(), time.Second)
 }
 
-// seedAddresses is whom to ask for the members: the seeds, what the ring has heard of, and what was kept from an earlier life.
-func (a *Agent) seedAddresses() []string {
-	all := slices.Clone(a.host.Seeds)
-	for _, d := range a.detector.Nodes()[1:] {
-		all = append(all, d.Address)
-	}
-	if a.disk != nil {
-		var recorded []string
-		raw, err := a.disk.Get(protocol.IdentityFolder, coresFile)
-		if err == nil && json.Unmarshal(raw, &recorded) == nil {
-			all = append(all, recorded...)
-		}
-	}
-	return all
+// proxyHandler has the endpoints for the proxy.
+func (a *Agent) proxyHandler() http.Handler {
+	mux, fleet := http.NewServeMux(), a.host.Fleet
+	mux.Handle("POST /agent/pull", rpc.Handler(fleet, a.proxyUpdates.Watch))
+	mux.Handle("POST /agent/hold", rpc.Handler(fleet, a.forwardThrottle))
+	mux.Handle("POST /agent/claim", rpc.Handler(fleet, a.forwardClaim))
+	return mux
 }
 
-// recordCores writes down where the cores are; a.mu is held, the disk is not waited for.
-func (a *Agent) recordCores() {
-	if a.disk == nil {
-		return
-	}
-	var addresses []string
-	for _, m := range a.members {
-		addresses = append(addresses, m.Address)
-	}
-	raw, _ := json.Marshal(addresses) // strings always encode
-	go func() {
-		if err := a.disk.Put(protocol.IdentityFolder, coresFile, raw); err != nil {
-			a.host.Log.Warn().Str("event", "cores_not_kept").Err(err).Msg("")
-		}
-	}()
+// coreHandler has the endpoints for cores, other daemons and operators.
+func (a *Agent) coreHandler() http.Handler {
+	mux, fleet := http.NewServeMux(), a.host.Fleet
+	mux.Handle("POST /agent/query", rpc.Handler(fleet, a.handleQuery))
+	mux.Handle("POST /core/hello", rpc.Handler(fleet, a.handleHello))
+	daemon.HandleGossip(mux, fleet, a.detector)
+	daemon.HandleMetrics(mux, a.gauges)
+	rpc.HandleReady(mux, func() bool { return a.remaining() > 0 })
+	return mux
 }
 
-const coresFile = "cores"
-
-func (a *Agent) connectCores(ctx context.Context, members []config.Member) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if len(a.members) == 0 {
-		a.members = members
-	}
-	for address, f := range a.cores {
-		if !containsAddress(a.members, address) && !containsAddress(a.previousMembers, address) {
-			f.Stop()
-			delete(a.cores, address)
+// awaitProxyStop waits while a stopping proxy still watches this agent, so that the proxy stays current until its last request is answered.
+func (a *Agent) awaitProxyStop() {
+	for end := time.Now().Add(a.options.Grace); time.Now().Before(end); {
+		if _, connected := a.proxyStatus(membership.LivenessTimeout); !connected {
+			return
 		}
-	}
-	for _, m := range slices.Concat(a.members, a.previousMembers) {
-		if a.cores[m.Address] == nil {
-			f := watch.NewClient(watch.ClientOptions{
-				RPC: a.rpc, Address: m.Address, Path: "/core/pull", Wait: a.options.WatchWait, Request: a.watchRequest,
-				OnUpdate: func(f *watch.Client, answer watch.Response) { // the rest is looked at in digest, which follows each answer
-					protocol.MergeThrottles(a.throttles, answer)
-					a.forwardCached(f, answer)
-					a.forwardModelVersions(answer)
-					a.forwardOccupancy(answer)
-				},
-				OnResponse: func(*watch.Client, time.Time, time.Duration) { a.applyUpdates(ctx) },
-			})
-			a.cores[m.Address] = f
-			go f.Run(ctx)
+		if rpc.Sleep(context.Background(), protocol.HelloInterval) != nil {
+			return
 		}
 	}
 }
 
-func containsAddress(members []config.Member, address string) bool {
-	return slices.ContainsFunc(members, func(m config.Member) bool { return m.Address == address })
+// connectedProxy is the proxy beside this agent, as it last introduced itself.
+type connectedProxy struct {
+	router.Status
+	applied map[string]register.Revision
 }
 
-func (a *Agent) watchRequest() watch.Request {
-	status := protocol.AgentStatus{Address: a.host.Address, Zone: a.host.Zone, Current: a.remaining() > 0}
-	request := watch.Request{Name: a.host.Name, Role: "agent"}
-	for _, s := range a.proxyUpdates.ClientStates(protocol.LivenessTimeout) {
-		var p router.Status
-		if s.Role == "proxy" && json.Unmarshal(s.Status, &p) == nil {
-			status.Proxy, request.Applied = &p, s.Applied
+// proxyStatus gives the proxy that was heard within a time, if any.
+func (a *Agent) proxyStatus(within time.Duration) (proxy connectedProxy, connected bool) {
+	for _, state := range a.proxyUpdates.ClientStates(within) {
+		if state.Role != proxyRole {
+			continue
 		}
-	}
-	a.mu.Lock()
-	status.NotCurrentReason = a.notCurrentReason
-	a.mu.Unlock()
-	request.Status, _ = json.Marshal(status) // a plain struct always encodes
-	return request
-}
-
-// applyUpdates applies what is known to be accepted, and works out until when this agent is current (§3.2).
-func (a *Agent) applyUpdates(ctx context.Context) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.evaluateCurrency()
-	a.detectDisturbance()
-	peers := register.Fields{}
-	for _, f := range a.cores {
-		if time.Since(f.FreshAt()) < a.options.FreshLimit {
-			for name, raw := range f.Read(router.ProxiesKey).Fields {
-				peers[name] = raw
-			}
+		connected = true
+		var status router.Status
+		if json.Unmarshal(state.Status, &status) == nil {
+			proxy = connectedProxy{Status: status, applied: state.Applied}
 		}
 	}
-	if change := config.Delta(a.proxies, peers); len(change) > 0 && len(peers) > 0 {
-		a.proxies = peers
-		a.proxyUpdates.Publish(router.ProxiesKey, register.Revision{}, register.Revision{}, change, false)
-	}
-	if a.dialect.ReportPath() != "" {
-		a.pollReplicas(ctx)
-	}
+	return proxy, connected
 }
 
-// forwardOccupancy passes on the load of replicas; an older word than was had does no harm for long.
-func (a *Agent) forwardOccupancy(answer watch.Response) {
-	for _, e := range answer.Updates {
-		if e.Key == router.OccupancyKey && len(e.Fields) > 0 && !answer.Snapshot {
-			a.proxyUpdates.PublishDeferred(e.Key, e.Fields, false)
-		}
-	}
+func (a *Agent) publishThrottle(e throttle.Entry) {
+	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
+	a.publishHint(router.HoldKey, register.Fields{e.Scope: raw})
 }
 
-// forwardModelVersions passes on since when versions are named, as the core knows it that has known it for longest.
-func (a *Agent) forwardModelVersions(answer watch.Response) {
-	for _, e := range answer.Updates {
-		if e.Key != router.NamedKey {
-			continue
-		}
-		if moved := a.modelVersions.Learn(e.Fields, e.AgesMs); len(moved) > 0 {
-			a.proxyUpdates.Publish(router.NamedKey, register.Revision{}, register.Revision{}, moved, false)
-		}
-	}
+// publishHint gives the proxy fields of a key that is no register and so has no revision.
+func (a *Agent) publishHint(key string, fields register.Fields) {
+	a.proxyUpdates.Publish(key, register.Revision{}, register.Revision{}, fields, false)
 }
--- /dev/null
+++ b/agent/currency.go
@@ -0,0 +1,253 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+	"sort"
+	"time"
+
+	"asterridge/config"
+	"asterridge/membership"
+	"asterridge/protocol"
+	"asterridge/register"
+	"asterridge/router"
+	"asterridge/watch"
+)
+
+// undecidedVersion is a version that may be committed, and since when it counts against currency.
+type undecidedVersion struct {
+	revision register.Revision
+	since    time.Time
+}
+
+// applyUpdates gives the proxy what is known to be committed, and evaluates until when this agent is current.
+func (a *Agent) applyUpdates(ctx context.Context) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.evaluateCurrency()
+	a.detectDisturbance()
+	a.forwardProxies()
+	if a.options.Dialect.ReportPath() != "" {
+		a.pollReplicas(ctx)
+	}
+}
+
+// remaining is how much longer this agent is current; not above zero while it is not.
+func (a *Agent) remaining() time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.evaluateCurrency()
+	return time.Until(a.currentUntil)
+}
+
+// evaluateCurrency applies every register and works out until when this agent is current; a.mu is held.
+func (a *Agent) evaluateCurrency() {
+	now := time.Now()
+	if len(a.members) == 0 {
+		return
+	}
+	wasCurrent := now.Before(a.currentUntil)
+	until, reason := a.quorumFreshUntil(), ""
+	if !now.Before(until) {
+		reason = "fewer than a majority of cores answer"
+	}
+	for key := range a.publishedKeys() {
+		end, undecided := a.applyKey(key, now, wasCurrent)
+		if !undecided || !end.Before(until) {
+			continue
+		}
+		until = end
+		if !now.Before(until) {
+			reason = "a change of " + key + " is undecided"
+		}
+	}
+	if current := now.Before(until); current != a.loggedCurrent { // also when a time has run out
+		a.loggedCurrent = current
+		a.host.Log.Info().Bool("current", current).Str("reason", reason).Msg("currency changed")
+	}
+	a.currentUntil, a.notCurrentReason = until, reason
+}
+
+// publishedKeys are the registers that the cores have told of.
+func (a *Agent) publishedKeys() map[string]bool {
+	keys := map[string]bool{}
+	for _, core := range a.cores {
+		for _, key := range core.Keys() {
+			if protocol.IsPublished(key) {
+				keys[key] = true
+			}
+		}
+	}
+	return keys
+}
+
+// activeLists are the lists of members that count: the one in force, and the one before while keys are transferred from it.
+func (a *Agent) activeLists() [][]config.Member {
+	if len(a.previousMembers) > 0 {
+		return [][]config.Member{a.members, a.previousMembers}
+	}
+	return [][]config.Member{a.members}
+}
+
+// quorumFreshUntil is the end of the time that a majority of each list has granted by answering.
+func (a *Agent) quorumFreshUntil() (until time.Time) {
+	for i, list := range a.activeLists() {
+		if end := a.listFreshUntil(list); i == 0 || end.Before(until) {
+			until = end
+		}
+	}
+	return until
+}
+
+// listFreshUntil is the end of the time that a majority of a list has granted: FreshLimit after the oldest of the newest majority of
+// requests that were answered was sent.
+func (a *Agent) listFreshUntil(list []config.Member) time.Time {
+	var sent []time.Time
+	for _, m := range list {
+		if at := a.freshAsOf(m); !at.IsZero() {
+			sent = append(sent, at)
+		}
+	}
+	majority := membership.Majority(len(list))
+	if len(sent) < majority {
+		return time.Time{}
+	}
+	sort.Slice(sent, func(i, j int) bool { return sent[i].After(sent[j]) })
+	return sent[majority-1].Add(a.options.FreshLimit)
+}
+
+// freshAsOf is when the newest request that a member has answered was sent; zero if it has answered none.
+func (a *Agent) freshAsOf(m config.Member) time.Time {
+	if core := a.cores[m.Address]; core != nil {
+		return core.FreshAsOf(m.Incarnation)
+	}
+	return time.Time{}
+}
+
+// hasQuorum reports whether a majority of each list has answered and matches.
+func (a *Agent) hasQuorum(matches func(core *watch.Client) bool) bool {
+	for _, list := range a.activeLists() {
+		count := 0
+		for _, m := range list {
+			if !a.freshAsOf(m).IsZero() && matches(a.cores[m.Address]) {
+				count++
+			}
+		}
+		if count < membership.Majority(len(list)) {
+			return false
+		}
+	}
+	return true
+}
+
+// mayBeCommitted reports whether, for all that is known, a majority of some list may have the revision or a later one.
+func (a *Agent) mayBeCommitted(key string, revision register.Revision, now time.Time) bool {
+	for _, list := range a.activeLists() {
+		without := 0
+		for _, m := range list {
+			core := a.cores[m.Address]
+			if core == nil || now.Sub(core.FreshAsOf(m.Incarnation)) >= a.options.FreshLimit {
+				continue
+			}
+			if has, _ := core.Revisions(key); has.Less(revision) {
+				without++
+			}
+		}
+		if len(list)-without >= membership.Majority(len(list)) {
+			return true
+		}
+	}
+	return false
+}
+
+// applyKey gives the proxy the newest committed version of a register. If a later one may be committed too, undecided is true, and end is
+// when this agent ceases to be current for it. One that was not current when it met such a version gets no time for it: else a restart
+// could bring an older version back.
+func (a *Agent) applyKey(key string, now time.Time, wasCurrent bool) (end time.Time, undecided bool) {
+	newest := a.applyCommitted(key)
+	applied := a.applied[key]
+	if open := a.undecided[key]; !applied.Less(open.revision) {
+		delete(a.undecided, key)
+	}
+	if !applied.Less(newest) || !a.mayBeCommitted(key, newest, now) {
+		return time.Time{}, false
+	}
+	open, known := a.undecided[key]
+	if !known {
+		open = undecidedVersion{revision: newest, since: now}
+		if !wasCurrent {
+			open.since = now.Add(-a.options.UndecidedLimit)
+		}
+		a.undecided[key] = open
+	}
+	return open.since.Add(a.options.UndecidedLimit), true
+}
+
+// applyCommitted gives the proxy the newest committed version of a register, if that is newer than what it has, and returns the newest
+// revision that any core has, committed or not.
+func (a *Agent) applyCommitted(key string) (newest register.Revision) {
+	committed := a.applied[key]
+	newest = committed
+	var source *watch.Client
+	for _, core := range a.cores {
+		revision, coreCommitted := core.Revisions(key)
+		if newest.Less(revision) {
+			newest = revision
+		}
+		if committed.Less(revision) && (register.IsCommitted(revision, coreCommitted) || a.quorumHas(key, revision)) {
+			committed, source = revision, core
+		}
+	}
+	if source == nil {
+		return newest
+	}
+	state := source.Read(key)
+	if state.Revision != committed {
+		return newest // it has moved on since; the next response shows it
+	}
+	a.applied[key] = committed
+	a.proxyUpdates.Publish(key, committed, committed, state.Fields, true)
+	a.host.Log.Info().Str("key", key).Uint64("epoch", committed.Epoch).Uint64("version", committed.Version).Msg("register applied")
+	if key == config.MembersKey {
+		list := membership.Decode(state.Fields)
+		a.members, a.previousMembers = list.Members, list.Previous
+		a.recordCores()
+	}
+	return newest
+}
+
+// quorumHas reports whether a majority of each list has just this revision.
+func (a *Agent) quorumHas(key string, revision register.Revision) bool {
+	return a.hasQuorum(func(core *watch.Client) bool {
+		has, _ := core.Revisions(key)
+		return has == revision
+	})
+}
+
+// detectDisturbance tells the proxy when a member ceases to answer or returns, as long as a majority answers: the replicas may have been
+// without orders meanwhile (docs/design.md §6.5). An agent that did not hear a majority just now was itself frozen, cut off or not there;
+// that members return to it one by one says nothing of them. a.mu is held.
+func (a *Agent) detectDisturbance() {
+	now, settleTime := time.Now(), membership.LivenessTimeout+a.options.WatchWait
+	fresh, changed := 0, false
+	for _, m := range a.members {
+		core := a.cores[m.Address]
+		unresponsive := core == nil || now.Sub(core.FreshAt()) > settleTime
+		if !unresponsive {
+			fresh++
+		}
+		before, known := a.unresponsive[m.Address]
+		changed = changed || known && before != unresponsive
+		a.unresponsive[m.Address] = unresponsive
+	}
+	if fresh < membership.Majority(len(a.members)) {
+		a.quorumSince = time.Time{}
+		return
+	}
+	if a.quorumSince.IsZero() {
+		a.quorumSince = now
+	}
+	if changed && now.Sub(a.quorumSince) > settleTime {
+		a.publishHint(router.DisturbedKey, register.Fields{router.DisturbedKey: json.RawMessage("1")})
+	}
+}
--- /dev/null
+++ b/agent/replica_reports.go
@@ -0,0 +1,86 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"asterridge/config"
+	"asterridge/daemon"
+	"asterridge/register"
+	"asterridge/replicaclient"
+	"asterridge/router"
+)
+
+// reportInterval is the time between two polls of a replica.
+const reportInterval = 300 * time.Millisecond
+
+// completeBlock is the published amount of a block that is cached whole; replicas that speak our own interface report no parts.
+const completeBlock = `0`
+
+// pollReplicas keeps one poller for each replica of the register that was applied; a.mu is held.
+func (a *Agent) pollReplicas(ctx context.Context) {
+	present := a.appliedReplicas()
+	if len(present) == 0 && len(a.polled) > 0 {
+		return
+	}
+	for name, replica := range present {
+		if before, known := a.polled[name]; known && before.Address == replica.Address {
+			continue
+		}
+		if stop := a.stopPolling[name]; stop != nil {
+			stop()
+		}
+		pollCtx, stop := context.WithCancel(ctx)
+		a.stopPolling[name], a.polled[name] = stop, replica
+		go a.pollReplica(pollCtx, replica)
+	}
+	for name := range a.polled {
+		if _, ok := present[name]; !ok {
+			a.stopPolling[name]()
+			delete(a.stopPolling, name)
+			delete(a.polled, name)
+			a.publishHint(router.ReportsKey, register.Fields{name: nil})
+			a.proxyUpdates.Publish(router.KeptPrefix+name, register.Revision{}, register.Revision{}, register.Fields{}, true)
+		}
+	}
+}
+
+// appliedReplicas reads the replicas from a core that has just the revision that was applied; none if there is no such core.
+func (a *Agent) appliedReplicas() map[string]config.Replica {
+	for _, core := range a.cores {
+		if revision, _ := core.Revisions(config.ReplicasKey); revision == a.applied[config.ReplicasKey] && revision != (register.Revision{}) {
+			replicas, _ := config.Load[config.Replica](core.Read(config.ReplicasKey).Fields) // none if the register cannot be read
+			return replicas
+		}
+	}
+	return nil
+}
+
+// pollReplica asks a replica for its report until the context ends, and gives the proxy the report and the changes of its cache.
+func (a *Agent) pollReplica(ctx context.Context, replica config.Replica) {
+	var last router.Report
+	poll := func() {
+		requestCtx, cancel := context.WithTimeout(ctx, replicaclient.Timeout)
+		defer cancel()
+		report, err := replicaclient.GetReport(requestCtx, a.replicaClient, a.options.Dialect, replica, last)
+		if err != nil || ctx.Err() != nil {
+			return
+		}
+		change := register.Fields{}
+		for _, block := range report.Cached {
+			change[block] = json.RawMessage(completeBlock)
+		}
+		for _, block := range report.Dropped {
+			change[block] = nil
+		}
+		if len(change) > 0 || report.Snapshot {
+			a.proxyUpdates.Publish(router.KeptPrefix+replica.Name, register.Revision{}, register.Revision{}, change, report.Snapshot)
+		}
+		raw, _ := json.Marshal(report.Report) // a plain struct always encodes
+		a.publishHint(router.ReportsKey, register.Fields{replica.Name: raw})
+		last = report.Report
+	}
+	poll()
+	daemon.Every(ctx, reportInterval, poll)
+}
--- a/cmd/fleet/chaos.go
+++ b/cmd/fleet/chaos.go
@@ -13,6 +13,7 @@
 
 	"asterridge/config"
 	"asterridge/controlplane"
+	"asterridge/membership"
 )
 
 // chaos brings faults about, drawn from the seed.
@@ -119,7 +120,7 @@
 // try orders a change of the members under whatever faults there are; what does not come about is made good at the end.
 func (c *chaos) try(do, name string) {
 	for range 6 {
-		if _, err := c.order(c.ctx, "members", controlplane.MembershipChange{Do: do, Name: name}); err == nil {
+		if _, err := c.order(c.ctx, "members", membership.Change{Action: membership.Action(do), Name: name}); err == nil {
 			return
 		}
 		after(c.ctx, 500*time.Millisecond)
--- a/cmd/fleet/retire.go
+++ b/cmd/fleet/retire.go
@@ -87,7 +87,7 @@
 		}
 	})
 	after(ctx, 3*time.Second)
-	if _, err := f.order(ctx, "retirement", controlplane.RetirementChange{Do: "retire", Old: "ridge-1", New: "ridge-2"}); err != nil {
+	if _, err := f.order(ctx, "retirement", controlplane.RetirementChange{Action: "retire", Old: "ridge-1", New: "ridge-2"}); err != nil {
 		return err
 	}
 	w.say("retire model ridge-1 for ridge-2: accepted")
--- a/cmd/fleet/scripts.go
+++ b/cmd/fleet/scripts.go
@@ -13,6 +13,7 @@
 	"asterridge/config"
 	"asterridge/controlplane"
 	"asterridge/fake"
+	"asterridge/membership"
 )
 
 var scripts = []script{
@@ -249,7 +250,7 @@
 	began := time.Now()
 	for _, do := range []string{"retire", "admit"} {
 		err := eventually(ctx, 20*time.Second, do+" core-3", func() bool {
-			_, err := f.order(ctx, "members", controlplane.MembershipChange{Do: do, Name: "core-3"})
+			_, err := f.order(ctx, "members", membership.Change{Action: membership.Action(do), Name: "core-3"})
 			return err == nil
 		})
 		if err != nil {
--- a/cmd/shell/parse.go
+++ b/cmd/shell/parse.go
@@ -9,6 +9,7 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/controlplane"
+	"asterridge/membership"
 )
 
 // command is a parsed line: a query, or an order to one of the cores' endpoints.
@@ -311,7 +312,7 @@
 		return r.retireModel(err)
 	}
 	name, err := r.name("name")
-	return command{order: "members", body: &controlplane.MembershipChange{Do: verb, Name: name}}, err
+	return command{order: "members", body: &membership.Change{Action: membership.Action(verb), Name: name}}, err
 }
 
 func (r *reader) apply(partial bool) (command, error) {
--- a/cmd/shell/retire.go
+++ b/cmd/shell/retire.go
@@ -36,13 +36,13 @@
 	if err != nil {
 		return command{}, err
 	}
-	return command{order: "retirement", body: &controlplane.RetirementChange{Do: "retire", Old: n[0], New: n[1]}}, nil
+	return command{order: "retirement", body: &controlplane.RetirementChange{Action: "retire", Old: n[0], New: n[1]}}, nil
 }
 
 // undo reads what follows "undo"; the model need be named only where several retirements run.
 func (r *reader) undo() (command, error) {
 	_, err := r.word("retirement")
-	o := &controlplane.RetirementChange{Do: "undo"}
+	o := &controlplane.RetirementChange{Action: "undo"}
 	if err == nil && !r.isEnd() {
 		if _, err = r.word("of"); err == nil {
 			o.Old, err = r.name("model")
--- a/config/adapter.go
+++ b/config/adapter.go
@@ -204,7 +204,7 @@
 			return refuse(apierror.Dangling, "paths."+name+".adapter", "there is no adapter %q", p.Adapter)
 		}
 		for _, target := range p.Pools() {
-			if kind := b.Pools[target.Pool].Kind; kind != "model" {
+			if kind := b.Pools[target.Pool].Kind; kind != ModelPool {
 				return refuse(apierror.Dangling, "paths."+name+".adapter", "pool %q has no model for an adapter", target.Pool)
 			}
 		}
--- a/config/config.go
+++ b/config/config.go
@@ -29,6 +29,13 @@
 	Urgency *int     `json:"urgency,omitempty"` // goes before the path's
 }
 
+// The kinds of pools.
+const (
+	ModelPool = "model" // replicas of a language model
+	WebPool   = "web"   // web back ends
+	StorePool = "store" // a store of cached prompt prefixes
+)
+
 // Pool is a set of replicas that serve the same weights, or a web back end.
 type Pool struct {
 	Name    string `json:"name"`
@@ -227,7 +234,7 @@
 			if _, ok := b.Pools[target.Pool]; !ok {
 				return refuse(apierror.Dangling, "pool", "there is no pool %q", target.Pool)
 			}
-			if b.Pools[target.Pool].Kind == "store" {
+			if b.Pools[target.Pool].Kind == StorePool {
 				return refuse(apierror.Dangling, "pool", "pool %q is a store and serves no requests", target.Pool)
 			}
 			if target.Share < 0 {
--- a/config/state.go
+++ b/config/state.go
@@ -18,13 +18,21 @@
 	LoadsKey    = "loads"  // replica → its last order to load (§6.2)
 )
 
+// The states of a replica, as the platform's updates and the register of replicas spell them.
+const (
+	ReplicaPresent  = "present"
+	ReplicaDraining = "leaving"
+	ReplicaWarming  = "warming"
+	ReplicaGone     = "gone" // in updates alone: the replica is taken out of the register
+)
+
 // Replica is what the platform tells of a back end.
 type Replica struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Pool    string `json:"pool"`
 	Zone    string `json:"zone"`
-	State   string `json:"state"` // "present", "leaving" or "warming"
+	State   string `json:"state"` // ReplicaPresent, ReplicaDraining or ReplicaWarming
 	Limit   int    `json:"limit"` // requests at a time
 	// Models has the versions that the platform tells of, where it does; they may lag.
 	Models map[string]uint64 `json:"models,omitempty"`
@@ -92,7 +100,7 @@
 			return v.Refuse(apierror.UnknownField, "not a field of the platform's news")
 		}
 		return v.List(func(item Value) error {
-			r := Replica{State: "present", Limit: 4}
+			r := Replica{State: ReplicaPresent, Limit: 4}
 			err := item.Object(func(field string, v Value) error {
 				switch field {
 				case "name":
@@ -104,7 +112,7 @@
 				case "zone":
 					return set(&r.Zone, v.Name)
 				case "state":
-					return set(&r.State, word(v, "present", "leaving", "warming", "gone"))
+					return set(&r.State, word(v, ReplicaPresent, ReplicaDraining, ReplicaWarming, ReplicaGone))
 				case "limit":
 					return set(&r.Limit, between(v, 1, 10000))
 				}
@@ -113,7 +121,7 @@
 			if err == nil && r.Name == "" {
 				err = item.Refuse(apierror.Missing, "needs a name")
 			}
-			if err == nil && r.State != "gone" && r.State != "leaving" && (r.Address == "" || r.Pool == "") {
+			if err == nil && r.State != ReplicaGone && r.State != ReplicaDraining && (r.Address == "" || r.Pool == "") {
 				err = item.Refuse(apierror.Missing, "needs address and pool")
 			}
 			all = append(all, r)
--- a/controlplane/acceptors.go
+++ b/controlplane/acceptors.go
@@ -9,91 +9,123 @@
 	"asterridge/rpc"
 )
 
-// RegisterRequest is what a core asks of another's acceptor; From is the asker's incarnation, Members the version of its list.
+// Both kinds of acceptor serve a register's owner.
+var (
+	_ register.Peer = localAcceptor{}
+	_ register.Peer = remoteAcceptor{}
+)
+
+// RegisterRequest is a message from a register's owner to a member's acceptor.
 type RegisterRequest struct {
-	From           string            `json:"from"`
-	MembersVersion uint64            `json:"members"`
-	Key            string            `json:"key,omitempty"`
-	Epoch          uint64            `json:"epoch,omitempty"`
-	Known          register.Revision `json:"has"`
-	Change         *register.Change  `json:"change,omitempty"`
+	// From is the sender's incarnation, MembersVersion the version of the list of members that it acts on.
+	From           string `json:"from"`
+	MembersVersion uint64 `json:"members"`
+	Key            string `json:"key,omitempty"`
+	Epoch          uint64 `json:"epoch,omitempty"`
+	// Known is the revision whose content the sender has; in a commit, the revision that is committed.
+	Known  register.Revision `json:"has"`
+	Change *register.Change  `json:"change,omitempty"`
 }
 
-// localAcceptor is this core's acceptor, under the same fence as everybody's.
+// localAcceptor is this core's acceptor, under the same checks as everybody's.
 type localAcceptor struct {
 	core           *Core
 	membersVersion uint64
 }
 
-func (o localAcceptor) Prepare(_ context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	return o.core.handlePrepare(context.Background(), RegisterRequest{From: o.core.incarnation, MembersVersion: o.membersVersion, Key: key, Epoch: epoch, Known: has})
+func (a localAcceptor) request() RegisterRequest {
+	return RegisterRequest{From: a.core.incarnation, MembersVersion: a.membersVersion}
 }
 
-func (o localAcceptor) Confirm(_ context.Context, key string, epoch uint64) error {
-	_, err := o.core.handleConfirm(context.Background(), RegisterRequest{From: o.core.incarnation, MembersVersion: o.membersVersion, Key: key, Epoch: epoch})
+// Prepare implements register.Peer.
+func (a localAcceptor) Prepare(_ context.Context, key string, epoch uint64, known register.Revision) (register.Record, error) {
+	request := a.request()
+	request.Key, request.Epoch, request.Known = key, epoch, known
+	return a.core.handlePrepare(context.Background(), request)
+}
+
+// Confirm implements register.Peer.
+func (a localAcceptor) Confirm(_ context.Context, key string, epoch uint64) error {
+	request := a.request()
+	request.Key, request.Epoch = key, epoch
+	_, err := a.core.handleConfirm(context.Background(), request)
 	return err
 }
 
-func (o localAcceptor) Accept(_ context.Context, change register.Change) error {
-	_, err := o.core.handleAccept(context.Background(), RegisterRequest{From: o.core.incarnation, MembersVersion: o.membersVersion, Change: &change})
+// Accept implements register.Peer.
+func (a localAcceptor) Accept(_ context.Context, change register.Change) error {
+	request := a.request()
+	request.Change = &change
+	_, err := a.core.handleAccept(context.Background(), request)
 	return err
 }
 
-func (o localAcceptor) Commit(_ context.Context, key string, revision register.Revision) {
-	o.core.acceptor.Commit(key, revision)
+// Commit implements register.Peer.
+func (a localAcceptor) Commit(_ context.Context, key string, revision register.Revision) {
+	a.core.acceptor.Commit(key, revision)
 }
 
-// remoteAcceptor is another core's acceptor.
+// remoteAcceptor is another member's acceptor.
 type remoteAcceptor struct {
 	core           *Core
 	address        string
 	membersVersion uint64
 }
 
-func (p remoteAcceptor) Prepare(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	return rpc.Call[register.Record](ctx, p.core.rpc, p.address, "/register/promise",
-		RegisterRequest{From: p.core.incarnation, MembersVersion: p.membersVersion, Key: key, Epoch: epoch, Known: has})
+func (a remoteAcceptor) request() RegisterRequest {
+	return RegisterRequest{From: a.core.incarnation, MembersVersion: a.membersVersion}
 }
 
-func (p remoteAcceptor) Confirm(ctx context.Context, key string, epoch uint64) error {
-	_, err := rpc.Call[struct{}](ctx, p.core.rpc, p.address, "/register/confirm",
-		RegisterRequest{From: p.core.incarnation, MembersVersion: p.membersVersion, Key: key, Epoch: epoch})
+// Prepare implements register.Peer.
+func (a remoteAcceptor) Prepare(ctx context.Context, key string, epoch uint64, known register.Revision) (register.Record, error) {
+	request := a.request()
+	request.Key, request.Epoch, request.Known = key, epoch, known
+	return rpc.Call[register.Record](ctx, a.core.rpc, a.address, "/register/promise", request)
+}
+
+// Confirm implements register.Peer.
+func (a remoteAcceptor) Confirm(ctx context.Context, key string, epoch uint64) error {
+	request := a.request()
+	request.Key, request.Epoch = key, epoch
+	_, err := rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/confirm", request)
 	return err
 }
 
-func (p remoteAcceptor) Accept(ctx context.Context, change register.Change) error {
-	_, err := rpc.Call[struct{}](ctx, p.core.rpc, p.address, "/register/accept",
-		RegisterRequest{From: p.core.incarnation, MembersVersion: p.membersVersion, Change: &change})
+// Accept implements register.Peer.
+func (a remoteAcceptor) Accept(ctx context.Context, change register.Change) error {
+	request := a.request()
+	request.Change = &change
+	_, err := rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/accept", request)
 	return err
 }
 
-func (p remoteAcceptor) Commit(ctx context.Context, key string, revision register.Revision) {
-	_, _ = rpc.Call[struct{}](ctx, p.core.rpc, p.address, "/register/settle",
-		RegisterRequest{From: p.core.incarnation, MembersVersion: p.membersVersion, Key: key, Known: revision})
+// Commit implements register.Peer. A message that is lost costs a question later, so its error is dropped.
+func (a remoteAcceptor) Commit(ctx context.Context, key string, revision register.Revision) {
+	request := a.request()
+	request.Key, request.Known = key, revision
+	_, _ = rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/settle", request)
 }
 
-// checkRequester refuses register messages unless both ends are members under the same list. While a newer list is accepted here and not yet
-// settled, only the members' own register moves: so nothing is written under the old list once the new one may stand (§2.8).
-func (c *Core) checkRequester(m RegisterRequest, key string) error {
+// checkRequest rejects register messages unless both ends are members under the same list. While a newer list is accepted here and not
+// committed, only the members' own register moves: so nothing is written under the old list once the new one may stand. The errors are
+// apierror.NoMember and apierror.OtherMembers.
+func (c *Core) checkRequest(request RegisterRequest, key string) error {
 	now := c.membership()
 	if now.self == nil {
 		return apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
 	}
-	if !now.hasIncarnation(m.From) {
-		c.host.Log.Warn().Str("event", "unknown_peer").Str("from", m.From).Msg("")
+	if !now.hasIncarnation(request.From) {
+		c.host.Log.Warn().Str("from", request.From).Msg("register message from a core that is not a member")
 		return apierror.New(apierror.NoMember, "the asker is no member")
 	}
-	if m.MembersVersion > now.version {
-		now = c.awaitMembership(m.MembersVersion) // the asker has heard a moment sooner that a list is settled
+	if request.MembersVersion > now.version {
+		now = c.awaitMembership(request.MembersVersion) // the sender has heard a moment sooner that a list is committed
 	}
-	if m.MembersVersion > now.version && c.refreshMu.TryLock() {
-		go func() { // what follows from here says nothing of it while a change is under way that is not settled
-			defer c.refreshMu.Unlock()
-			c.announce(context.Background(), now)
-		}()
+	if request.MembersVersion > now.version {
+		c.refreshMembership(now)
 	}
-	if m.MembersVersion != now.version {
-		return apierror.New(apierror.OtherMembers, "the asker's list of members is %d, ours %d", m.MembersVersion, now.version)
+	if request.MembersVersion != now.version {
+		return apierror.New(apierror.OtherMembers, "the asker's list of members is %d, ours %d", request.MembersVersion, now.version)
 	}
 	if key != config.MembersKey && c.acceptor.Revision(config.MembersKey).Version > now.version {
 		return apierror.New(apierror.OtherMembers, "a newer list of members is being settled")
@@ -101,34 +133,46 @@
 	return nil
 }
 
-func (c *Core) handlePrepare(_ context.Context, m RegisterRequest) (register.Record, error) {
-	if err := c.checkRequester(m, m.Key); err != nil {
+// refreshMembership asks the members for a newer list, in the background and once at a time. Their watches show no committed list while a
+// change that is not committed stands in its place.
+func (c *Core) refreshMembership(now activeMembership) {
+	if !c.refreshMu.TryLock() {
+		return
+	}
+	go func() {
+		defer c.refreshMu.Unlock()
+		c.announce(context.Background(), now)
+	}()
+}
+
+func (c *Core) handlePrepare(_ context.Context, request RegisterRequest) (register.Record, error) {
+	if err := c.checkRequest(request, request.Key); err != nil {
 		return register.Record{}, err
 	}
-	return c.acceptor.Prepare(m.Key, m.Epoch, m.Known)
+	return c.acceptor.Prepare(request.Key, request.Epoch, request.Known)
 }
 
-func (c *Core) handleConfirm(_ context.Context, m RegisterRequest) (struct{}, error) {
-	if err := c.checkRequester(m, m.Key); err != nil {
+func (c *Core) handleConfirm(_ context.Context, request RegisterRequest) (struct{}, error) {
+	if err := c.checkRequest(request, request.Key); err != nil {
 		return struct{}{}, err
 	}
-	return struct{}{}, c.acceptor.Confirm(m.Key, m.Epoch)
+	return struct{}{}, c.acceptor.Confirm(request.Key, request.Epoch)
 }
 
-func (c *Core) handleAccept(_ context.Context, m RegisterRequest) (struct{}, error) {
-	if m.Change == nil || m.Change.Key == "" {
+func (c *Core) handleAccept(_ context.Context, request RegisterRequest) (struct{}, error) {
+	if request.Change == nil || request.Change.Key == "" {
 		return struct{}{}, apierror.New(apierror.Malformed, "no change")
 	}
-	if err := c.checkRequester(m, m.Change.Key); err != nil {
+	if err := c.checkRequest(request, request.Change.Key); err != nil {
 		return struct{}{}, err
 	}
-	return struct{}{}, c.acceptor.Accept(*m.Change)
+	return struct{}{}, c.acceptor.Accept(*request.Change)
 }
 
-func (c *Core) handleCommit(_ context.Context, m RegisterRequest) (struct{}, error) {
-	if err := c.checkRequester(m, config.MembersKey); err != nil {
+func (c *Core) handleCommit(_ context.Context, request RegisterRequest) (struct{}, error) {
+	if err := c.checkRequest(request, config.MembersKey); err != nil {
 		return struct{}{}, err
 	}
-	c.acceptor.Commit(m.Key, m.Known)
+	c.acceptor.Commit(request.Key, request.Known)
 	return struct{}{}, nil
 }
--- /dev/null
+++ b/controlplane/cache_readers.go
@@ -0,0 +1,158 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+	"strings"
+	"time"
+
+	"asterridge/config"
+	"asterridge/daemon"
+	"asterridge/protocol"
+	"asterridge/register"
+	"asterridge/router"
+	"asterridge/rpc"
+	"asterridge/watch"
+)
+
+const (
+	// cacheWatchWait is how long a call for cache updates is held open by a replica.
+	cacheWatchWait = time.Second
+	// cacheUpdateDelay lets updates that come close together be published together.
+	cacheUpdateDelay = 250 * time.Millisecond
+	// maxReadFailures is how many failures in a row make a source count as gone.
+	maxReadFailures = 2
+)
+
+// runCacheReaders reads the cache updates of the replicas and stores that are assigned to this core (docs/design.md §6.4), until the context
+// ends. What is read is a hint without a revision, and is read anew after any doubt.
+func (c *Core) runCacheReaders(ctx context.Context) {
+	readers := map[string]context.CancelFunc{}
+	// assignedBefore is the assignment at the step before: a core that is being cut off misses the others one after another, and is
+	// assigned more for a moment.
+	var assignedBefore map[string]string
+	daemon.Every(ctx, protocol.CacheReaderInterval, func() {
+		if c.membership().self != nil && !c.hasQuorum() {
+			return // agents may hear this core as before: it goes on with what it reads, and takes up nothing else
+		}
+		assigned := c.assignedCacheSources()
+		for key, stop := range readers {
+			if assigned[key] == "" {
+				stop()
+				delete(readers, key)
+			}
+		}
+		for key, address := range assigned {
+			if readers[key] == nil && assignedBefore[key] != "" {
+				readerCtx, stop := context.WithCancel(ctx)
+				readers[key] = stop
+				go c.readCacheSource(readerCtx, key, address)
+			}
+		}
+		assignedBefore = assigned
+	})
+}
+
+// assignedCacheSources gives the sources that this core is to read: address by the key of their updates.
+func (c *Core) assignedCacheSources() map[string]string {
+	assigned := map[string]string{}
+	for name, address := range c.cacheSources() {
+		if key := router.KeptPrefix + name; c.isAssigned(key) {
+			assigned[key] = address
+		}
+	}
+	return assigned
+}
+
+// cacheSources gives the replicas and stores that let their cache updates be read: address by their name in the index.
+func (c *Core) cacheSources() map[string]string {
+	sources := map[string]string{}
+	plan, err := config.FromFields(withoutTexts(c.acceptor.Read(config.Key).Fields))
+	if err != nil {
+		return sources
+	}
+	for name, pool := range plan.Pools {
+		if pool.Kind == config.StorePool && pool.Address != "" && pool.MaxReaders > 0 {
+			sources[router.StoreName(name)] = pool.Address
+		}
+	}
+	replicas, err := config.Load[config.Replica](c.acceptor.Read(config.ReplicasKey).Fields)
+	if err != nil {
+		return sources
+	}
+	for name, replica := range replicas {
+		if plan.Pools[replica.Pool].MaxReaders > 0 && replica.State != config.ReplicaDraining {
+			sources[name] = replica.Address
+		}
+	}
+	return sources
+}
+
+// readCacheSource follows one source until the context ends.
+func (c *Core) readCacheSource(ctx context.Context, key, address string) {
+	var offset CacheOffset
+	up, failures := false, 0
+	defer c.prefixes.drop(key)
+	for ctx.Err() == nil {
+		update, err := c.nextCacheUpdate(ctx, address, offset)
+		if ctx.Err() != nil {
+			return
+		}
+		if err != nil {
+			if failures++; failures == maxReadFailures && up {
+				c.host.Log.Warn().Str("source", key).Err(err).Msg("cache source gone")
+				c.publishCached(key, c.prefixes.drop(key), true)
+				up, offset = false, CacheOffset{}
+			}
+			_ = rpc.Sleep(ctx, cacheUpdateDelay) // the loop looks at the context
+			continue
+		}
+		if !up {
+			c.host.Log.Info().Str("source", key).Msg("cache source read")
+		}
+		full := update.Snapshot || !up
+		offset, failures, up = update.Offset, 0, true
+		fields := c.prefixes.update(key, update.Blocks, full)
+		if full {
+			fields[router.KeptUp] = json.RawMessage("1")
+		}
+		if len(fields) > 0 {
+			c.publishCached(key, fields, full)
+		}
+		_ = rpc.Sleep(ctx, cacheUpdateDelay) // the loop looks at the context
+	}
+}
+
+func (c *Core) nextCacheUpdate(ctx context.Context, address string, offset CacheOffset) (CacheUpdate, error) {
+	ctx, cancel := context.WithTimeout(ctx, 2*cacheWatchWait)
+	defer cancel()
+	return c.options.Backend.CachedBlocks(ctx, address, offset, cacheWatchWait)
+}
+
+// publishCached tells the agents, and of stores the other cores too, what a source has cached now.
+func (c *Core) publishCached(key string, fields register.Fields, full bool) {
+	c.agentUpdates.PublishDeferred(key, fields, full)
+	if isStore(key) {
+		c.peerUpdates.PublishDeferred(key, fields, full)
+		c.applySharedBlocks(key, fields, full)
+	}
+}
+
+func isStore(key string) bool { return strings.HasPrefix(key, router.KeptPrefix+router.StoreName("")) }
+
+// applySharedBlocks notes what a store has cached: it was left there since other requests may share it. What this core has held back of it
+// is published now.
+func (c *Core) applySharedBlocks(key string, fields register.Fields, full bool) {
+	for source, published := range c.prefixes.shareBlocks(key, fields, full) {
+		c.agentUpdates.PublishDeferred(source, published, false)
+	}
+}
+
+// applyStoreUpdates notes what stores have cached from the response of the core that reads them.
+func (c *Core) applyStoreUpdates(response watch.Response) {
+	for _, update := range response.Updates {
+		if isStore(update.Key) && len(update.Fields) > 0 {
+			c.applySharedBlocks(update.Key, update.Fields, response.Snapshot)
+		}
+	}
+}
--- /dev/null
+++ b/controlplane/config.go
@@ -0,0 +1,109 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+
+	"asterridge/apierror"
+	"asterridge/config"
+	"asterridge/register"
+)
+
+// Conditions on what a ConfigChange names.
+const (
+	mustBeNew   = "new"
+	mustBeKnown = "known"
+)
+
+// ConfigChange is a whole or partial configuration from an operator.
+type ConfigChange struct {
+	Text    json.RawMessage `json:"text"`
+	Partial bool            `json:"partial"`
+	// ExpectedVersion is the version that the operator saw; nil: any.
+	ExpectedVersion *uint64 `json:"expect,omitempty"`
+	// NameCondition is "new" if what is named must not exist yet, "known" if it must; empty: either.
+	NameCondition string `json:"named,omitempty"`
+}
+
+// applyConfig merges or replaces the configuration. What stands already is no change, so the same order may come again.
+func (c *Core) applyConfig(ctx context.Context, order ConfigChange) (Accepted, error) {
+	revision, err := c.owner.Change(ctx, config.Key, func(present register.Fields, version uint64) (register.Fields, error) {
+		fields, err := order.merge(present, version)
+		if err != nil {
+			return nil, err
+		}
+		change := config.Delta(present, fields)
+		switch created := len(fields) > len(present); {
+		case order.NameCondition == mustBeNew && !created && len(present) > 0:
+			return nil, apierror.New(apierror.Exists, "a thing of this name is there already")
+		case len(change) == 0:
+			return nil, nil // it stands: the order came again, or another one asked for the same
+		case order.ExpectedVersion != nil && *order.ExpectedVersion != version:
+			return nil, apierror.New(apierror.Conflict, "expected version %d, present is %d", *order.ExpectedVersion, version)
+		case order.NameCondition == mustBeKnown && created:
+			return nil, apierror.New(apierror.NotFound, "nothing has this name")
+		}
+		return change, nil
+	})
+	c.logOutcome("configuration", config.Key, revision, err)
+	return Accepted{Version: revision.Version}, err
+}
+
+// merge gives the fields of the configuration that the order makes of the present one.
+func (order ConfigChange) merge(present register.Fields, version uint64) (register.Fields, error) {
+	if number := config.Number(present); number > 0 {
+		return nil, apierror.New(apierror.Conflict, "this fleet is declared by numbered configurations, present is %d", number)
+	}
+	base, err := config.FromFields(present)
+	if err != nil {
+		return nil, err
+	}
+	next, err := config.Parse(order.Text, base, order.Partial)
+	if err != nil {
+		return nil, err
+	}
+	if err := next.KeepBases(base); err != nil {
+		return nil, err
+	}
+	next.Inherit(base, version+1)
+	return next.Fields(), nil
+}
+
+// applyNumberedConfig takes a numbered configuration (docs/design.md §2.9). The same one again is answered as it was the first time.
+func (c *Core) applyNumberedConfig(ctx context.Context, d config.Declaration) (Accepted, error) {
+	revision, err := c.owner.Change(ctx, config.Key, func(present register.Fields, version uint64) (register.Fields, error) {
+		change, err := config.Declare(present, version, d)
+		if err == nil && len(change) > 0 && present[throttleField] == nil && c.options.Throttle != nil {
+			change.Apply(config.Field(throttleField, c.options.Throttle))
+		}
+		return change, err
+	})
+	c.logOutcome("numbered configuration", config.Key, revision, err)
+	return Accepted{Version: revision.Version}, err
+}
+
+// SubmitConfig takes a numbered configuration to the configuration's owner; nil means that a majority has it. The error is
+// apierror.Conflict if another configuration was accepted in its place, apierror.Undecided if it may or may not have been accepted.
+func (c *Core) SubmitConfig(ctx context.Context, d config.Declaration) error {
+	_, err := c.operations.numberedConfig.submit(ctx, d)
+	return err
+}
+
+// ReadConfig gives the newest accepted configuration: no older one than any that was accepted before the call. It fails if no majority
+// confirms that it is the newest.
+func (c *Core) ReadConfig(ctx context.Context) (number uint64, texts []config.Text, err error) {
+	record, err := c.newestConfig(ctx)
+	if err != nil {
+		return 0, nil, err
+	}
+	return config.Number(record.Fields), config.Texts(record.Fields), nil
+}
+
+// newestConfig gives the configuration's register, no older than at the time of the call.
+func (c *Core) newestConfig(ctx context.Context) (register.Record, error) {
+	newest, err := c.operations.commit.submit(ctx, CommitRequest{Key: config.Key})
+	if err != nil {
+		return register.Record{}, err
+	}
+	return c.awaitRevision(ctx, config.Key, newest.Revision)
+}
--- /dev/null
+++ b/controlplane/leases.go
@@ -0,0 +1,85 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"asterridge/daemon"
+	"asterridge/lease"
+	"asterridge/rpc"
+)
+
+// leasePrefix begins the keys of the registers that hold leases, one for each singleton role.
+const leasePrefix = "term/"
+
+// The singleton roles that are held by a lease, as their registers name them.
+const (
+	weightsRole    = "rollout"
+	loadingRole    = "loading"
+	retirementRole = "retirement"
+)
+
+const (
+	// roleLease is the length of a lease of the roles for weights and retirements.
+	roleLease = 3 * time.Second
+	// campaignsPerLease is how often in a lease its holder renews it, or a candidate looks.
+	campaignsPerLease = 5
+	// leaseMargin is the part of a lease by which its holder gives it up before its end: an eighth.
+	leaseMargin = 8
+	// prunesPerRetention is how often claims are pruned in the time for which they are kept.
+	prunesPerRetention = 20
+)
+
+// LeaseRequest writes a role's grant in the place of the one that the candidate has seen.
+type LeaseRequest struct {
+	Role     string      `json:"duty"`
+	Grant    lease.Grant `json:"made"`
+	Expected lease.Grant `json:"met"`
+}
+
+func (r LeaseRequest) register() string { return leasePrefix + r.Role }
+
+func (c *Core) grantLease(ctx context.Context, request LeaseRequest) (Accepted, error) {
+	revision, err := c.owner.Change(ctx, request.register(), request.Grant.Replace(request.Expected))
+	return Accepted{Version: revision.Version}, err
+}
+
+// leaseStore keeps the grants of singleton roles in registers.
+type leaseStore struct{ core *Core }
+
+var _ lease.Store = leaseStore{}
+
+// Read implements lease.Store.
+func (s leaseStore) Read(role string) lease.Grant {
+	record := s.core.acceptor.Read(leasePrefix + role)
+	return lease.ReadGrant(record.Fields, record.Revision.Version)
+}
+
+// Acquire implements lease.Store.
+func (s leaseStore) Acquire(ctx context.Context, role string, grant, expected lease.Grant) (version uint64, err error) {
+	request := LeaseRequest{Role: role, Grant: grant, Expected: expected}
+	accepted, err := rpc.Call[Accepted](ctx, s.core.rpc, s.core.host.Address, "/op/term", request)
+	return accepted.Version, err
+}
+
+// newCandidate makes this core a candidate for a role. Its name as a holder is unique to this run of the process.
+func (c *Core) newCandidate(role string, length time.Duration) *lease.Candidate {
+	return lease.New(lease.Options{
+		Role:   role,
+		Holder: c.host.Name + "." + c.incarnation + "." + c.peerUpdates.RunID(),
+		Length: length,
+		Margin: length / leaseMargin,
+		Store:  leaseStore{core: c},
+		Log:    c.host.Log,
+	})
+}
+
+// runRoles performs the singleton roles that need no platform, as far as this core holds them, until the context ends.
+func (c *Core) runRoles(ctx context.Context) {
+	go daemon.Every(ctx, c.options.ClaimRetention/prunesPerRetention, func() { c.pruneClaims(ctx) })
+	if c.options.Backend != nil {
+		return // a platform's replicas take their orders from the model loader
+	}
+	go c.runRetirements(ctx)
+	c.runWeightsRollout(ctx)
+}
--- a/controlplane/leave.go
+++ b/controlplane/leave.go
@@ -3,48 +3,48 @@
 import (
 	"context"
 	"net"
-	"slices"
 	"time"
 
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/membership"
-	"asterridge/protocol"
 	"asterridge/rpc"
 )
 
 const (
 	leavePollInterval = 50 * time.Millisecond
-	MaxLeaveTimeout   = 3 * time.Second // of the grace that a core has to end in order
+	// MaxLeaveTimeout is the most of its grace that a core spends on leaving the members.
+	MaxLeaveTimeout = 3 * time.Second
 )
 
 // ServeUntilStopped runs the core until stopped ends. It then leaves the list of members, if the rest does as well without it, and goes on
-// serving until every key is carried over.
+// serving until every key is transferred.
 func (c *Core) ServeUntilStopped(stopped context.Context, listener net.Listener) error {
 	serving, end := context.WithCancel(context.WithoutCancel(stopped))
 	defer end()
 	go func() {
 		defer end()
 		<-stopped.Done()
-		short, stop := context.WithTimeout(serving, c.options.LeaveTimeout)
-		defer stop()
-		if err := c.Leave(short); err != nil {
-			c.host.Log.Info().Str("event", "stays_member").Err(err).Msg("")
+		ctx, cancel := context.WithTimeout(serving, c.options.LeaveTimeout)
+		defer cancel()
+		if err := c.Leave(ctx); err != nil {
+			c.host.Log.Info().Err(err).Msg("stays a member while it is stopped")
 		}
 	}()
 	return c.Serve(serving, listener)
 }
 
-// Leave takes this core off the list of members and waits until every key is on a majority of those that are left. It fails if the rest
-// bears losses less well without this core than with a member that is silent for a while; the core is then a member still.
+// Leave takes this core off the list of members and waits until every key is on a majority of those that are left. It fails with
+// apierror.OutOfRange if the rest bears losses less well without this core than with a member that is unresponsive for a while, and with
+// apierror.Undecided if the context ends first; the core may be a member still.
 func (c *Core) Leave(ctx context.Context) error {
 	if !c.options.AutoMembership {
 		return apierror.New(apierror.OutOfRange, "operators change the members here")
 	}
-	c.isLeaving.Store(true) // it does not ask to be admitted again
+	c.leaving.Store(true) // it does not ask to be admitted again
 	for {
-		hasLeft, err := c.tryLeave(ctx)
-		if hasLeft || err != nil && !apierror.Is(err, apierror.Conflict) && !apierror.Is(err, apierror.Undecided) && !apierror.Is(err, apierror.Unreachable) && !apierror.Is(err, apierror.NotFound) {
+		left, err := c.tryLeave(ctx)
+		if left || err != nil && !mayRetryLeave(err) {
 			return err
 		}
 		if rpc.Sleep(ctx, leavePollInterval) != nil {
@@ -53,31 +53,23 @@
 	}
 }
 
-// tryLeave does what is next for leaving, and says whether that is done.
-func (c *Core) tryLeave(ctx context.Context) (hasLeft bool, err error) {
+func mayRetryLeave(err error) bool {
+	return apierror.Is(err, apierror.Conflict) || apierror.Is(err, apierror.Undecided) ||
+		apierror.Is(err, apierror.Unreachable) || apierror.Is(err, apierror.NotFound)
+}
+
+// tryLeave takes the next step of leaving, and reports whether that is done.
+func (c *Core) tryLeave(ctx context.Context) (left bool, err error) {
 	record := c.acceptor.Read(config.MembersKey)
-	members, prior, _ := protocol.ReadMembers(record.Fields)
-	listed := slices.ContainsFunc(members, func(m config.Member) bool { return m.Incarnation == c.incarnation })
+	list := membership.Decode(record.Fields)
 	switch {
-	case !record.IsCommitted() || prior != nil:
+	case !record.IsCommitted() || list.Previous != nil:
 		return false, nil // a change, our own perhaps, is under way
-	case !listed:
+	case !membership.HasIncarnation(list.Members, c.incarnation):
 		return true, nil
-	case !c.mayLeave(members, c.host.Name):
-		return false, apierror.New(apierror.OutOfRange, "%d members would be left", len(members)-1)
+	case !c.membershipView().MayLeave(list.Members, c.host.Name):
+		return false, apierror.New(apierror.OutOfRange, "%d members would be left", len(list.Members)-1)
 	}
-	_, err = c.submitMembershipChange(ctx, MembershipChange{Do: leaveMember, Name: c.host.Name})
+	_, err = c.operations.membership.submit(ctx, membership.Change{Action: membership.Leave, Name: c.host.Name})
 	return false, err
 }
-
-// mayLeave says whether a member that runs may leave: the rest then bears the tolerated losses, or at least more of them than the
-// list would with this member silent.
-func (c *Core) mayLeave(members []config.Member, name string) bool {
-	rest := slices.DeleteFunc(slices.Clone(members), func(m config.Member) bool { return m.Name == name })
-	c.mu.Lock()
-	silent := c.liveness.countUnresponsive(rest, protocol.LivenessTimeout)
-	c.mu.Unlock()
-	spare := membership.SpareLosses(len(rest), silent)
-	return len(rest) >= minMembers && spare >= 0 &&
-		(spare >= c.options.Tolerance.Losses(rest) || spare > membership.SpareLosses(len(members), silent+1))
-}
--- a/controlplane/messages_test.go
+++ b/controlplane/messages_test.go
@@ -11,6 +11,7 @@
 	"asterridge/golden"
 	"asterridge/gossip"
 	"asterridge/lease"
+	"asterridge/membership"
 	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/replicaclient"
@@ -41,7 +42,7 @@
 		{Name: "POST /op/claim, /agent/claim", Type: claim.Request{}},
 		{Name: "POST /op/claim: answer", Type: router.Claim{}},
 		{Name: "POST /op/term", Type: LeaseRequest{}},
-		{Name: "POST /op/members", Type: MembershipChange{}},
+		{Name: "POST /op/members", Type: membership.Change{}},
 		{Name: "POST /op/settle", Type: CommitRequest{}},
 		{Name: "POST /op/settle: answer", Type: CommitResponse{}},
 		{Name: "POST /op/declaration", Type: config.Declaration{}},
@@ -53,7 +54,7 @@
 		{Name: "POST /query, /agent/query", Type: Query{}},
 		{Name: "POST /query: answer", Type: QueryResponse{}},
 		{Name: "question for rows of a proxy", Type: router.Query{}},
-		{Name: "report of a replica, with its cache", Type: replicaclient.ReplicaReport{}},
+		{Name: "report of a replica, with its cache", Type: replicaclient.Report{}},
 		{Name: "order to a replica with adapters", Type: router.AdapterOrder{}},
 		{Name: "event of an attempt, in the proxy's log", Type: router.Event{}},
 		{Name: "stored: a claim", Type: claim.Record{}},
@@ -77,8 +78,8 @@
 // The names under which state is stored and sent stay as they are.
 func TestStoredNamesKeepTheirForm(t *testing.T) {
 	is := is.New(t)
-	is.Equal([]string{protocol.IdentityFolder, incarnationFile, founderFile, membershipVersionFile, unresponsiveFile}, []string{"self", "incarnation", "founder", "members", "silent"})
-	is.Equal([]string{protocol.PreviousMembersField, protocol.HighestIDField, protocol.ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
+	is.Equal([]string{protocol.IdentityFolder, incarnationFile, firstStartFile, membershipVersionFile, unresponsiveFile}, []string{"self", "incarnation", "founder", "members", "silent"})
+	is.Equal([]string{membership.PreviousField, membership.HighestIDField, protocol.ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
 	is.Equal([]string{config.Key, config.ModelsKey, config.LoadsKey, config.RetirementKey, config.ReplicasKey, config.MembersKey, config.KeysPrefix},
 		[]string{"blue" + "print", "models", "loads", "retirement", "replicas", "members", "keys/"})
 	is.Equal([]string{router.HoldKey, router.NamedKey, router.ProxiesKey, router.ReportsKey, router.KeptPrefix, router.OccupancyKey},
--- a/controlplane/core_metrics.go
+++ b/controlplane/metrics.go
@@ -6,8 +6,15 @@
 	"asterridge/protocol"
 )
 
+// gauges are the figures of this moment for GET /metrics; docs/operators.md says what each tells.
 func (c *Core) gauges() []daemon.Gauge {
 	now := c.membership()
+	uncommitted := 0
+	for _, key := range c.acceptor.Keys() {
+		if c.acceptor.Uncommitted(key) {
+			uncommitted++
+		}
+	}
 	all := []daemon.Gauge{
 		{Name: "core_is_member", Value: daemon.BoolValue(now.self != nil)},
 		{Name: "core_members", Value: float64(len(now.members))},
@@ -15,17 +22,13 @@
 		{Name: "core_keys_owned", Value: float64(len(c.owner.OwnedKeys()))},
 		{Name: "core_holds", Value: float64(len(c.throttles.All()))},
 		{Name: "core_blueprint_version", Value: float64(c.acceptor.Revision(config.Key).Version)},
+		{Name: "core_keys_unsettled", Value: float64(uncommitted)},
 	}
-	unsettled := 0
-	for _, key := range c.acceptor.Keys() {
-		if c.acceptor.Uncommitted(key) {
-			unsettled++
-		}
-	}
-	all = append(all, daemon.Gauge{Name: "core_keys_unsettled", Value: float64(unsettled)})
-	for _, s := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
-		all = append(all, daemon.Gauge{Name: "core_agent_behind", Value: float64(s.Lag), Label: [2]string{"agent", s.Name}})
+	for _, state := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
+		all = append(all, daemon.Gauge{Name: "core_agent_behind", Value: float64(state.Lag), Label: [2]string{"agent", state.Name}})
 	}
 	sent, alarms := c.detector.Stats()
-	return append(all, daemon.Gauge{Name: "ring_messages_sent", Value: float64(sent)}, daemon.Gauge{Name: "ring_alarms", Value: float64(alarms)})
+	return append(all,
+		daemon.Gauge{Name: "ring_messages_sent", Value: float64(sent)},
+		daemon.Gauge{Name: "ring_alarms", Value: float64(alarms)})
 }
--- /dev/null
+++ b/controlplane/publish.go
@@ -0,0 +1,94 @@
+package controlplane
+
+import (
+	"encoding/json"
+
+	"asterridge/config"
+	"asterridge/protocol"
+	"asterridge/register"
+	"asterridge/router"
+	"asterridge/throttle"
+	"asterridge/watch"
+)
+
+// publishAccepted passes what the disk has accepted on to peers and agents. It is called under the key's lock.
+func (c *Core) publishAccepted(key string, record register.Record, change register.Fields, full bool) {
+	c.peerUpdates.Publish(key, record.Revision, record.Committed, change, full)
+	if protocol.IsPublished(key) {
+		c.agentUpdates.Publish(key, record.Revision, record.Committed, withoutTexts(change), full)
+	}
+	if c.acceptor == nil {
+		return // still loading
+	}
+	switch key {
+	case config.MembersKey:
+		go func() {
+			c.applyMembers()
+			c.wake()
+		}()
+	case config.ModelsKey:
+		c.publishModelVersions(change)
+	}
+}
+
+// withoutTexts leaves out the texts that operators wrote, which only operators read again.
+func withoutTexts(change register.Fields) register.Fields {
+	rest := register.Fields{}
+	for field, raw := range change {
+		if !config.IsText(field) {
+			rest[field] = raw
+		}
+	}
+	return rest
+}
+
+// publishModelVersions tells agents when a version of a model came to this disk, or when this process began that found it there. Agents go
+// by the oldest age that any core tells, so a core that has restarted adds nothing. If all cores have restarted, the time for which old
+// versions may be used counts from the first start among them (docs/design.md §6.5).
+func (c *Core) publishModelVersions(change register.Fields) {
+	models, err := config.Load[config.Model](change)
+	if err != nil {
+		return
+	}
+	fields := register.Fields{}
+	for name, model := range models {
+		field := router.NamedField(name, model.Version)
+		if _, announced := c.announcedVersions.LoadOrStore(field, true); !announced {
+			fields[field] = json.RawMessage("0")
+		}
+	}
+	if len(fields) > 0 {
+		publishHint(c.agentUpdates, router.NamedKey, fields)
+	}
+}
+
+// publishThrottle passes a throttle on to peers and agents.
+func (c *Core) publishThrottle(e throttle.Entry) {
+	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
+	fields := register.Fields{e.Scope: raw}
+	publishHint(c.peerUpdates, router.HoldKey, fields)
+	publishHint(c.agentUpdates, router.HoldKey, fields)
+}
+
+// publishProxies tells agents which proxies share the replicas (docs/design.md §5.3).
+func (c *Core) publishProxies() {
+	running := register.Fields{}
+	for _, state := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
+		var status protocol.AgentStatus
+		if state.Role == "agent" && json.Unmarshal(state.Status, &status) == nil && status.Proxy != nil && !status.Proxy.Stop {
+			running[status.Proxy.Proxy] = json.RawMessage(`true`)
+		}
+	}
+	c.mu.Lock()
+	change := config.Delta(c.proxies, running)
+	c.proxies = running
+	c.mu.Unlock()
+	if len(change) > 0 {
+		publishHint(c.agentUpdates, router.ProxiesKey, change)
+	}
+}
+
+// publishHint publishes fields of a key that is no register and so has no revision.
+func publishHint(server *watch.Server, key string, fields register.Fields) {
+	server.Publish(key, register.Revision{}, register.Revision{}, fields, false)
+}
--- /dev/null
+++ b/controlplane/throttles.go
@@ -0,0 +1,68 @@
+package controlplane
+
+import (
+	"context"
+	"encoding/json"
+
+	"asterridge/apierror"
+	"asterridge/config"
+	"asterridge/protocol"
+	"asterridge/register"
+	"asterridge/throttle"
+)
+
+// throttleField is the field of a throttle's register that holds it, and the field of the configuration that holds the waiting rule.
+const throttleField = "hold"
+
+func throttleRegister(n throttle.Notice) string { return protocol.ThrottlePrefix + n.Scope }
+
+// handleThrottle merges a throttle that another core stores, and so tells the agents of it.
+func (c *Core) handleThrottle(_ context.Context, n throttle.Notice) (struct{}, error) {
+	_, err := c.mergeThrottle(n)
+	return struct{}{}, err
+}
+
+// mergeThrottle reports whether the throttle extends what the table has.
+func (c *Core) mergeThrottle(n throttle.Notice) (extended bool, err error) {
+	if n.Scope == "" || n.ID == "" {
+		return false, apierror.New(apierror.Missing, "a hold needs a scope and a mark")
+	}
+	return c.throttles.Merge(n, throttle.Longest), nil
+}
+
+// applyThrottle merges a proxy's throttle, tells all agents by doing so, and stores it on a majority (docs/design.md §4.2). The caller does
+// not wait for the disks: a throttle that is lost with this core is found again by the next refusal.
+func (c *Core) applyThrottle(ctx context.Context, n throttle.Notice) (struct{}, error) {
+	if extended, err := c.mergeThrottle(n); err != nil || !extended || n.Observed {
+		return struct{}{}, err
+	}
+	c.host.Log.Info().Str("scope", n.Scope).Str("id", n.ID).Int64("remaining_ms", n.RemainingMs).Str("reason", n.Reason).Msg("throttle extended")
+	go c.storeThrottle(context.WithoutCancel(ctx), n)
+	return struct{}{}, nil
+}
+
+func (c *Core) storeThrottle(ctx context.Context, n throttle.Notice) {
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
+	defer cancel()
+	key := throttleRegister(n)
+	revision, err := c.owner.Change(ctx, key, func(register.Fields, uint64) (register.Fields, error) {
+		return config.Field(throttleField, n), nil
+	})
+	if err != nil {
+		c.logOutcome("throttle", key, revision, err)
+	}
+}
+
+// restoreThrottle counts what a stored throttle had left from the start of this process: later than the original, never earlier.
+func (c *Core) restoreThrottle(scope string) {
+	var n throttle.Notice
+	raw := c.acceptor.Read(protocol.ThrottlePrefix + scope).Fields[throttleField]
+	if raw == nil {
+		return
+	}
+	if err := json.Unmarshal(raw, &n); err != nil {
+		c.host.Log.Warn().Str("scope", scope).Err(err).Msg("stored throttle cannot be read")
+		return
+	}
+	c.throttles.Merge(n, throttle.Longest)
+}
--- /dev/null
+++ b/controlplane/transfer.go
@@ -0,0 +1,103 @@
+package controlplane
+
+import (
+	"context"
+	"strings"
+
+	"asterridge/apierror"
+	"asterridge/config"
+	"asterridge/membership"
+	"asterridge/register"
+	"asterridge/router"
+	"asterridge/rpc"
+)
+
+// transferProgress notes which keys are known to be on a majority of the list of that version. What is written later is written under that
+// list, so a key that was transferred stays so.
+type transferProgress struct {
+	version uint64
+	keys    map[string]bool
+}
+
+// transferKeys has every key accepted by a majority of the new list, and then says so in the list; only then may the list change again
+// (docs/design.md §2.8). It returns at once; a later tick goes on with keys that failed.
+func (c *Core) transferKeys(ctx context.Context) {
+	record := c.acceptor.Read(config.MembersKey)
+	due := record.Fields[membership.PreviousField] != nil && record.IsCommitted()
+	if !due || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.transferMu.TryLock() {
+		return
+	}
+	go func() {
+		defer c.transferMu.Unlock()
+		if c.transferred.version != record.Revision.Version {
+			c.transferred = transferProgress{version: record.Revision.Version, keys: map[string]bool{}}
+		}
+		if c.transferPending(ctx) {
+			c.endTransfer(ctx, record.Revision.Version)
+		}
+	}()
+}
+
+// endTransfer removes the previous list from the list of that version.
+func (c *Core) endTransfer(ctx context.Context, version uint64) {
+	revision, err := c.owner.Change(ctx, config.MembersKey, func(fields register.Fields, present uint64) (register.Fields, error) {
+		if fields[membership.PreviousField] == nil || present != version {
+			return nil, apierror.New(apierror.Conflict, "the list has changed meanwhile")
+		}
+		return register.Fields{membership.PreviousField: nil}, nil
+	})
+	c.logOutcome("end of the transfer of keys", config.MembersKey, revision, err)
+	if err == nil {
+		c.wake() // for the next change of members; after a failure the next tick is soon enough
+	}
+}
+
+// transferPending transfers the keys that are left, and reports whether none is left then; c.transferMu is held.
+func (c *Core) transferPending(ctx context.Context) bool {
+	var pending []string
+	for key := range c.knownKeys() {
+		if key != config.MembersKey && !c.transferred.keys[key] {
+			pending = append(pending, key)
+		}
+	}
+	done := make(chan string, len(pending))
+	failed := forEachKey(pending, func(key string) error {
+		ctx, cancel := context.WithTimeout(ctx, operationTimeout)
+		defer cancel()
+		_, err := rpc.Call[CommitResponse](ctx, c.rpc, c.host.Address, "/op/settle", CommitRequest{Key: key, Rewrite: true})
+		if err != nil {
+			c.host.Log.Warn().Str("key", key).Err(err).Msg("key not transferred")
+			return err
+		}
+		done <- key
+		return nil
+	})
+	close(done)
+	for key := range done {
+		c.transferred.keys[key] = true
+	}
+	return failed == 0
+}
+
+// knownKeys are the registers of this core and of the peers that it follows.
+func (c *Core) knownKeys() map[string]bool {
+	keys := map[string]bool{}
+	for _, key := range c.acceptor.Keys() {
+		keys[key] = true
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, peer := range c.peers {
+		for _, key := range peer.Keys() {
+			if isRegister(key) {
+				keys[key] = true
+			}
+		}
+	}
+	return keys
+}
+
+// isRegister reports whether a watched key is a register. Throttles and cache updates are watched without a revision and stand on no disk.
+func isRegister(key string) bool {
+	return key != router.HoldKey && !strings.HasPrefix(key, router.KeptPrefix)
+}
--- a/protocol/hello.go
+++ b/protocol/hello.go
@@ -1,6 +1,9 @@
 package protocol
 
-import "asterridge/config"
+import (
+	"asterridge/config"
+	"asterridge/membership"
+)
 
 // Hello is the message by which processes introduce themselves before they know the members (docs/design.md §2.6). The answer to a hello is
 // a hello. From a core that is no member it is also the request to be admitted.
@@ -17,7 +20,7 @@
 	MayBootstrap bool            `json:"may_found,omitempty"`
 	Members      []config.Member `json:"members,omitempty"`
 	// MembersRecord is the newest committed content of the members' register; nil if the core knows none.
-	MembersRecord *MembersRecord `json:"list,omitempty"`
+	MembersRecord *membership.Record `json:"list,omitempty"`
 	// CaughtUp is true if the core has all that a majority had committed at its last tick. Only then may it be admitted.
 	CaughtUp bool `json:"image,omitempty"`
 }
--- a/protocol/timing.go
+++ b/protocol/timing.go
@@ -8,8 +8,6 @@
 	FreshLimit = 1200 * time.Millisecond
 	// UndecidedLimit is U: how long an agent stays current beside a version that may or may not be committed.
 	UndecidedLimit = 500 * time.Millisecond
-	// LivenessTimeout is the age of its last answer at which a core no longer counts as live: it is not picked as an owner.
-	LivenessTimeout = time.Second
 	// ProxyTimeout is the age of its agent's last request at which a proxy no longer counts as running.
 	ProxyTimeout = 3 * time.Second
 	// QuorumTimeout is how long an owner waits for a majority's answers. A forwarded operation gets twice as long.
--- a/replicaclient/replicaclient.go
+++ b/replicaclient/replicaclient.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// ReportTimeout bounds one call to a replica.
-	ReportTimeout = time.Second
+	// Timeout bounds one call to a replica.
+	Timeout = time.Second
 	// idleConnections and idleTimeout bound the connections kept to each replica.
 	idleConnections = 2
 	idleTimeout     = 10 * time.Second
 )
 
-// NewReplicaClient makes an HTTP client for replicas. It follows no redirects.
-func NewReplicaClient(network rpc.Network) *http.Client {
+// New makes an HTTP client for replicas. It follows no redirects.
+func New(network rpc.Network) *http.Client {
 	return &http.Client{
 		CheckRedirect: rpc.NoRedirects,
 		Transport: &http.Transport{
@@ -34,8 +34,8 @@
 	}
 }
 
-// ReplicaReport is a replica's report of its load, with the changes of its cache.
-type ReplicaReport struct {
+// Report is a replica's report of its load, with the changes of its cache.
+type Report struct {
 	router.Report
 	// Snapshot is true if Cached is all that the replica has in its cache, not only what came since the last report.
 	Snapshot bool     `json:"image"`
@@ -45,8 +45,8 @@
 
 // GetReport asks a replica for its load, and for what has changed in its cache since the last report. The error is apierror.Unreachable
 // if the replica does not answer with a report, apierror.Malformed if the report cannot be read.
-func GetReport(ctx context.Context, client *http.Client, dialect router.Dialect, replica config.Replica, last router.Report) (ReplicaReport, error) {
-	var report ReplicaReport
+func GetReport(ctx context.Context, client *http.Client, dialect router.Dialect, replica config.Replica, last router.Report) (Report, error) {
+	var report Report
 	address := "http://" + replica.Address + dialect.ReportPath() + "?run=" + last.Run + "&from=" + strconv.FormatUint(last.Number, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
@@ -63,14 +63,14 @@
 	return report, apierror.Wrap(json.NewDecoder(response.Body).Decode(&report), apierror.Malformed, "report")
 }
 
-// PostOrder sends an order to a replica as JSON, and waits ReportTimeout at most for the answer. The error is apierror.Unreachable if there
+// PostOrder sends an order to a replica as JSON, and waits Timeout at most for the answer. The error is apierror.Unreachable if there
 // is no answer or another status than 200; the replica may have taken the order all the same.
 func PostOrder(ctx context.Context, client *http.Client, address string, order any) error {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return apierror.Wrap(err, apierror.Internal, "encode order")
 	}
-	ctx, cancel := context.WithTimeout(ctx, ReportTimeout)
+	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address, bytes.NewReader(body))
 	if err != nil {
--- a/router/cost.go
+++ b/router/cost.go
@@ -3,6 +3,8 @@
 import (
 	"math"
 	"time"
+
+	"asterridge/config"
 )
 
 // work estimates the milliseconds until the replica has the whole prompt: what it lacks is read anew, or fetched from a peer or store
@@ -13,7 +15,7 @@
 	consider := func(other *replica) {
 		theirs := kept[other.Name]
 		more := theirs - has
-		if other.Name == rep.Name || more <= 0 || other.State == "leaving" {
+		if other.Name == rep.Name || more <= 0 || other.State == config.ReplicaDraining {
 			return
 		}
 		fetched := fetchDelay + float64(more)/max(r.fetchRate(v, p, rep, other), 0.01) + float64(size-theirs)/rate
@@ -74,7 +76,7 @@
 
 // cost adds the replica's load and warm-up to the work.
 func (r *Router) cost(rep *replica, size int, work float64, now time.Time) float64 {
-	busy, warm := float64(rep.running.Load()), rep.State != "warming"
+	busy, warm := float64(rep.running.Load()), rep.State != config.ReplicaWarming
 	if said := rep.report.Load(); said != nil {
 		busy, warm = float64(said.Running)+float64(rep.sent.Load()), said.Warm
 	} else {
--- a/router/pool.go
+++ b/router/pool.go
@@ -52,7 +52,7 @@
 
 // mayServe says whether a replica may start work for the pool now (§6.1).
 func (r *Router) mayServe(v *View, p *pool, rep *replica, model string, now time.Time) (weights string, fit bool) {
-	if rep.State == "leaving" {
+	if rep.State == config.ReplicaDraining {
 		return "", false
 	}
 	if r.options.Dialect.ReportPath() == "" {
@@ -69,7 +69,7 @@
 	if said == nil || now.Sub(said.at) > reportAge || !p.allows(said.Weights, now) {
 		return "", false
 	}
-	if rep.State == "warming" && !said.Warm {
+	if rep.State == config.ReplicaWarming && !said.Warm {
 		return "", false
 	}
 	return said.Weights, true
@@ -157,7 +157,7 @@
 
 func (r *Router) cacheStateOf(x *Exchange, p *pool, domain string) *cacheState {
 	d := &cacheState{anchor: x.anchor(domain)}
-	if p.Kind != "model" {
+	if p.Kind != config.ModelPool {
 		return d
 	}
 	d.kept = r.index.Kept(x.chain(domain))
--- a/router/send.go
+++ b/router/send.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"asterridge/apierror"
+	"asterridge/config"
 	"asterridge/prefixindex"
 	"asterridge/throttle"
 )
@@ -157,7 +158,7 @@
 		}
 	}
 	s := Sending{Domain: domain, Weights: x.weights, Source: x.source, Sink: x.sink, Left: x.left, Last: x.Last}
-	if x.Pool.Kind == "web" {
+	if x.Pool.Kind == config.WebPool {
 		s.Weights = ""
 	}
 	r.options.Dialect.Dress(q.Header, x, s)
@@ -328,7 +329,7 @@
 	if r.signals.Began(x.replica.index, x.Path.index, x.Tenant.index, delay, cold, rule.SlowRatio) {
 		r.throttle(x, r.random.backoff(rule, r.streak(x)), "slowed", "")
 	}
-	if x.Pool.Kind == "model" && !r.signals.IsSlow(x.Tenant.index) {
+	if x.Pool.Kind == config.ModelPool && !r.signals.IsSlow(x.Tenant.index) {
 		r.calm(x)
 	}
 }
--- a/router/view.go
+++ b/router/view.go
@@ -246,8 +246,8 @@
 		})
 	}
 	for name, p := range v.pools {
-		if p.Kind == "store" && p.Address != "" {
-			v.stores = append(v.stores, &replica{Replica: config.Replica{Name: StoreName(name), Address: p.Address, Pool: name, Zone: p.Zone, State: "present"}, load: newLoad()})
+		if p.Kind == config.StorePool && p.Address != "" {
+			v.stores = append(v.stores, &replica{Replica: config.Replica{Name: StoreName(name), Address: p.Address, Pool: name, Zone: p.Zone, State: config.ReplicaPresent}, load: newLoad()})
 		}
 	}
 	for name, told := range replicas {
@@ -261,7 +261,7 @@
 		made.share = share(told.Limit, v.proxies, r.options.Name, name)
 		if p := v.pools[told.Pool]; p != nil {
 			p.replicas = append(p.replicas, made)
-			if p.Kind == "store" {
+			if p.Kind == config.StorePool {
 				v.stores = append(v.stores, made)
 			}
 		}
@@ -270,7 +270,7 @@
 	for _, p := range v.pools {
 		sort.Slice(p.replicas, func(i, j int) bool { return p.replicas[i].Name < p.replicas[j].Name })
 		for _, rep := range p.replicas {
-			if rep.State != "leaving" {
+			if rep.State != config.ReplicaDraining {
 				p.names = append(p.names, rep.Name)
 			}
 		}
@@ -328,12 +328,12 @@
 
 // isStaffed says whether the platform has told of a replica that is not leaving.
 func (p *pool) isStaffed() bool {
-	return slices.ContainsFunc(p.replicas, func(rep *replica) bool { return rep.State != "leaving" })
+	return slices.ContainsFunc(p.replicas, func(rep *replica) bool { return rep.State != config.ReplicaDraining })
 }
 
 // allows says whether a replica with these weights may start work for the pool now.
 func (p *pool) allows(weights string, now time.Time) bool {
-	if p.Kind == "web" || weights == p.Weights {
+	if p.Kind == config.WebPool || weights == p.Weights {
 		return true
 	}
 	return weights == p.oldWeights && weights != "" && now.Before(p.oldUntil)
--- a/sim/chaos_test.go
+++ b/sim/chaos_test.go
@@ -19,6 +19,7 @@
 	"asterridge/config"
 	"asterridge/controlplane"
 	"asterridge/fake"
+	"asterridge/membership"
 	"asterridge/router"
 )
 
@@ -406,7 +407,7 @@
 func (c *chaos) try(do, name string) {
 	for range 4 {
 		for _, core := range c.cores() {
-			if _, err := c.Order(core, "members", controlplane.MembershipChange{Do: do, Name: name}); err == nil {
+			if _, err := c.Order(core, "members", membership.Change{Action: membership.Action(do), Name: name}); err == nil {
 				return
 			}
 		}
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -272,7 +272,7 @@
 	o := f.Options.Replica
 	name, pool := f.name(i)
 	o.Name = name
-	if pool == "web" || pool == "store" {
+	if pool == config.WebPool || pool == config.StorePool {
 		o.Kind = pool
 	}
 	if at := slices.Index(f.Options.Names, "store-1"); at >= 0 && at != i {
--- a/sim/lagging_member_test.go
+++ b/sim/lagging_member_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/config"
-	"asterridge/controlplane"
+	"asterridge/membership"
 	"asterridge/register"
 	"asterridge/router"
 )
@@ -38,7 +38,7 @@
 				}
 				lost, other := (owner+1)%3, (owner+2)%3
 				f.Kill(CoreIP(lost))
-				_, err := f.Order(owner, "members", controlplane.MembershipChange{Do: "retire", Name: founders[lost]})
+				_, err := f.Order(owner, "members", membership.Change{Action: membership.Remove, Name: founders[lost]})
 				is.True(err != nil) // two of four disks have it
 				if restarts {
 					f.StartCore(owner)
@@ -72,7 +72,7 @@
 		is.Equal(register.Pick(config.MembersKey, []string{"core-1", "core-2", "core-3", "core-5"}), "core-5")
 		f.Kill(CoreIP(0))
 		f.Kill(CoreIP(1))
-		_, err := f.Order(owner, "members", controlplane.MembershipChange{Do: "retire", Name: "core-1"})
+		_, err := f.Order(owner, "members", membership.Change{Action: membership.Remove, Name: "core-1"})
 		is.True(err != nil) // two of five disks have it
 		f.isolate(lagging, true, true, false)
 		f.members("retire", "core-1")
--- a/sim/members_test.go
+++ b/sim/members_test.go
@@ -11,7 +11,7 @@
 
 	"asterridge/apierror"
 	"asterridge/config"
-	"asterridge/controlplane"
+	"asterridge/membership"
 	"asterridge/register"
 	"asterridge/router"
 )
@@ -31,7 +31,7 @@
 	}()
 	f.Until(15*time.Second, do+" "+name, func() bool {
 		for core := range f.Disks {
-			if _, last[core] = f.Order(core, "members", controlplane.MembershipChange{Do: do, Name: name}); last[core] == nil {
+			if _, last[core] = f.Order(core, "members", membership.Change{Action: membership.Action(do), Name: name}); last[core] == nil {
 				return true
 			}
 			if do == "retire" && apierror.Is(last[core], apierror.NotFound) || do == "admit" && apierror.Is(last[core], apierror.Exists) {
@@ -78,7 +78,7 @@
 			})
 			f.StartCore(3)
 			time.Sleep(2 * time.Second)
-			_, err = f.Order(0, "members", controlplane.MembershipChange{Do: "admit", Name: "core-3"})
+			_, err = f.Order(0, "members", membership.Change{Action: membership.Admit, Name: "core-3"})
 			is.Equal(apierror.Of(err).Code, apierror.Exists) // its old self stands in the list
 			f.members("retire", "core-3")
 			f.members("admit", "core-3")
@@ -126,10 +126,10 @@
 			names[row["name"]] = row["weight"]
 		}
 		is.Equal(names["kept"], 9.0)
-		_, err = f.Order(6, "members", controlplane.MembershipChange{Do: "retire", Name: "core-6"})
+		_, err = f.Order(6, "members", membership.Change{Action: membership.Remove, Name: "core-6"})
 		is.NoErr(err)
 		time.Sleep(5 * time.Second)
-		_, err = f.Order(6, "members", controlplane.MembershipChange{Do: "retire", Name: "core-7"})
+		_, err = f.Order(6, "members", membership.Change{Action: membership.Remove, Name: "core-7"})
 		is.True(apierror.Is(err, apierror.OutOfRange)) // too few would be left
 		noBreach(is, f)
 	})
@@ -224,7 +224,7 @@
 	others(func(from, to string) { f.Net.Slow(from, to, 100*time.Millisecond) })
 	time.Sleep(time.Second)
 	f.Disks[owner-1].Fill(full)
-	go func() { _, _ = f.Order(owner-1, "members", controlplane.MembershipChange{Do: "retire", Name: name}) }()
+	go func() { _, _ = f.Order(owner-1, "members", membership.Change{Action: membership.Remove, Name: name}) }()
 	f.Until(3*time.Second, "the others have accepted the list", func() bool {
 		return shows(owner%4, "owners", func(row router.Row) bool {
 			return row["key"] == config.MembersKey && row["version"] == 2.0
--- a/sim/retire_test.go
+++ b/sim/retire_test.go
@@ -118,10 +118,10 @@
 }
 
 func retire(from, to string) controlplane.RetirementChange {
-	return controlplane.RetirementChange{Do: "retire", Old: from, New: to}
+	return controlplane.RetirementChange{Action: "retire", Old: from, New: to}
 }
 
-var undo = controlplane.RetirementChange{Do: "undo"}
+var undo = controlplane.RetirementChange{Action: "undo"}
 
 // inAdapterBubble runs a fleet with adapters under load while something happens.
 func inAdapterBubble(t *testing.T, seed uint64, count int, play func(is *is.I, f *Fleet), judge func(is *is.I, f *Fleet, all []fake.Asked)) {
@@ -262,7 +262,7 @@
 			}
 		})
 		refused(undo, apierror.PastUndo)
-		refused(controlplane.RetirementChange{Do: "undo", Old: "ridge-1"}, apierror.PastUndo)
+		refused(controlplane.RetirementChange{Action: "undo", Old: "ridge-1"}, apierror.PastUndo)
 		refused(retire("ridge-2", "ridge-1"), apierror.Crossed) // it is gone
 		noBreach(is, f)
 	})
@@ -511,7 +511,7 @@
 		is.True(strings.Contains(fmt.Sprint(f.retired()["replica pool-1"]["bases"]), "ridge-1"))
 		dropped := config.Retirement{Number: 1, Old: "ridge-1", New: "ridge-2", Phase: config.Dropping}
 		for version := range uint64(40) { // whatever version it saw
-			_, err := f.Order(0, "advance", controlplane.RetirementStep{Old: "ridge-1", To: &dropped, ExpectedVersion: version, Holder: config.Duty{Holder: "core-9", Lease: 0}})
+			_, err := f.Order(0, "advance", controlplane.RetirementStep{Old: "ridge-1", Next: &dropped, ExpectedVersion: version, Holder: config.Duty{Holder: "core-9", Lease: 0}})
 			is.True(apierror.Is(err, apierror.Superseded))
 		}
 		is.Equal(f.phase("ridge-1"), "moving")
