--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -168,7 +168,7 @@
 				return err
 			}
 			if !json.Valid(text) {
-				s.Host.Log.Warn().Str("event", "not_json").Str("file", *file).Msg("")
+				s.Host.Log.Warn().Str("file", *file).Msg("file is not JSON")
 			} else if string(text) != told && tell(ctx, wire, strings.Split(*cores, ","), text, s.Host.Log) {
 				told = string(text)
 			}
@@ -187,10 +187,10 @@
 		a, err := rpc.Call[controlplane.Accepted](short, wire, core, "/op/replicas", controlplane.ReplicasChange{Text: text})
 		stop()
 		if err == nil {
-			log.Info().Str("event", "told").Str("core", core).Uint64("version", a.Version).Msg("")
+			log.Info().Str("core", core).Uint64("version", a.Version).Msg("replicas reported to the core")
 			return true
 		}
-		log.Warn().Str("event", "not_told").Str("core", core).Err(err).Msg("")
+		log.Warn().Str("core", core).Err(err).Msg("replicas not reported to the core")
 	}
 	return false
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon assembles the core, the agent and the proxy, so that the programs and the simulator run the same code
-// (docs/design.md §1.2).
+// Package daemon is what every process of the fleet is made of: its host (name, address, network, log), its settings, a server that ends
+// in order, figures for scraping, and its part in the gossip about which processes run.
 package daemon
 
 import (
@@ -13,25 +13,34 @@
 	"asterridge/rpc"
 )
 
-// Host is where a daemon stands, and whom it asks first.
+// Host is where a process runs, and whom it contacts first.
 type Host struct {
-	Name    string
-	Fleet   string
+	Name    string // unique in the fleet
+	Fleet   string // messages from another fleet are rejected
 	Zone    string
-	Address string
+	Address string // ip:port at which other machines reach it
 	Seeds   []string
-	// BootstrapPeers are the addresses of the cores that found the fleet; nil: this core's own and its seeds.
+	// BootstrapPeers are the addresses of the cores that make the first list of members; nil: this core's own and its seeds.
 	BootstrapPeers []string
-	Bootstrapped   bool          // the fleet was founded before: an empty disk here never founds it again (§2.6)
-	GossipInterval time.Duration // between two beats of the ring; 0: 500 ms
+	// Bootstrapped: the fleet was started before, so that an empty disk never makes a first list (docs/design.md §2.6).
+	Bootstrapped bool
+	// GossipInterval is the time between two heartbeats; 0: 500 ms.
+	GossipInterval time.Duration
 	Net            rpc.Network
 	Log            zerolog.Logger
-	Clock          func() time.Time // the wall clock, which decides nothing (§1.3); nil: the machine's
+	// Clock is the wall clock, which is shown to operators and decides nothing; nil: the machine's.
+	Clock func() time.Time
 }
 
-// Serve answers on a listener until the context ends; then it lets running answers finish for the grace.
+const (
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 64 << 10
+)
+
+// Serve answers on a listener until the context ends, and then lets running answers finish for the grace.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler, grace time.Duration) error {
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: 64 << 10}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve(listener) }()
 	select {
@@ -39,15 +48,15 @@
 		return err
 	case <-ctx.Done():
 	}
-	shutdownCtx, stop := context.WithTimeout(context.Background(), grace)
-	defer stop()
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), grace)
+	defer cancel()
 	if server.Shutdown(shutdownCtx) != nil {
-		_ = server.Close()
+		_ = server.Close() // what is left is cut off
 	}
 	return nil
 }
 
-// Every does a thing again and again until the context ends.
+// Every calls run at each interval until the context ends. A call that takes longer than the interval delays the next one.
 func Every(ctx context.Context, interval time.Duration, run func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -7,39 +7,47 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Gauge is one figure; label is a name and a value, or empty.
+// metricsPrefix begins the names of all figures.
+const metricsPrefix = "asterridge_"
+
+// Gauge is one figure.
 type Gauge struct {
-	Name  string
+	Name  string // without the prefix
 	Value float64
+	// Label is the name and the value of its only label; empty if it has none.
 	Label [2]string
 }
 
-// Gauges collects figures when they are asked for.
+// Gauges gives the figures of the moment when it is called.
 type Gauges func() []Gauge
 
-// Describe sends nothing: which figures there are depends on what has happened.
+var _ prometheus.Collector = Gauges(nil)
+
+// Describe implements prometheus.Collector. It sends nothing: which figures there are depends on what has happened.
 func (Gauges) Describe(chan<- *prometheus.Desc) {}
 
-// Collect gives the figures of this moment.
+// Collect implements prometheus.Collector.
 func (g Gauges) Collect(out chan<- prometheus.Metric) {
-	for _, one := range g() {
+	for _, gauge := range g() {
 		var names, values []string
-		if one.Label[0] != "" {
-			names, values = []string{one.Label[0]}, []string{one.Label[1]}
+		if gauge.Label[0] != "" {
+			names, values = []string{gauge.Label[0]}, []string{gauge.Label[1]}
 		}
-		out <- prometheus.MustNewConstMetric(prometheus.NewDesc("asterridge_"+one.Name, "", names, nil), prometheus.GaugeValue, one.Value, values...)
+		desc := prometheus.NewDesc(metricsPrefix+gauge.Name, "", names, nil)
+		out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, gauge.Value, values...)
 	}
 }
 
-// HandleMetrics answers GET /metrics in the published text format.
-func HandleMetrics(mux *http.ServeMux, figures Gauges) {
+// HandleMetrics answers GET /metrics in the text format of Prometheus.
+func HandleMetrics(mux *http.ServeMux, gauges Gauges) {
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(figures)
+	registry.MustRegister(gauges)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 }
 
-func BoolValue(so bool) float64 {
-	if so {
+// BoolValue is 1 for true and 0 for false.
+func BoolValue(b bool) float64 {
+	if b {
 		return 1
 	}
 	return 0
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -209,11 +209,19 @@
 	return apierror.Wrap(err, apierror.Settings, filepath.Base(*s.settingsFile))
 }
 
-// Logger writes one key=value line an event.
+// formatMessage writes a line's message; a line without one begins with its fields.
+func formatMessage(message any) string {
+	if message == nil {
+		return ""
+	}
+	return fmt.Sprint(message)
+}
+
+// Logger writes one line for each event: what happened, in words, and then key=value.
 func Logger(w io.Writer, level zerolog.Level) zerolog.Logger {
 	lines := zerolog.ConsoleWriter{Out: w, NoColor: true, TimeFormat: "2006-01-02T15:04:05.000Z07:00",
 		FormatLevel:     func(l any) string { return fmt.Sprintf("level=%v", l) },
-		FormatMessage:   func(any) string { return "" },
+		FormatMessage:   formatMessage,
 		FormatTimestamp: func(t any) string { return fmt.Sprintf("time=%v", t) },
 	}
 	return zerolog.New(lines).Level(level).With().Timestamp().Logger()
@@ -232,7 +240,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if err := run(ctx); err != nil {
-		s.Host.Log.Error().Str("event", "failed").Err(err).Msg("")
+		s.Host.Log.Error().Err(err).Msg("process failed")
 		os.Exit(1)
 	}
 }
--- a/gossip/ring.go
+++ b/gossip/ring.go
@@ -272,7 +272,7 @@
 		e.lastFlap = time.Now()
 	}
 	if d.Down != e.Down {
-		r.options.Log.Info().Str("event", "liveness").Str("of", d.Name).Bool("is_down", d.Down).Msg("")
+		r.options.Log.Info().Str("node", d.Name).Bool("down", d.Down).Msg("node liveness changed")
 	}
 	e.Node, r.sorted = d, nil
 	if !d.Down {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -113,6 +113,6 @@
 	grant.Version = version
 	s.granted, s.expires = grant, now.Add(o.Length-o.Margin)
 	if !own {
-		o.Log.Info().Str("event", "lease").Str("duty", o.Role).Uint64("number", version).Msg("")
+		o.Log.Info().Str("role", o.Role).Uint64("fence", version).Msg("lease acquired")
 	}
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -66,7 +66,7 @@
 	failed := make(chan error, 1)
 	watched := timeoutListener{router.Watch(server, callers)}
 	go func() { failed <- server.Serve(watched) }()
-	p.host.Log.Info().Str("event", "proxy_up").Str("address", p.host.Address).Msg("")
+	p.host.Log.Info().Str("address", p.host.Address).Msg("proxy started")
 	select {
 	case err := <-failed:
 		return err
@@ -83,6 +83,6 @@
 	if server.Shutdown(last) != nil {
 		_ = server.Close()
 	}
-	p.host.Log.Info().Str("event", "proxy_down").Msg("")
+	p.host.Log.Info().Msg("proxy stopped")
 	return nil
 }
--- a/router/claim.go
+++ b/router/claim.go
@@ -54,7 +54,7 @@
 		defer stop()
 		_, err := rpc.Call[struct{}](ctx, r.wire, r.options.Agent, "/agent/claim", Claim{x.Tenant.Name, x.Key, x.ID, state})
 		if err != nil {
-			r.log.Warn().Str("event", "claim_unsettled").Str("request", x.ID).Str("state", state).Err(err).Msg("")
+			r.log.Warn().Str("request", x.ID).Str("state", state).Err(err).Msg("end of a claim not reported")
 		}
 	}()
 }
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -158,8 +158,8 @@
 	x.State = to
 	r.audit.add(e)
 	r.counts.step(to)
-	r.log.Debug().Str("event", "request").Str("request", x.ID).Str("tenant", e.Tenant).Str("from", string(e.Prior)).
-		Str("to", string(to)).Int(AttemptColumn, x.Attempt).Str("reason", reason).Str("replica", e.Replica).Msg("")
+	r.log.Debug().Str("request", x.ID).Str("tenant", e.Tenant).Str("from", string(e.Prior)).
+		Str("to", string(to)).Int(AttemptColumn, x.Attempt).Str("reason", reason).Str("replica", e.Replica).Msg("request state changed")
 }
 
 // end closes a request that was not answered.
--- a/router/news.go
+++ b/router/news.go
@@ -39,12 +39,12 @@
 			return held.Revision, held.Fields
 		}, f.Keys(), r.IsCurrent())
 		if err != nil {
-			r.log.Error().Str("event", "view_failed").Err(err).Msg("")
+			r.log.Error().Err(err).Msg("configuration not compiled")
 			return
 		}
 		r.view.Store(v)
 		r.budget.share(r.options.RetrySlack, len(v.proxies))
-		r.log.Info().Str("event", "view").Uint64(config.Key, v.Version.Version).Int("replicas", len(v.replicas)).Msg("")
+		r.log.Info().Uint64("version", v.Version.Version).Int("replicas", len(v.replicas)).Msg("routing view updated")
 	}
 	r.learnReports(f.Read(ReportsKey).Fields)
 	r.queue.WakeAll()
--- a/router/relay.go
+++ b/router/relay.go
@@ -51,7 +51,7 @@
 		err = apierror.New(apierror.CallerGone, "left during the answer")
 	} else {
 		err = apierror.Wrap(err, apierror.StreamCut, "relay")
-		r.log.Warn().Str("event", "stream_cut").Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("")
+		r.log.Warn().Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("stream broke off at a replica")
 	}
 	r.counts.reject(apierror.Of(err).Code)
 	r.step(x, Failed, err.Error())
--- a/router/router.go
+++ b/router/router.go
@@ -156,7 +156,7 @@
 	}
 	r.upstream.DialContext = r.dialGuarded
 	r.table = throttle.NewTable(func(e throttle.Entry) {
-		r.log.Info().Str("event", "hold").Str("scope", e.Scope).Str("mark", e.ID).Int64("remaining_ms", e.RemainingMs).Str("reason", e.Reason).Msg("")
+		r.log.Info().Str("scope", e.Scope).Str("id", e.ID).Int64("remaining_ms", e.RemainingMs).Str("reason", e.Reason).Msg("throttle extended")
 		r.queue.WakeAll()
 	})
 	r.queue = queue.New(queue.Options[credit]{
@@ -217,7 +217,7 @@
 func (r *Router) noteCurrency() (changed bool) {
 	current := r.IsCurrent()
 	if changed = r.saidCurrent.Swap(current) != current; changed {
-		r.log.Info().Str("event", "currency").Bool("is_current", current).Msg("")
+		r.log.Info().Bool("current", current).Msg("currency changed")
 	}
 	return changed
 }
@@ -278,7 +278,7 @@
 	if !r.table.Merge(n, limit) {
 		return // an equal or longer hold stands here, and was told already
 	}
-	r.log.Info().Str("event", "throttle").Str("scope", n.Scope).Str("request", x.ID).Int64("delay_ms", n.RemainingMs).Str("reason", reason).Msg("")
+	r.log.Info().Str("scope", n.Scope).Str("request", x.ID).Int64("delay_ms", n.RemainingMs).Str("reason", reason).Msg("throttle reported")
 	select {
 	case r.reports <- n:
 	default: // a full line means a storm; the local hold stands and others report too
--- a/router/send.go
+++ b/router/send.go
@@ -105,7 +105,7 @@
 		return r.lost(x, apierror.New(apierror.ReplicaSaid, "status %d", answer.StatusCode))
 	}
 	if id := r.options.Dialect.AnswerID(answer); id != x.ID {
-		r.log.Error().Str("event", "foreign_answer").Str("request", x.ID).Str("answer", id).Str("replica", x.replica.Name).Msg("")
+		r.log.Error().Str("request", x.ID).Str("answer", id).Str("replica", x.replica.Name).Msg("answer bears the ID of another request")
 		foreign, again := apierror.New(apierror.ForeignAnswer, "answer %q", id), errAgain{}
 		if err := r.lost(x, foreign); errors.As(err, &again) {
 			return again
@@ -263,7 +263,7 @@
 		return apierror.Wrap(err, apierror.OutcomeLost, "the caller left")
 	}
 	r.cool(x.replica)
-	r.log.Warn().Str("event", "lost").Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("")
+	r.log.Warn().Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("request lost at a replica")
 	lost := apierror.Wrap(err, apierror.OutcomeLost, "no whole answer from "+x.replica.Name)
 	if x.Repeatable && time.Now().Before(x.Deadline) {
 		return errAgain{lost}
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -198,7 +198,7 @@
 	f.launch(CoreIP(i), func(ctx context.Context) {
 		core, err := controlplane.New(p, d, o) // waits while the disk stalls
 		if err != nil {
-			f.Options.Log.Error().Str("event", "core_not_started").Err(err).Msg("")
+			f.Options.Log.Error().Err(err).Msg("core not started")
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.dead[CoreIP(i)] = f.dead[CoreIP(i)] || ctx.Err() == nil // a full disk that is empty of this core: until somebody starts it again
