--- a/router/news.go
+++ b/router/news.go
@@ -6,7 +6,6 @@
 	"strings"
 	"time"
 
-	"asterridge/config"
 	"asterridge/register"
 	"asterridge/watch"
 )
