--- /dev/null
+++ b/gossip/detector.go
@@ -0,0 +1,396 @@
+// Package gossip is the failure detector: it tells every process of the fleet which others run. Nothing that must be right rests on it; it
+// finds addresses and shows operators who is down.
+//
+// Each node has a position on a ring, a hash of its name, and sends heartbeats to its watchers: the first few live nodes after that
+// position, in different zones as far as there are zones. A watcher that misses heartbeats suspects the node and asks the other watchers;
+// the node is taken for down only if most of those that answer have not heard it either. Updates travel with heartbeats, each a few times
+// the logarithm of the fleet's size. A node that hears of its own end contradicts it under a higher incarnation (docs/design.md §3.4).
+package gossip
+
+import (
+	"cmp"
+	"context"
+	"math/bits"
+	"math/rand/v2"
+	"slices"
+	"sort"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"asterridge/register"
+)
+
+const (
+	// missedHeartbeats is how many intervals a node may be silent.
+	missedHeartbeats = 4
+	// maxUpdates bounds the updates of one message.
+	maxUpdates = 12
+	// transmitsPerBit: an update is passed on so often for each bit of the fleet's size.
+	transmitsPerBit = 3
+	// flapHalfLife is the time in which the count of a node's returns halves; maxDamping bounds what they add to its timeout.
+	flapHalfLife = 30 * time.Second
+	maxDamping   = 8
+	minFlaps     = 0.1
+	// fullSyncRounds is the number of rounds between two comparisons of all that is known.
+	fullSyncRounds = 10
+	callTimeout    = 800 * time.Millisecond
+	randomStream   = 9
+)
+
+// Options of a detector.
+type Options struct {
+	Self      Node
+	Seeds     []string
+	Transport Transport
+	// Interval is the time between two heartbeats.
+	Interval time.Duration
+	// Watchers is how many nodes watch each node.
+	Watchers int
+	// Seed picks the nodes that all is compared with.
+	Seed uint64
+	Log  zerolog.Logger
+}
+
+// Detector is one node's view of all.
+type Detector struct {
+	options  Options
+	position uint64
+
+	mu    sync.Mutex // guards what follows
+	self  Node
+	nodes map[string]*entry // the others, by name
+	// sorted is this node and the live ones in the order of their positions; nil after a change.
+	sorted       []*entry
+	random       *rand.Rand
+	round        int
+	messagesSent int
+	alarms       int // nodes that this one has taken for down
+}
+
+// entry is what is known of a node.
+type entry struct {
+	Node
+	position uint64
+	// lastHeard is when a heartbeat or an update said that it runs.
+	lastHeard time.Time
+	// transmitsLeft is how often the newest update of it is still passed on.
+	transmitsLeft int
+	// flaps counts how often it came back of late, as of lastFlap.
+	flaps    float64
+	lastFlap time.Time
+}
+
+// New makes a detector that knows only its own node.
+func New(options Options) *Detector {
+	return &Detector{
+		options:  options,
+		position: positionOf(options.Self.Name),
+		self:     options.Self,
+		nodes:    map[string]*entry{},
+		random:   rand.New(rand.NewPCG(options.Seed, randomStream)),
+	}
+}
+
+func positionOf(name string) uint64 { return register.Weight("ring", name) }
+
+// Run sends heartbeats until the context ends.
+func (d *Detector) Run(ctx context.Context) {
+	ticker := time.NewTicker(d.options.Interval)
+	defer ticker.Stop()
+	for {
+		d.tick(ctx)
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+	}
+}
+
+// Nodes lists the nodes that are known, this one first.
+func (d *Detector) Nodes() []Node {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return append([]Node{d.self}, d.others(true)...)
+}
+
+// Stats gives the number of messages sent, and of nodes that this one has taken for down.
+func (d *Detector) Stats() (messagesSent, alarms int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.messagesSent, d.alarms
+}
+
+// tick sends one round of heartbeats and suspects the nodes that this one watches and has not heard.
+func (d *Detector) tick(ctx context.Context) {
+	targets, fullSyncTarget, suspects := d.nextRound()
+	var pending sync.WaitGroup
+	for _, address := range targets {
+		pending.Go(func() { d.heartbeat(ctx, address, false) })
+	}
+	if fullSyncTarget != "" {
+		pending.Go(func() { d.heartbeat(ctx, fullSyncTarget, true) })
+	}
+	for _, node := range suspects {
+		pending.Go(func() { d.suspect(ctx, node) })
+	}
+	pending.Wait()
+}
+
+// nextRound gives the addresses to send heartbeats to, the one to compare all with (empty: none in this round), and the nodes to suspect.
+func (d *Detector) nextRound() (targets []string, fullSyncTarget string, suspects []Node) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, watcher := range d.watchers(d.self.Name, d.self.Zone) {
+		targets = append(targets, watcher.Address)
+	}
+	if len(targets) < d.options.Watchers {
+		targets = append(targets, d.options.Seeds...)
+	}
+	now := time.Now()
+	for _, e := range d.nodes {
+		if !e.Down && now.Sub(e.lastHeard) > d.timeout(e, now) && d.isWatcher(e) {
+			suspects = append(suspects, e.Node)
+		}
+	}
+	d.round++
+	if d.round%fullSyncRounds == 0 {
+		fullSyncTarget = d.randomAddress()
+	}
+	d.messagesSent += len(targets)
+	if fullSyncTarget != "" {
+		d.messagesSent++
+	}
+	return targets, fullSyncTarget, suspects
+}
+
+// randomAddress picks a live node to compare all with; empty if there is none; d.mu is held.
+func (d *Detector) randomAddress() string {
+	live := d.others(false)
+	if len(live) == 0 {
+		return ""
+	}
+	return live[d.random.IntN(len(live))].Address
+}
+
+// sortedNodes lists this node and the live ones by their positions; d.mu is held.
+func (d *Detector) sortedNodes() []*entry {
+	if d.sorted == nil {
+		d.sorted = append(d.sorted, &entry{Node: d.self, position: d.position})
+		for _, e := range d.nodes {
+			if !e.Down {
+				d.sorted = append(d.sorted, e)
+			}
+		}
+		slices.SortFunc(d.sorted, func(a, b *entry) int { return cmp.Compare(a.position, b.position) })
+	}
+	return d.sorted
+}
+
+// watchers are the first live nodes after a name's position, of different zones as far as there are zones; d.mu is held.
+func (d *Detector) watchers(name, zone string) []*entry {
+	position, sorted := positionOf(name), d.sortedNodes()
+	first := sort.Search(len(sorted), func(i int) bool { return sorted[i].position >= position })
+	var chosen []*entry
+	zones := map[string]bool{zone: true}
+	for _, anyZone := range []bool{false, true} {
+		for i := 0; i < len(sorted) && len(chosen) < d.options.Watchers; i++ {
+			e := sorted[(first+i)%len(sorted)]
+			if e.Name != name && (anyZone || !zones[e.Zone]) && !slices.Contains(chosen, e) {
+				chosen = append(chosen, e)
+				zones[e.Zone] = true
+			}
+		}
+	}
+	return chosen
+}
+
+// isWatcher reports whether this node watches another; d.mu is held.
+func (d *Detector) isWatcher(of *entry) bool {
+	return slices.ContainsFunc(d.watchers(of.Name, of.Zone), func(e *entry) bool { return e.Name == d.self.Name })
+}
+
+// timeout is how long a node may be silent; longer for one that comes and goes.
+func (d *Detector) timeout(e *entry, now time.Time) time.Duration {
+	flaps := e.flaps
+	for past := now.Sub(e.lastFlap); past > flapHalfLife && flaps > minFlaps; past -= flapHalfLife {
+		flaps /= 2
+	}
+	return time.Duration(float64(missedHeartbeats*d.options.Interval) * min(1+flaps, maxDamping))
+}
+
+// heartbeat sends one heartbeat and applies the updates of its reply. A failure needs no answer: the next round follows.
+func (d *Detector) heartbeat(ctx context.Context, address string, full bool) {
+	d.mu.Lock()
+	message := Heartbeat{From: d.self, Full: full}
+	if full {
+		message.Updates = d.others(true)
+	} else {
+		message.Updates = d.nextUpdates()
+	}
+	d.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	reply, err := d.options.Transport.SendHeartbeat(ctx, address, message)
+	if err != nil {
+		return
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, update := range reply.Updates {
+		d.apply(update)
+	}
+}
+
+// nextUpdates picks the updates that were passed on least often; d.mu is held.
+func (d *Detector) nextUpdates() (updates []Node) {
+	var pending []*entry
+	for _, e := range d.nodes {
+		if e.transmitsLeft > 0 {
+			pending = append(pending, e)
+		}
+	}
+	sort.Slice(pending, func(i, j int) bool { return pending[i].transmitsLeft > pending[j].transmitsLeft })
+	for _, e := range pending[:min(len(pending), maxUpdates)] {
+		e.transmitsLeft--
+		updates = append(updates, e.Node)
+	}
+	return updates
+}
+
+// apply takes an update of a node; d.mu is held. Of two updates the higher incarnation counts, and of one incarnation that it is down.
+func (d *Detector) apply(update Node) {
+	if update.Name == d.self.Name {
+		d.applyToSelf(update)
+		return
+	}
+	e := d.nodes[update.Name]
+	if e == nil {
+		e = &entry{Node: update, position: positionOf(update.Name), lastHeard: time.Now()}
+		d.nodes[update.Name], d.sorted = e, nil
+		d.disseminate(e)
+		return
+	}
+	if update.Incarnation < e.Incarnation || update.Incarnation == e.Incarnation && (e.Down || !update.Down) {
+		return
+	}
+	if e.Down && !update.Down {
+		e.flaps = min(e.flaps+1, maxDamping)
+		e.lastFlap = time.Now()
+	}
+	if update.Down != e.Down {
+		d.options.Log.Info().Str("node", update.Name).Bool("down", update.Down).Msg("node liveness changed")
+	}
+	e.Node, d.sorted = update, nil
+	if !update.Down {
+		e.lastHeard = time.Now()
+	}
+	d.disseminate(e)
+}
+
+// applyToSelf contradicts an update that calls this node down, or that knows a run of it before this one; d.mu is held.
+func (d *Detector) applyToSelf(update Node) {
+	if update.Down && update.Incarnation >= d.self.Incarnation || !update.Down && update.Incarnation > d.self.Incarnation {
+		d.sorted, d.self.Incarnation = nil, update.Incarnation+1
+	}
+}
+
+// disseminate has an update passed on often enough to reach all: a few times the logarithm of the fleet's size; d.mu is held.
+func (d *Detector) disseminate(e *entry) {
+	e.transmitsLeft = transmitsPerBit * bits.Len(uint(len(d.nodes)+1))
+}
+
+// HandleHeartbeat answers a heartbeat.
+func (d *Detector) HandleHeartbeat(_ context.Context, message Heartbeat) (HeartbeatReply, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	_, known := d.nodes[message.From.Name]
+	d.apply(message.From)
+	for _, update := range message.Updates {
+		d.apply(update)
+	}
+	e := d.nodes[message.From.Name]
+	if e == nil {
+		return HeartbeatReply{}, nil // our own heartbeat, by way of a seed that is ourselves
+	}
+	if e.Down || e.Incarnation > message.From.Incarnation {
+		return HeartbeatReply{Updates: []Node{e.Node}}, nil // it has to contradict this before it counts
+	}
+	e.lastHeard = time.Now()
+	if known && !message.Full {
+		return HeartbeatReply{Updates: d.nextUpdates()}, nil
+	}
+	return HeartbeatReply{Updates: append(d.others(true), d.self)}, nil
+}
+
+// others lists the nodes known besides this one, in the order of their names; d.mu is held.
+func (d *Detector) others(withDown bool) (nodes []Node) {
+	for _, e := range d.nodes {
+		if withDown || !e.Down {
+			nodes = append(nodes, e.Node)
+		}
+	}
+	sort.Slice(nodes, func(i, j int) bool { return nodes[i].Name < nodes[j].Name })
+	return nodes
+}
+
+// HandleSuspicion answers another watcher's suspicion.
+func (d *Detector) HandleSuspicion(_ context.Context, s Suspicion) (SuspicionReply, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	e := d.nodes[s.Name]
+	if e == nil || !d.isWatcher(e) {
+		return SuspicionReply{}, nil
+	}
+	return SuspicionReply{SilentMs: time.Since(e.lastHeard).Milliseconds(), Watcher: true}, nil
+}
+
+// suspect takes a node for down if most of its watchers that can be asked have not heard it either.
+func (d *Detector) suspect(ctx context.Context, node Node) {
+	e, watchers, timeout := d.suspectedNode(node)
+	agreeing, answered := 1, 1 // this node itself
+	for _, watcher := range watchers {
+		if watcher.Name == d.self.Name {
+			continue
+		}
+		reply, err := d.askWatcher(ctx, watcher, node)
+		if err != nil {
+			continue
+		}
+		answered++
+		if reply.Watcher && time.Duration(reply.SilentMs)*time.Millisecond > timeout/2 {
+			agreeing++
+		}
+	}
+	if answered < 2 && len(watchers) > 1 || agreeing*2 <= answered {
+		return // alone, or not agreed: perhaps it is this node that is cut off
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if e.Incarnation != node.Incarnation || e.Down || time.Since(e.lastHeard) < timeout {
+		return // heard meanwhile
+	}
+	d.alarms++
+	node.Down = true
+	d.apply(node)
+}
+
+// suspectedNode gives a node's entry, copies of its watchers (the entries move on while they are asked), and its timeout.
+func (d *Detector) suspectedNode(node Node) (e *entry, watchers []Node, timeout time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	e = d.nodes[node.Name]
+	for _, watcher := range d.watchers(node.Name, node.Zone) {
+		watchers = append(watchers, watcher.Node)
+	}
+	d.messagesSent += len(watchers) - 1
+	return e, watchers, d.timeout(e, time.Now())
+}
+
+func (d *Detector) askWatcher(ctx context.Context, watcher, node Node) (SuspicionReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	return d.options.Transport.SendSuspicion(ctx, watcher.Address, Suspicion{Name: node.Name, Incarnation: node.Incarnation})
+}
--- a/watch/source_test.go
+++ b/watch/server_test.go
@@ -50,7 +50,7 @@
 	is.Equal(len(merged.Updates), 1)
 	is.Equal(string(merged.Updates[0].Fields["hot"]), "4999")
 	is.Equal(len(merged.Updates[0].Fields), 1)
-	is.True(s.order.Len() <= 3) // one place for the key and one for each field
+	is.True(s.positions.Len() <= 3) // one place for the key and one for each field
 	for n := uint64(0); n < maxTombstones+100; n++ {
 		put(5000+2*n, register.Fields{fmt.Sprint(n): []byte(`1`)})
 		put(5001+2*n, register.Fields{fmt.Sprint(n): nil})
@@ -58,7 +58,7 @@
 	late, err := s.Watch(t.Context(), Request{Name: "f", RunID: first.RunID, After: merged.Offset})
 	is.NoErr(err)
 	is.True(late.Snapshot) // removals that it never heard of are dropped by now
-	is.True(s.order.Len() <= maxTombstones+3)
+	is.True(s.positions.Len() <= maxTombstones+3)
 	other, err := s.Watch(t.Context(), Request{Name: "f", RunID: "another life", After: late.Offset})
 	is.NoErr(err)
 	is.True(other.Snapshot)
