--- a/agent/forwarding.go
+++ b/agent/forwarding.go
@@ -12,6 +12,7 @@
 	"asterridge/membership"
 	"asterridge/protocol"
 	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/router"
 	"asterridge/rpc"
 	"asterridge/throttle"
@@ -36,7 +37,9 @@
 			live = append(live, m)
 		}
 	}
-	sort.Slice(live, func(i, j int) bool { return register.Weight(key, live[i].Name) > register.Weight(key, live[j].Name) })
+	sort.Slice(live, func(i, j int) bool {
+		return rendezvous.Weight(key, live[i].Name) > rendezvous.Weight(key, live[j].Name)
+	})
 	return live
 }
 
--- a/claim/request.go
+++ b/claim/request.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"asterridge/config"
-	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/router"
 )
 
@@ -26,5 +26,5 @@
 
 // Register is the key of the register that the claim belongs to.
 func (r Request) Register() string {
-	return fmt.Sprintf(RegisterPrefix+"%02d", register.Weight(r.Field(), "")%registers)
+	return fmt.Sprintf(RegisterPrefix+"%02d", rendezvous.Weight(r.Field(), "")%registers)
 }
--- a/controlplane/membership.go
+++ b/controlplane/membership.go
@@ -14,6 +14,7 @@
 	"asterridge/membership"
 	"asterridge/protocol"
 	"asterridge/register"
+	"asterridge/rendezvous"
 )
 
 const (
@@ -88,7 +89,7 @@
 
 // isAssigned reports whether this core is the one that looks after a key, by rendezvous hash over the live members.
 func (c *Core) isAssigned(key string) bool {
-	return c.hasQuorum() && register.Pick(key, c.live()) == c.host.Name
+	return c.hasQuorum() && rendezvous.Pick(key, c.live()) == c.host.Name
 }
 
 // live names the members heard within membership.LivenessTimeout, this core included.
@@ -264,7 +265,7 @@
 func (c *Core) reconcileMembership(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
 	transferring := record.Fields[membership.PreviousField] != nil
-	if transferring || !record.IsCommitted() || register.Pick(config.MembersKey, c.live()) != c.host.Name {
+	if transferring || !record.IsCommitted() || rendezvous.Pick(config.MembersKey, c.live()) != c.host.Name {
 		return
 	}
 	change, due := c.membershipView().Next(membership.Decode(record.Fields).Members, time.Now())
--- a/controlplane/model_loader.go
+++ b/controlplane/model_loader.go
@@ -12,6 +12,7 @@
 	"asterridge/lease"
 	"asterridge/protocol"
 	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/replicaclient"
 )
 
@@ -118,7 +119,7 @@
 func (l *modelLoader) campaign(ctx context.Context) (fence uint64, held bool) {
 	fence, held = l.candidate.Held()
 	due := time.Since(l.lastCampaign) > loadLease/campaignsPerLease
-	if !due || !held && register.Pick(leasePrefix+loadingRole, l.core.live()) != l.core.host.Name {
+	if !due || !held && rendezvous.Pick(leasePrefix+loadingRole, l.core.live()) != l.core.host.Name {
 		return fence, held
 	}
 	before := held
--- a/controlplane/operation.go
+++ b/controlplane/operation.go
@@ -13,6 +13,7 @@
 	"asterridge/membership"
 	"asterridge/protocol"
 	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/rpc"
 	"asterridge/throttle"
 )
@@ -110,7 +111,7 @@
 	} else if now.self == nil {
 		return none, apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
 	}
-	owner := register.Pick(o.key(request), c.live())
+	owner := rendezvous.Pick(o.key(request), c.live())
 	if owner == c.host.Name {
 		return o.apply(ctx, request)
 	}
--- a/controlplane/queries.go
+++ b/controlplane/queries.go
@@ -12,7 +12,7 @@
 	"asterridge/daemon"
 	"asterridge/membership"
 	"asterridge/protocol"
-	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/router"
 	"asterridge/rpc"
 	"asterridge/watch"
@@ -82,7 +82,7 @@
 func (c *Core) throttleRows() (rows []router.Row) {
 	for _, n := range c.throttles.All() {
 		rows = append(rows, router.Row{"scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason, router.AttemptColumn: n.Attempt,
-			"raw": n.Raw, "mark": n.ID, "observed": n.Observed, "owner": register.Pick(throttleRegister(n), c.live())})
+			"raw": n.Raw, "mark": n.ID, "observed": n.Observed, "owner": rendezvous.Pick(throttleRegister(n), c.live())})
 	}
 	return rows
 }
@@ -134,7 +134,7 @@
 func (c *Core) ownerRows() (rows []router.Row) {
 	for _, key := range c.acceptor.Keys() {
 		record := c.acceptor.Read(key)
-		rows = append(rows, router.Row{"key": key, "owner": register.Pick(key, c.live()), "epoch": record.Revision.Epoch,
+		rows = append(rows, router.Row{"key": key, "owner": rendezvous.Pick(key, c.live()), "epoch": record.Revision.Epoch,
 			"version": record.Revision.Version, "settled": record.IsCommitted(), "fields": len(record.Fields)})
 	}
 	return rows
--- a/controlplane/tick.go
+++ b/controlplane/tick.go
@@ -6,7 +6,7 @@
 
 	"asterridge/membership"
 	"asterridge/protocol"
-	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/rpc"
 	"asterridge/watch"
 )
@@ -130,7 +130,7 @@
 func (c *Core) commitOverdue(ctx context.Context) {
 	for _, key := range c.acceptor.Keys() {
 		if c.isOverdue(key) {
-			owner := register.Pick(key, c.live())
+			owner := rendezvous.Pick(key, c.live())
 			go c.requestCommit(ctx, owner, key)
 		}
 	}
--- a/controlplane/transfer.go
+++ b/controlplane/transfer.go
@@ -8,6 +8,7 @@
 	"asterridge/config"
 	"asterridge/membership"
 	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/router"
 	"asterridge/rpc"
 )
@@ -24,7 +25,7 @@
 func (c *Core) transferKeys(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
 	due := record.Fields[membership.PreviousField] != nil && record.IsCommitted()
-	if !due || register.Pick(config.MembersKey, c.live()) != c.host.Name || !c.transferMu.TryLock() {
+	if !due || rendezvous.Pick(config.MembersKey, c.live()) != c.host.Name || !c.transferMu.TryLock() {
 		return
 	}
 	go func() {
--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"asterridge/gossip"
-	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/router"
 	"asterridge/rpc"
 )
@@ -44,7 +44,7 @@
 		Transport: gossipTransport{client: client},
 		Interval:  interval,
 		Watchers:  gossipWatchers,
-		Seed:      register.Weight("seed", host.Name),
+		Seed:      rendezvous.Weight("seed", host.Name),
 		Log:       host.Log,
 	})
 }
--- a/deployment/bounds.go
+++ b/deployment/bounds.go
@@ -1,3 +1,5 @@
+// Package deployment derives the options of the fleet's programs from what a deployment promises to its users. Sizes and times come from here,
+// never from a deployment's name.
 package deployment
 
 import (
@@ -10,32 +12,56 @@
 	"asterridge/proxy"
 )
 
-// Bounds are what a deployment promises to its users; the daemons' own limits follow from them (§3.2, §6.2).
+// Bounds are what a deployment promises to its users (docs/design.md §3.2, §6.2). A zero bound is one that it does not give.
 type Bounds struct {
-	RevocationClosed bool                 // a revoked key is refused everywhere, also by a proxy that is cut off
-	KeyRevocation    time.Duration        // within which it is
-	ConfigApply      time.Duration        // a configuration is used
-	ModelVersion     time.Duration        // no request begins on old weights after it
-	Lease            time.Duration        // between the orders of two holders of a duty
-	Drain            time.Duration        // a leaving replica gets no more work after it
-	Grace            time.Duration        // from the word to stop to the end of the process
-	RetryRatio       float64              // of second tries to first ones that the fleet may send; 0: not told
-	RetrySlack       float64              // second tries that the fleet may send beyond that
-	GossipInterval   time.Duration        // between two beats of the ring
-	MemoryMB         int                  // of one process
-	Tolerance        membership.Tolerance // what may be lost at once
+	// RevocationClosed: a revoked access key is refused everywhere within KeyRevocation, also by a proxy that is cut off.
+	RevocationClosed bool
+	KeyRevocation    time.Duration
+	// ConfigApply is the time within which an accepted configuration is used.
+	ConfigApply time.Duration
+	// ModelVersion is the time after which no request begins on a version before the published one.
+	ModelVersion time.Duration
+	// Lease is the least time between the orders of two holders of a singleton role.
+	Lease time.Duration
+	// Drain is the time after which a draining replica gets no more work.
+	Drain time.Duration
+	// Grace is the time from the signal to stop to the end of the process.
+	Grace time.Duration
+	// RetryRatio and RetrySlack bound the second attempts of the fleet: that part of the first ones, and so many beyond it.
+	RetryRatio float64
+	RetrySlack float64
+	// GossipInterval is the time between two heartbeats.
+	GossipInterval time.Duration
+	// MemoryMB is the memory of one process.
+	MemoryMB int
+	// Tolerance is what may be lost at once.
+	Tolerance membership.Tolerance
 }
 
 const (
-	staleMargin        = time.Second // of the bound on revoked keys: the last look, the send, and the replica's own start
-	maxStale           = 10 * time.Second
-	modelVersionMargin = time.Second // of the bound on old versions: the word of the new one, and the way to the replica
-	watchWait          = 700 * time.Millisecond
-	bodyMemoryShare    = 4   // so much of the memory holds callers' bodies
-	indexEntriesPerMB  = 100 // entries of the index of kept prompts
+	// staleMargin is taken off the bound on revoked keys: for the last look, the send, and the replica's own start.
+	staleMargin = time.Second
+	// maxStale bounds staleness where revocation is open.
+	maxStale = 10 * time.Second
+	// modelVersionMargin is taken off the bound on old versions: for the update to arrive, and the way to the replica.
+	modelVersionMargin = time.Second
+	// watchWait is how long watch requests of agents and proxies are held open, coreWatchWait those between cores.
+	watchWait     = 700 * time.Millisecond
+	coreWatchWait = 200 * time.Millisecond
+	// agentStopMargin and proxyStopMargin are what is left of the grace when the process is to be gone.
+	agentStopMargin = time.Second
+	proxyStopMargin = 2 * time.Second
+	// readinessLinger covers two of the platform's checks of readiness.
+	readinessLinger = 2200 * time.Millisecond
+	// claimRetention is how long clients' idempotency keys are remembered.
+	claimRetention = time.Hour
+	// bodyMemoryShare is the part of the memory that holds clients' bodies: a quarter.
+	bodyMemoryShare = 4
+	// indexEntriesPerMB sizes the prefix index.
+	indexEntriesPerMB = 100
 )
 
-// maxStaleness is how long a proxy serves by what it knows without a word from a majority of cores (T and U).
+// maxStaleness is how long a proxy serves by what it knows without hearing a majority of the cores (T and U).
 func (b Bounds) maxStaleness() time.Duration {
 	if !b.RevocationClosed {
 		return maxStale
@@ -43,26 +69,38 @@
 	return max(protocol.FreshLimit, min(b.KeyRevocation-staleMargin, maxStale))
 }
 
-// Agent gives the agent's options.
+// Agent gives an agent's options.
 func (b Bounds) Agent() agent.Options {
-	return agent.Options{FreshLimit: b.maxStaleness(), UndecidedLimit: b.maxStaleness(), WatchWait: watchWait, Grace: max(0, b.Grace-time.Second)}
+	return agent.Options{
+		FreshLimit:     b.maxStaleness(),
+		UndecidedLimit: b.maxStaleness(),
+		WatchWait:      watchWait,
+		Grace:          max(0, b.Grace-agentStopMargin),
+	}
 }
 
-// Proxy gives the proxy's options.
+// Proxy gives a proxy's options.
 func (b Bounds) Proxy() proxy.Options {
 	return proxy.Options{
-		Grace: max(0, b.Grace-2*time.Second), ReadinessLinger: min(readinessLinger, b.Grace/3), OldWeightsLimit: max(b.ModelVersion/2, b.ModelVersion-modelVersionMargin),
-		RetryRatio: b.RetryRatio, RetrySlack: b.RetrySlack, AgentWatchWait: watchWait, PrefixIndexSize: b.MemoryMB * indexEntriesPerMB, BodyMemory: int64(b.MemoryMB) << 20 / bodyMemoryShare,
+		Grace:           max(0, b.Grace-proxyStopMargin),
+		ReadinessLinger: min(readinessLinger, b.Grace/3),
+		OldWeightsLimit: max(b.ModelVersion/2, b.ModelVersion-modelVersionMargin),
+		RetryRatio:      b.RetryRatio,
+		RetrySlack:      b.RetrySlack,
+		AgentWatchWait:  watchWait,
+		PrefixIndexSize: b.MemoryMB * indexEntriesPerMB,
+		BodyMemory:      int64(b.MemoryMB) << 20 / bodyMemoryShare,
 	}
 }
 
-// readinessLinger covers two of the platform's checks of readiness.
-const readinessLinger = 2200 * time.Millisecond
-
-// Core gives the core's options.
+// Core gives a core's options.
 func (b Bounds) Core() controlplane.Options {
 	return controlplane.Options{
-		ClaimRetention: time.Hour, AutoMembership: true, Lease: b.Lease, WatchWait: 200 * time.Millisecond,
-		Tolerance: b.Tolerance, LeaveTimeout: min(controlplane.MaxLeaveTimeout, b.Grace/2),
+		ClaimRetention: claimRetention,
+		AutoMembership: true,
+		Lease:          b.Lease,
+		WatchWait:      coreWatchWait,
+		Tolerance:      b.Tolerance,
+		LeaveTimeout:   min(controlplane.MaxLeaveTimeout, b.Grace/2),
 	}
 }
--- a/gossip/detector.go
+++ b/gossip/detector.go
@@ -19,7 +19,7 @@
 
 	"github.com/rs/zerolog"
 
-	"asterridge/register"
+	"asterridge/rendezvous"
 )
 
 const (
@@ -93,7 +93,7 @@
 	}
 }
 
-func positionOf(name string) uint64 { return register.Weight("ring", name) }
+func positionOf(name string) uint64 { return rendezvous.Weight("ring", name) }
 
 // Run sends heartbeats until the context ends.
 func (d *Detector) Run(ctx context.Context) {
--- a/gossip/detector_test.go
+++ b/gossip/detector_test.go
@@ -15,7 +15,7 @@
 	"github.com/matryer/is"
 	"github.com/rs/zerolog"
 
-	"asterridge/register"
+	"asterridge/rendezvous"
 )
 
 // field is a network of rings with loss, on which some are dead or frozen.
@@ -66,7 +66,7 @@
 
 func (f *field) start(ctx context.Context, name, zone string, seeds []string) {
 	r := New(Options{Self: Node{Name: name, Role: "agent", Zone: zone, Address: name}, Seeds: seeds, Transport: caller{f, name},
-		Interval: 500 * time.Millisecond, Watchers: 3, Seed: register.Weight("seed", name), Log: zerolog.Nop()})
+		Interval: 500 * time.Millisecond, Watchers: 3, Seed: rendezvous.Weight("seed", name), Log: zerolog.Nop()})
 	f.mu.Lock()
 	f.rings[name] = r
 	f.mu.Unlock()
--- a/lease/grant.go
+++ b/lease/grant.go
@@ -7,31 +7,34 @@
 	"asterridge/register"
 )
 
-// Grant is a lease as a duty's register has it. Versions alone do not tell grants apart: one that a minority of disks has may bear the same
-// version as another that came to a majority under a later epoch. Each asking makes a nonce of its own.
+// Grant is a lease as its role's register has it. Versions alone do not tell grants apart: one that a minority of disks has may bear the same
+// version as another that came to a majority under a later epoch. So each has a nonce of its own.
 type Grant struct {
-	Holder  string `json:"holder"`
-	Nonce   string `json:"mark"`
-	Version uint64 `json:"version"` // the lease's number
+	Holder string `json:"holder"`
+	Nonce  string `json:"mark"`
+	// Version is that of the register: the lease's fencing token.
+	Version uint64 `json:"version"`
 }
 
+// Fields of a role's register.
 const (
 	holderField = "holder"
 	nonceField  = "mark"
 )
 
-// ReadGrant gives the grant that a duty's register has; the zero one if the duty was never taken.
+// ReadGrant gives the grant that a role's register has; the zero one if the role was never taken.
 func ReadGrant(fields register.Fields, version uint64) Grant {
 	g := Grant{Version: version}
-	_ = json.Unmarshal(fields[holderField], &g.Holder) // nobody yet: empty
-	_ = json.Unmarshal(fields[nonceField], &g.Nonce)   // none: from before there were nonces
+	_ = json.Unmarshal(fields[holderField], &g.Holder) // absent: nobody yet
+	_ = json.Unmarshal(fields[nonceField], &g.Nonce)   // absent: from a build before there were nonces
 	return g
 }
 
-// Replace is the register's change by which a grant comes in the place of the one that its asker met, and of no other.
+// Replace is the register's change by which a grant comes in the place of the expected one, and of no other. The error is apierror.Conflict
+// if another one stands.
 func (g Grant) Replace(expected Grant) register.Op {
-	return func(now register.Fields, version uint64) (register.Fields, error) {
-		if current := ReadGrant(now, version); current.Version != expected.Version || current.Nonce != expected.Nonce {
+	return func(present register.Fields, version uint64) (register.Fields, error) {
+		if current := ReadGrant(present, version); current.Version != expected.Version || current.Nonce != expected.Nonce {
 			return nil, apierror.New(apierror.Conflict, "expected version %d of %s, present is %d of %s", expected.Version, expected.Holder, version, current.Holder)
 		}
 		holder, err := json.Marshal(g.Holder)
@@ -39,6 +42,6 @@
 			return nil, apierror.Wrap(err, apierror.Internal, "holder")
 		}
 		nonce, err := json.Marshal(g.Nonce)
-		return register.Fields{holderField: holder, nonceField: nonce}, apierror.Wrap(err, apierror.Internal, "mark")
+		return register.Fields{holderField: holder, nonceField: nonce}, apierror.Wrap(err, apierror.Internal, "nonce")
 	}
 }
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,5 +1,9 @@
-// Package lease has the leases of duties that one daemon does: granted by a majority through a register, counted from when the asking
-// began, and given up before their end (docs/design.md §2.7).
+// Package lease decides which process performs a singleton role. A lease is granted by a majority, through a register that every candidate
+// reads and changes; the holder counts it from before it asked and gives it up before its end, and a candidate counts from when the grant
+// showed to it. So at no moment do two hold one lease, whatever is frozen, slow or cut off (docs/design.md §2.7).
+//
+// Each grant has a version, which only rises: it is the fencing token of what is done under the lease, so that what a former holder sends
+// late can be told from what the present one sends.
 package lease
 
 import (
@@ -11,108 +15,126 @@
 	"github.com/rs/zerolog"
 )
 
-// Store is where leases are written: a register that every candidate reads and changes.
+// Store is where grants are written.
 type Store interface {
-	// Read gives the grant that this daemon knows.
-	Read(duty string) Grant
-	// Acquire writes a grant in the place of the one that was met, on a majority, and gives its version.
-	Acquire(ctx context.Context, duty string, made, met Grant) (version uint64, err error)
+	// Read gives the grant that this process knows; the zero grant if there never was one.
+	Read(role string) Grant
+	// Acquire writes a grant in the place of the expected one, on a majority, and gives its version. After an error it may have been written.
+	Acquire(ctx context.Context, role string, grant, expected Grant) (version uint64, err error)
 }
 
 // Options of a candidate.
 type Options struct {
-	Role   string
-	Holder string // unique to this life of this daemon
+	Role string
+	// Holder names this run of this process; no other run may have the name.
+	Holder string
+	// Length is how long a lease lasts, Margin by how much its holder gives it up sooner.
 	Length time.Duration
-	Margin time.Duration // given up so long before the end
+	Margin time.Duration
 	Store  Store
 	Log    zerolog.Logger
 }
 
-// Candidate is one process's candidacy for one duty.
+// Candidate is one process's candidacy for one role.
 type Candidate struct {
-	options       Options
-	mu            sync.Mutex
-	granted       Grant     // our last lease; its version is the fence of what is done under it
-	expires       time.Time // ours until then; zero while it is not
-	observed      Grant     // another's lease, and since when it stands unchanged here
+	options Options
+
+	mu sync.Mutex // guards what follows
+	// granted is our last grant, expires when we give it up; zero while we hold none.
+	granted Grant
+	expires time.Time
+	// observed is the grant that stands here, observedSince since when it has stood unchanged.
+	observed      Grant
 	observedSince time.Time
-	previousEnd   time.Time // when the lease of the holder before us was over at the latest; zero if there was none
+	// previousEnd is when the lease of the holder before us was over at the latest; zero if there was none.
+	previousEnd time.Time
 }
 
 // New makes a candidate.
 func New(options Options) *Candidate { return &Candidate{options: options} }
 
-// Held says whether the lease is ours now, and its number.
-func (s *Candidate) Held() (number uint64, own bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.granted.Version, time.Now().Before(s.expires)
+// Held reports whether the lease is ours now, with its fencing token.
+func (c *Candidate) Held() (fence uint64, held bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.granted.Version, c.holds(time.Now())
 }
 
-// Holder is the name under which this candidate holds its duty.
-func (s *Candidate) Holder() string { return s.options.Holder }
+// holds is Held; c.mu is held.
+func (c *Candidate) holds(now time.Time) bool { return now.Before(c.expires) }
+
+// Holder is the name under which this candidate holds its lease.
+func (c *Candidate) Holder() string { return c.options.Holder }
 
 // PreviousLeaseEnd is when the lease of the holder before us was over at the latest; zero if there was none.
-func (s *Candidate) PreviousLeaseEnd() time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.previousEnd
+func (c *Candidate) PreviousLeaseEnd() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.previousEnd
 }
 
-// Observe notes how long another's lease has stood, for a candidate that does not want the duty yet.
-func (s *Candidate) Observe() {
-	current := s.options.Store.Read(s.options.Role)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if now := time.Now(); !now.Before(s.expires) && (current != s.observed || s.observedSince.IsZero()) {
-		s.observed, s.observedSince = current, now
+// Observe notes how long another's grant has stood, for a candidate that does not campaign yet.
+func (c *Candidate) Observe() {
+	current := c.options.Store.Read(c.options.Role)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now := time.Now(); !c.holds(now) {
+		c.observe(current, now)
 	}
 }
 
-// Campaign renews our lease, or takes one whose holder has been silent for a whole lease on our clock. It is called a few times a lease.
-func (s *Candidate) Campaign(ctx context.Context) {
-	o := s.options
-	current := o.Store.Read(o.Role)
-	grant := Grant{Holder: o.Holder, Nonce: rand.Text()}
-	s.mu.Lock()
-	now := time.Now()
-	own := now.Before(s.expires)
-	expected := current
-	if own {
-		if expected.Version < s.granted.Version {
-			expected = s.granted // this daemon's own disk has not got it yet
-		}
-	} else {
-		if current != s.observed || s.observedSince.IsZero() {
-			s.observed, s.observedSince = current, now
-		}
-		// The holder counts from before it asked, we count from after its lease showed here: ours ends later.
-		if current.Version != 0 && now.Sub(s.observedSince) < o.Length {
-			s.mu.Unlock()
-			return
-		}
+// observe notes since when a grant has stood here unchanged; c.mu is held.
+func (c *Candidate) observe(current Grant, now time.Time) {
+	if current != c.observed || c.observedSince.IsZero() {
+		c.observed, c.observedSince = current, now
 	}
-	if own && current.Holder != o.Holder && current.Version > s.granted.Version {
-		s.expires = time.Time{} // cannot be while we hold it; give way all the same
-		s.mu.Unlock()
+}
+
+// Campaign renews our lease, or takes one whose grant has stood unchanged for a whole lease on our clock. It is to be called a few times a
+// lease. A failure leaves what we hold until its end.
+func (c *Candidate) Campaign(ctx context.Context) {
+	o := c.options
+	current := o.Store.Read(o.Role)
+	began := time.Now()
+	expected, renewing, due := c.expectedGrant(current, began)
+	if !due {
 		return
 	}
-	s.mu.Unlock()
-	acquireCtx, stop := context.WithTimeout(ctx, o.Length/2)
-	defer stop()
-	version, err := o.Store.Acquire(acquireCtx, o.Role, grant, expected)
+	grant := Grant{Holder: o.Holder, Nonce: rand.Text()}
+	ctx, cancel := context.WithTimeout(ctx, o.Length/2)
+	defer cancel()
+	version, err := o.Store.Acquire(ctx, o.Role, grant, expected)
 	if err != nil {
-		return // what we hold runs on to its end
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !own && current.Version != 0 && current.Holder != o.Holder {
-		s.previousEnd = s.observedSince.Add(o.Length)
+		return
 	}
 	grant.Version = version
-	s.granted, s.expires = grant, now.Add(o.Length-o.Margin)
-	if !own {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !renewing && current.Version != 0 && current.Holder != o.Holder {
+		c.previousEnd = c.observedSince.Add(o.Length)
+	}
+	c.granted, c.expires = grant, began.Add(o.Length-o.Margin)
+	if !renewing {
 		o.Log.Info().Str("role", o.Role).Uint64("fence", version).Msg("lease acquired")
 	}
 }
+
+// expectedGrant gives the grant that ours is to come in the place of, and reports whether ours is a renewal and whether it is time.
+func (c *Candidate) expectedGrant(current Grant, now time.Time) (expected Grant, renewing, due bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.holds(now) {
+		c.observe(current, now)
+		// The holder counts from before it asked, we count from after its grant showed here: our wait ends later than its lease.
+		due = current.Version == 0 || now.Sub(c.observedSince) >= c.options.Length
+		return current, false, due
+	}
+	if current.Holder != c.options.Holder && current.Version > c.granted.Version {
+		c.expires = time.Time{} // cannot be while we hold it; give way all the same
+		return Grant{}, false, false
+	}
+	if current.Version < c.granted.Version {
+		return c.granted, true, true // this process's own disk has not got it yet
+	}
+	return current, true, true
+}
--- a/proxy/metrics.go
+++ b/proxy/metrics.go
@@ -5,9 +5,13 @@
 	"asterridge/router"
 )
 
-func proxyGauges(r *router.Router) daemon.Gauges {
+// gauges are the router's figures for GET /metrics; docs/operators.md says what each tells.
+func gauges(r *router.Router) daemon.Gauges {
 	return func() []daemon.Gauge {
-		all := []daemon.Gauge{{Name: "proxy_is_current", Value: daemon.BoolValue(r.IsCurrent())}, {Name: "proxy_is_ready", Value: daemon.BoolValue(r.IsReady())}}
+		all := []daemon.Gauge{
+			{Name: "proxy_is_current", Value: daemon.BoolValue(r.IsCurrent())},
+			{Name: "proxy_is_ready", Value: daemon.BoolValue(r.IsReady())},
+		}
 		for name, n := range r.Counts() {
 			all = append(all, daemon.Gauge{Name: "proxy_count", Value: float64(n), Label: [2]string{"what", name}})
 		}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -1,3 +1,5 @@
+// Package proxy is the program that clients' requests come to. It is thin: the library router decides, this package gives it listeners, ends
+// it in order, and bounds how long clients' connections may be idle.
 package proxy
 
 import (
@@ -11,33 +13,45 @@
 	"asterridge/rpc"
 )
 
-// Proxy is the thin daemon over the router library.
+// Options of a proxy. Zero values are those of router.Options, but where another default is given.
+type Options struct {
+	// Agent is the agent's loopback address, Admin the one where the agent reaches this proxy's queries.
+	Agent string
+	Admin string
+	// Grace is how long a stopping proxy lets running requests finish.
+	Grace time.Duration
+	// ReadinessLinger is how long a stopping proxy, unready already, goes on taking requests: clients are still led to it for as long.
+	ReadinessLinger time.Duration
+	// Seed is of the random choices.
+	Seed uint64
+	// PrefixIndexSize bounds the entries of the prefix index; 0: no index.
+	PrefixIndexSize int
+	// BodyMemory bounds the bytes of clients' bodies that are held at a time.
+	BodyMemory int64
+	// Dialect is how clients and replicas are spoken to; nil: router.ChatDialect.
+	Dialect router.Dialect
+	// OldWeightsLimit is how long requests may begin on a version before the published one.
+	OldWeightsLimit time.Duration
+	// RetryRatio and RetrySlack bound second attempts: that part of the first ones, and so many beyond it.
+	RetryRatio float64
+	RetrySlack float64
+	// AgentWatchWait is how long the agent may hold a watch request open.
+	AgentWatchWait time.Duration
+	// KeepAlive is how long an idle connection to a replica is kept.
+	KeepAlive time.Duration
+	// HeaderTimeout is how long a request's header may take to arrive, where the configuration does not say; 0: 10 s.
+	HeaderTimeout time.Duration
+	// IdleTimeout is how long an idle connection of a client is kept, where the configuration does not say; 0: 2 min.
+	IdleTimeout time.Duration
+}
+
+// Proxy serves clients' requests.
 type Proxy struct {
 	Router  *router.Router
 	host    daemon.Host
 	options Options
 }
 
-// Options of a proxy.
-type Options struct {
-	Agent           string // the agent's loopback address
-	Admin           string // where the agent reaches this proxy's queries
-	Grace           time.Duration
-	Seed            uint64
-	PrefixIndexSize int
-	BodyMemory      int64 // bytes of callers' bodies held at a time
-	// ReadinessLinger is how long a stopping proxy, unready already, goes on taking requests: callers are still led to it for as long.
-	ReadinessLinger time.Duration
-	Dialect         router.Dialect
-	OldWeightsLimit time.Duration
-	RetrySlack      float64
-	RetryRatio      float64
-	AgentWatchWait  time.Duration
-	KeepAlive       time.Duration
-	HeaderTimeout   time.Duration // for a request's headers to come, where the configuration does not say; 0: 10 s
-	IdleTimeout     time.Duration // an idle connection of a caller is kept so long, where the configuration does not say; 0: 2 min
-}
-
 // New makes a proxy.
 func New(host daemon.Host, options Options) *Proxy {
 	if options.HeaderTimeout == 0 {
@@ -47,42 +61,69 @@
 		options.IdleTimeout = defaultIdleTimeout
 	}
 	return &Proxy{host: host, options: options, Router: router.New(router.Options{
-		Name: host.Name, Zone: host.Zone, Fleet: host.Fleet, Agent: options.Agent, Admin: options.Admin,
-		Net: host.Net, Log: host.Log, Seed: options.Seed, Index: options.PrefixIndexSize, Room: options.BodyMemory, Clock: host.Clock,
-		Dialect: options.Dialect, OldWeights: options.OldWeightsLimit, RetrySlack: options.RetrySlack, RetryRatio: options.RetryRatio, AgentWait: options.AgentWatchWait, KeepAlive: options.KeepAlive,
+		Name:       host.Name,
+		Zone:       host.Zone,
+		Fleet:      host.Fleet,
+		Agent:      options.Agent,
+		Admin:      options.Admin,
+		Net:        host.Net,
+		Log:        host.Log,
+		Clock:      host.Clock,
+		Seed:       options.Seed,
+		Index:      options.PrefixIndexSize,
+		Room:       options.BodyMemory,
+		Dialect:    options.Dialect,
+		OldWeights: options.OldWeightsLimit,
+		RetryRatio: options.RetryRatio,
+		RetrySlack: options.RetrySlack,
+		AgentWait:  options.AgentWatchWait,
+		KeepAlive:  options.KeepAlive,
 	})}
 }
 
-// Serve runs the proxy until the context ends: then it is unready, rejects what waits, and lets streams finish for the grace.
-func (p *Proxy) Serve(ctx context.Context, callers, admin net.Listener) error {
-	running, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+// Serve runs the proxy until the context ends. Then it is unready, goes on taking requests for the linger, rejects what waits, and lets
+// streams finish within the grace.
+func (p *Proxy) Serve(ctx context.Context, clients, admin net.Listener) error {
+	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
 	go p.Router.Run(running)
-	mux := http.NewServeMux()
-	mux.Handle("/", p.Router.Admin())
-	daemon.HandleMetrics(mux, proxyGauges(p.Router))
-	go func() { _ = daemon.Serve(running, admin, mux, time.Second) }()
+	go p.serveAdmin(running, admin)
 	server := newServer(p.Router.Handler(), func() connectionTimeouts { return effectiveTimeouts(p.Router.Limits(), p.options) })
 	failed := make(chan error, 1)
-	watched := timeoutListener{router.Watch(server, callers)}
-	go func() { failed <- server.Serve(watched) }()
+	listener := timeoutListener{router.Watch(server, clients)}
+	go func() { failed <- server.Serve(listener) }()
 	p.host.Log.Info().Str("address", p.host.Address).Msg("proxy started")
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
-	last, end := context.WithTimeout(running, p.options.Grace)
-	defer end()
+	p.shutDown(running, server)
+	p.host.Log.Info().Msg("proxy stopped")
+	return nil
+}
+
+// serveAdmin serves queries and figures.
+func (p *Proxy) serveAdmin(ctx context.Context, admin net.Listener) {
+	mux := http.NewServeMux()
+	mux.Handle("/", p.Router.Admin())
+	daemon.HandleMetrics(mux, gauges(p.Router))
+	if err := daemon.Serve(ctx, admin, mux, time.Second); err != nil {
+		p.host.Log.Error().Err(err).Msg("listener for queries failed")
+	}
+}
+
+// shutDown ends the proxy within the grace.
+func (p *Proxy) shutDown(ctx context.Context, server *http.Server) {
+	ctx, cancel := context.WithTimeout(ctx, p.options.Grace)
+	defer cancel()
 	p.Router.Leave()
 	if p.options.ReadinessLinger > 0 {
 		server.SetKeepAlivesEnabled(false) // each answer ends its connection
-		_ = rpc.Sleep(last, p.options.ReadinessLinger)
+		_ = rpc.Sleep(ctx, p.options.ReadinessLinger)
 	}
-	p.Router.Stop(last)
-	if server.Shutdown(last) != nil {
-		_ = server.Close()
+	p.Router.Stop(ctx)
+	if server.Shutdown(ctx) != nil {
+		_ = server.Close() // the grace is over
 	}
-	p.host.Log.Info().Msg("proxy stopped")
-	return nil
 }
--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -1,115 +1,54 @@
 package register
 
 import (
-	"encoding/json"
 	"net/url"
 	"sort"
 	"sync"
-	"time"
 
 	"asterridge/apierror"
 	"asterridge/disk"
+	"asterridge/rendezvous"
 )
 
-const (
-	shardCount       = 64
-	maxDeltaFiles    = 64
-	writeLockTimeout = time.Second
-)
+// shardCount is the number of parts of an acceptor's map that are locked apart.
+const shardCount = 64
 
-// Acceptor is what one core's disk has promised and accepted (§2.2).
-type Acceptor struct {
-	disk disk.Disk
-	// News is told of each change of a key, under the key's lock.
-	onChange func(key string, at Record, change Fields, isFull bool)
-	shards   [shardCount]shard
-}
+// ChangeFunc is told of each change of a register: its record, the change's fields, and whether these are the full content.
+type ChangeFunc func(key string, record Record, change Fields, full bool)
 
-type shard struct {
-	mu   sync.Mutex
-	keys map[string]*entry
-}
-
-// entry is one key. Whoever writes to the disk has the write lock; mu is held only to read or set the record, never over a disk's time.
-type entry struct {
-	writeLock    chan struct{}
-	files        []string // the newest whole on disk and the deltas on it, oldest first; with the write lock
-	deltaBytes   int      // bytes of deltas since the last whole; with the write lock
-	promiseFiles []string // promise files on disk; with the write lock
-	obsolete     []string // files that do not count, and are removed before anything else is written; with the write lock
-	folderSynced bool     // the files above are sure to survive a loss of power; with the write lock
-	mu           sync.Mutex
-	record       Record
-	lostRevision Revision // a version that was accepted here and whose file is torn; past once record.Revision is not below it
-}
-
-// isDamaged says whether this disk has forgotten what it said yes to: until it has caught up it makes no promise for the key.
-func (e *entry) isDamaged() bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.record.Revision.Less(e.lostRevision)
-}
-
-func newEntry() *entry { return &entry{writeLock: make(chan struct{}, 1), folderSynced: true} }
-
-// lockWrites takes the write lock; a disk that stalls for too long rejects those behind.
-func (e *entry) lockWrites() error {
-	timer := time.NewTimer(writeLockTimeout)
-	defer timer.Stop()
-	select {
-	case e.writeLock <- struct{}{}:
-		return nil
-	case <-timer.C:
-		return apierror.New(apierror.DiskFailed, "an earlier write stalls")
-	}
-}
-
-func (e *entry) unlockWrites() { <-e.writeLock }
-
-func (e *entry) read() Record {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.record
-}
-
-// Record is an acceptor's state of one key.
-type Record struct {
-	Promised  uint64   `json:"promised"`
-	Revision  Revision `json:"stamp"`
-	Committed Revision `json:"settled"`
-	Fields    Fields   `json:"fields,omitempty"`
+// AcceptorOptions of an acceptor; both functions are needed.
+type AcceptorOptions struct {
+	Disk disk.Disk
+	// OnChange is called under the register's lock, so that it sees changes in their order; it must not block.
+	OnChange ChangeFunc
+	// OnSkipped is told of files that are left out while loading.
+	OnSkipped func(folder, file string, err error)
 }
 
-// IsCommitted says whether the accepted content is known to be on a majority.
-func (r Record) IsCommitted() bool { return IsCommitted(r.Revision, r.Committed) }
-
-// IsCommitted says whether content is known to be on a majority from what is known to be settled. A revision that is settled under an earlier epoch
-// with the same version settles it too: whoever wrote under the later epoch had adopted that version, and wrote it again unchanged. A revision
-// that is settled under a later epoch says nothing of content that lost to it.
-func IsCommitted(revision, committed Revision) bool {
-	return revision == Revision{} || committed.Epoch <= revision.Epoch && committed.Version >= revision.Version
+// Acceptor is what one disk has promised and accepted, of all registers. It answers a prepare or an accept only when its file is synced.
+type Acceptor struct {
+	disk     disk.Disk
+	onChange ChangeFunc
+	shards   [shardCount]shard
 }
 
-// AcceptorOptions are an acceptor's disk and who is told of what it does.
-type AcceptorOptions struct {
-	Disk     disk.Disk
-	OnChange func(key string, at Record, change Fields, isFull bool)
-	// OnSkipped is told of files left out when loading.
-	OnSkipped func(folder, file string, err error)
+type shard struct {
+	mu      sync.Mutex
+	entries map[string]*entry // by key
 }
 
-// OpenAcceptor loads all keys from the disk (§2.5).
+// OpenAcceptor loads all registers from the disk.
 func OpenAcceptor(options AcceptorOptions) (*Acceptor, error) {
-	k := &Acceptor{disk: options.Disk, onChange: options.OnChange}
-	for i := range k.shards {
-		k.shards[i].keys = map[string]*entry{}
+	a := &Acceptor{disk: options.Disk, onChange: options.OnChange}
+	for i := range a.shards {
+		a.shards[i].entries = map[string]*entry{}
 	}
-	folders, err := k.disk.List("")
+	folders, err := a.disk.List("")
 	if err != nil {
 		return nil, err
 	}
 	for _, folder := range folders {
-		if folder[0] != 'k' {
+		if folder[0] != folderPrefix {
 			continue
 		}
 		key, err := url.QueryUnescape(folder[1:])
@@ -117,33 +56,36 @@
 			options.OnSkipped(folder, "", err)
 			continue
 		}
-		e, err := loadEntry(k.disk, folder, options.OnSkipped)
+		e, err := loadEntry(a.disk, folder, options.OnSkipped)
 		if err != nil {
 			return nil, err
 		}
-		k.shardOf(key).keys[key] = e
-		k.onChange(key, e.record, e.record.Fields, true)
+		a.shardOf(key).entries[key] = e
+		a.onChange(key, e.record, e.record.Fields, true)
 	}
-	return k, nil
+	return a, nil
 }
 
-func (k *Acceptor) shardOf(key string) *shard { return &k.shards[Weight(key, "")%shardCount] }
+func (a *Acceptor) shardOf(key string) *shard {
+	return &a.shards[rendezvous.Weight(key, "")%shardCount]
+}
 
-func (k *Acceptor) entryOf(key string) *entry {
-	s := k.shardOf(key)
+// entryOf gives a register's entry, a new one if there is none.
+func (a *Acceptor) entryOf(key string) *entry {
+	s := a.shardOf(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.keys[key]
+	e := s.entries[key]
 	if e == nil {
 		e = newEntry()
-		s.keys[key] = e
+		s.entries[key] = e
 	}
 	return e
 }
 
-// Read gives a copy of a key's record.
-func (k *Acceptor) Read(key string) Record {
-	e := k.entryOf(key)
+// Read gives a copy of a register's record.
+func (a *Acceptor) Read(key string) Record {
+	e := a.entryOf(key)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	record := e.record
@@ -151,13 +93,22 @@
 	return record
 }
 
-// Keys lists the keys that have content or an unsettled change.
-func (k *Acceptor) Keys() []string {
+// Revision gives the accepted revision of a register.
+func (a *Acceptor) Revision(key string) Revision { return a.entryOf(key).read().Revision }
+
+// Promised gives the highest epoch promised for a register.
+func (a *Acceptor) Promised(key string) uint64 { return a.entryOf(key).read().Promised }
+
+// Uncommitted reports whether a register has content that is not known to be on a majority.
+func (a *Acceptor) Uncommitted(key string) bool { return !a.entryOf(key).read().IsCommitted() }
+
+// Keys lists the registers that were ever asked for, in the order of their keys.
+func (a *Acceptor) Keys() []string {
 	var keys []string
-	for i := range k.shards {
-		s := &k.shards[i]
+	for i := range a.shards {
+		s := &a.shards[i]
 		s.mu.Lock()
-		for key := range s.keys {
+		for key := range s.entries {
 			keys = append(keys, key)
 		}
 		s.mu.Unlock()
@@ -166,209 +117,124 @@
 	return keys
 }
 
-// Uncommitted says whether the key has content not known to be on a majority.
-func (k *Acceptor) Uncommitted(key string) bool {
-	return !k.entryOf(key).read().IsCommitted()
+// IsDamaged reports whether an accepted version of some register is lost to a torn file.
+func (a *Acceptor) IsDamaged() bool {
+	for _, key := range a.Keys() {
+		if a.entryOf(key).isDamaged() {
+			return true
+		}
+	}
+	return false
 }
 
-// Prepare swears off all epochs below; the answer bears the fields only if the asker lacks them.
-func (k *Acceptor) Prepare(key string, epoch uint64, has Revision) (Record, error) {
-	e := k.entryOf(key)
+// Prepare promises an epoch: nothing is accepted under a lower one from then on. The answer bears the fields only if the asker, which has
+// the revision known, lacks them. The errors are apierror.Superseded if an epoch not below was promised, Torn and DiskFailed.
+func (a *Acceptor) Prepare(key string, epoch uint64, known Revision) (Record, error) {
+	e := a.entryOf(key)
 	if err := e.lockWrites(); err != nil {
 		return Record{}, err
 	}
 	defer e.unlockWrites()
 	if e.isDamaged() {
-		return Record{}, apierror.New(apierror.Torn, "what was accepted for %s is lost here until it is caught up", key)
+		return Record{}, newDamagedError(key)
 	}
-	now := e.read()
-	if epoch <= now.Promised {
-		return Record{}, newSupersededError(epoch, now)
+	if record := e.read(); epoch <= record.Promised {
+		return Record{}, newSupersededError(epoch, record)
 	}
-	folder, name := folderName(key), promiseFileName(epoch)
-	if err := k.writeFile(e, folder, name, []byte("{}")); err != nil {
+	if err := e.storePromise(a.disk, folderName(key), epoch); err != nil {
 		return Record{}, err
 	}
-	k.removeFiles(e, folder, e.promiseFiles)
-	e.promiseFiles = []string{name}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.record.Promised = epoch
 	answer := e.record
-	if answer.Fields = nil; has.Less(answer.Revision) {
+	answer.Fields = nil
+	if known.Less(answer.Revision) {
 		answer.Fields = e.record.Fields.Clone()
 	}
 	return answer, nil
 }
 
-// Confirm says whether an epoch still stands here: no higher one was promised. Nothing is written.
-func (k *Acceptor) Confirm(key string, epoch uint64) error {
-	e := k.entryOf(key)
+// Confirm has no error if an epoch still stands here: no higher one was promised. Nothing is written. The errors are apierror.Superseded and
+// Torn.
+func (a *Acceptor) Confirm(key string, epoch uint64) error {
+	e := a.entryOf(key)
 	if e.isDamaged() {
-		return apierror.New(apierror.Torn, "what was accepted for %s is lost here until it is caught up", key)
+		return newDamagedError(key)
 	}
-	if now := e.read(); epoch < now.Promised {
-		return newSupersededError(epoch, now)
+	if record := e.read(); epoch < record.Promised {
+		return newSupersededError(epoch, record)
 	}
 	return nil
 }
 
-// newSupersededError tells the asker, in At, which epoch it has to exceed.
-func newSupersededError(epoch uint64, now Record) error {
-	f := apierror.New(apierror.Superseded, "epoch %d, promised %d", epoch, now.Promised)
-	f.At = int(now.Promised)
-	return f
+func newDamagedError(key string) error {
+	return apierror.New(apierror.Torn, "what was accepted for %s is lost here until it is caught up", key)
+}
+
+// newSupersededError tells the asker, in the field At, which epoch it has to exceed.
+func newSupersededError(epoch uint64, record Record) error {
+	err := apierror.New(apierror.Superseded, "epoch %d, promised %d", epoch, record.Promised)
+	err.At = int(record.Promised)
+	return err
 }
 
-// Accept takes a change if no higher epoch was promised and its base is here, or it is whole.
-func (k *Acceptor) Accept(change Change) error {
-	e := k.entryOf(change.Key)
+// Accept takes a change if no higher epoch was promised and its base is here, or it is full. The errors are apierror.Superseded, Behind if the
+// full content is needed, and DiskFailed, after which the change may be on the disk all the same.
+func (a *Acceptor) Accept(change Change) error {
+	e := a.entryOf(change.Key)
 	if err := e.lockWrites(); err != nil {
 		return err
 	}
 	defer e.unlockWrites()
-	now := e.read()
+	record := e.read()
 	switch {
-	case change.Next.Epoch < now.Promised:
-		return newSupersededError(change.Next.Epoch, now)
-	case !now.Revision.Less(change.Next) && now.Revision.Epoch == change.Next.Epoch:
-		return k.syncFolder(e, folderName(change.Key)) // a late copy: what is here is the same, or came later under the same epoch
-	case !now.Revision.Less(change.Next):
-		return newSupersededError(change.Next.Epoch, now)
-	case !change.Full && (change.Base != now.Revision || e.isDamaged()):
-		return apierror.New(apierror.Behind, "has %v, base %v", now.Revision, change.Base)
-	}
-	return k.store(e, change)
-}
-
-// Adopt takes settled content learned from another core (§2.4).
-func (k *Acceptor) Adopt(key string, revision Revision, fields Fields) error {
-	e := k.entryOf(key)
+	case change.Next.Epoch < record.Promised:
+		return newSupersededError(change.Next.Epoch, record)
+	case !record.Revision.Less(change.Next) && record.Revision.Epoch == change.Next.Epoch:
+		return e.syncFolder(a.disk, folderName(change.Key)) // a late copy: what is here is the same, or came later under the same epoch
+	case !record.Revision.Less(change.Next):
+		return newSupersededError(change.Next.Epoch, record)
+	case !change.Full && (change.Base != record.Revision || e.isDamaged()):
+		return apierror.New(apierror.Behind, "has %v, base %v", record.Revision, change.Base)
+	}
+	return a.store(e, change)
+}
+
+// Adopt takes committed content that was learned from another core. It is safe without regard to the promise: the content is on a majority
+// already, so whoever was promised the epoch has met it elsewhere (docs/design.md §2.4).
+func (a *Acceptor) Adopt(key string, revision Revision, fields Fields) error {
+	e := a.entryOf(key)
 	if err := e.lockWrites(); err != nil {
 		return err
 	}
 	defer e.unlockWrites()
 	if !e.read().Revision.Less(revision) {
-		k.Commit(key, revision)
+		a.Commit(key, revision)
 		return nil
 	}
-	return k.store(e, Change{Key: key, Next: revision, Full: true, Fields: fields, Committed: revision})
+	return a.store(e, Change{Key: key, Next: revision, Full: true, Fields: fields, Committed: revision})
 }
 
-// store writes a change and then shows it; the caller has the write lock, so the fields do not move meanwhile.
-func (k *Acceptor) store(e *entry, change Change) error {
-	old := e.read().Fields
-	deltaBytes, written := e.deltaBytes+sizeOf(change.Fields), change
-	if !change.Full && (len(e.files) == 0 || len(e.files) >= maxDeltaFiles || deltaBytes > sizeOf(old)+4096) {
-		written.Full, written.Fields = true, old.Clone()
-		written.Fields.Apply(change.Fields)
-	}
-	data, err := json.Marshal(written)
-	if err != nil {
-		return apierror.Wrap(err, apierror.Internal, "encode change")
-	}
-	folder := folderName(change.Key)
-	if err := k.writeFile(e, folder, versionFileName(change.Next), data); err != nil {
+// store writes a change and then shows it. The caller has the write lock.
+func (a *Acceptor) store(e *entry, change Change) error {
+	if err := e.storeChange(a.disk, folderName(change.Key), change); err != nil {
 		return err
 	}
-	if written.Full {
-		k.removeFiles(e, folder, e.files)
-		e.files, deltaBytes = nil, 0
-	}
-	e.deltaBytes = deltaBytes
-	e.files = append(e.files, versionFileName(change.Next))
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.record.Fields == nil || change.Full {
-		e.record.Fields = Fields{}
-	}
-	e.record.Fields.Apply(change.Fields)
-	e.record.Revision = change.Next
-	e.record.Promised = max(e.record.Promised, change.Next.Epoch)
-	if e.record.Committed.Less(change.Committed) {
-		e.record.Committed = change.Committed
-	}
-	k.onChange(change.Key, e.record, change.Fields, change.Full)
+	e.apply(change)
+	a.onChange(change.Key, e.record, change.Fields, change.Full)
 	return nil
 }
 
-// writeFile writes a file of a key, after what does not count is gone: a version that was refused because its write failed may be on the disk, and
-// a promise or a version that is answered later must not be followed by it after a restart. The caller has the write lock.
-func (k *Acceptor) writeFile(e *entry, folder, name string, data []byte) error {
-	// What was loaded outlasts both the files that it outdates and those that are built on it.
-	if err := k.syncFolder(e, folder); err != nil {
-		return err
-	}
-	for _, name := range e.obsolete {
-		if err := k.disk.Drop(folder, name); err != nil {
-			return err
-		}
-	}
-	err := k.disk.Put(folder, name, data)
-	e.folderSynced = err == nil
-	switch {
-	case err == nil:
-		e.obsolete = nil
-	case !e.isDamaged(): // else the name may be that of the torn file, which has to stay
-		e.obsolete = append(e.obsolete, name)
-	}
-	return err
-}
-
-// syncFolder makes sure that what was loaded, or written by a call that failed, survives a loss of power. The caller has the write lock.
-func (k *Acceptor) syncFolder(e *entry, folder string) error {
-	if e.folderSynced {
-		return nil
-	}
-	err := k.disk.Sync(folder)
-	e.folderSynced = err == nil
-	return err
-}
-
-// removeFiles removes files that something newer on disk outdates; those that it cannot remove are tried again with the next write.
-func (k *Acceptor) removeFiles(e *entry, folder string, names []string) {
-	for _, name := range names {
-		if k.disk.Drop(folder, name) != nil {
-			e.obsolete = append(e.obsolete, name)
-		}
-	}
-}
-
-func sizeOf(fields Fields) int {
-	sum := 0
-	for name, value := range fields {
-		sum += len(name) + len(value) + 8
-	}
-	return sum
-}
-
-// Commit notes that a revision is on a majority. It is not written: a lost note only costs a question.
-func (k *Acceptor) Commit(key string, revision Revision) {
-	e := k.entryOf(key)
+// Commit notes that a revision is on a majority. It is not written: a note that is lost only costs a question.
+func (a *Acceptor) Commit(key string, revision Revision) {
+	e := a.entryOf(key)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.record.Committed.Less(revision) {
 		e.record.Committed = revision
-		k.onChange(key, e.record, nil, false)
+		a.onChange(key, e.record, nil, false)
 	}
 }
-
-// IsDamaged says whether some key's accepted version is lost to a torn file.
-func (k *Acceptor) IsDamaged() bool {
-	for _, key := range k.Keys() {
-		if k.entryOf(key).isDamaged() {
-			return true
-		}
-	}
-	return false
-}
-
-// Revision gives the accepted revision of a key.
-func (k *Acceptor) Revision(key string) Revision {
-	return k.entryOf(key).read().Revision
-}
-
-// Promised gives the highest epoch promised for a key.
-func (k *Acceptor) Promised(key string) uint64 {
-	return k.entryOf(key).read().Promised
-}
--- a/register/load.go
+++ b/register/files.go
@@ -10,31 +10,44 @@
 	"asterridge/disk"
 )
 
-// folderName is a key's folder.
-func folderName(key string) string { return "k" + url.QueryEscape(key) }
+// Each register has a folder on the disk. It holds one file for each accepted version, with a delta or the full content, and one for the
+// promised epoch (docs/design.md §2.5).
+const (
+	folderPrefix      = 'k'
+	versionFileFormat = "v.%016x.%016x" // epoch, version
+	promiseFileFormat = "p.%016x"       // epoch
+)
+
+func folderName(key string) string { return string(folderPrefix) + url.QueryEscape(key) }
 
-// versionFileName is a version's file.
-func versionFileName(s Revision) string { return fmt.Sprintf("v.%016x.%016x", s.Epoch, s.Version) }
+func versionFileName(r Revision) string { return fmt.Sprintf(versionFileFormat, r.Epoch, r.Version) }
 
-// promiseFileName is a promise's file.
-func promiseFileName(epoch uint64) string { return fmt.Sprintf("p.%016x", epoch) }
+func promiseFileName(epoch uint64) string { return fmt.Sprintf(promiseFileFormat, epoch) }
 
-// parseVersionFileName reads a version's revision from its file's name.
-func parseVersionFileName(name string) (revision Revision, version bool) {
-	_, err := fmt.Sscanf(name, "v.%016x.%016x", &revision.Epoch, &revision.Version)
+func parseVersionFileName(name string) (revision Revision, ok bool) {
+	_, err := fmt.Sscanf(name, versionFileFormat, &revision.Epoch, &revision.Version)
 	return revision, err == nil && name == versionFileName(revision)
 }
 
-// folderContent is what the files of one key's folder say.
+func parsePromiseFileName(name string) (epoch uint64, ok bool) {
+	_, err := fmt.Sscanf(name, promiseFileFormat, &epoch)
+	return epoch, err == nil && name == promiseFileName(epoch)
+}
+
+// skipFunc is told of files that are left out while loading.
+type skipFunc func(folder, file string, err error)
+
+// folderContent is what the files of one register's folder say.
 type folderContent struct {
-	changes  map[Revision]Change
-	torn     []Revision // files that bear a version and cannot be read
+	changes map[Revision]Change
+	// torn are the revisions of files that bear a version and cannot be read.
+	torn     []Revision
 	promises []uint64
 }
 
-// loadEntry takes the highest version that can be made up from a whole and an unbroken chain of deltas (§2.5). Files that are no part of it
-// and lie below it are outdated, came back after a loss of power, or were refused; what lies above it was accepted and is lost.
-func loadEntry(d disk.Disk, folder string, onSkipped func(folder, file string, err error)) (*entry, error) {
+// loadEntry takes the highest version that a full content and an unbroken chain of deltas make up. Files that are no part of the chain and lie
+// below it are outdated, came back after a loss of power, or were refused; what lies above it was accepted and is lost.
+func loadEntry(d disk.Disk, folder string, onSkipped skipFunc) (*entry, error) {
 	names, err := d.List(folder)
 	if err != nil {
 		return nil, err
@@ -43,21 +56,8 @@
 	content := readFolder(d, folder, names, onSkipped)
 	e := newEntry()
 	e.folderSynced = false // a process before this one may have died between a rename and the sync of the folder
-	revisions := make([]Revision, 0, len(content.changes))
-	for revision := range content.changes {
-		revisions = append(revisions, revision)
-	}
-	slices.SortFunc(revisions, func(a, b Revision) int { return compare(b, a) })
-	var chain []Change
-	for _, revision := range revisions {
-		if chain = deltaChain(content.changes, revision); chain != nil {
-			break
-		}
-		onSkipped(folder, versionFileName(revision), apierror.New(apierror.Torn, "its base is not there"))
-		content.torn = append(content.torn, revision)
-	}
-	for _, change := range chain {
-		e.apply(change)
+	for _, change := range content.highestChain(folder, onSkipped) {
+		e.load(change)
 	}
 	for _, revision := range content.torn {
 		if e.lostRevision.Less(revision) && e.record.Revision.Less(revision) {
@@ -72,12 +72,11 @@
 	return e, nil
 }
 
-// readFolder reads a key's files, and names those that are torn or foreign.
-func readFolder(d disk.Disk, folder string, names []string, onSkipped func(folder, file string, err error)) folderContent {
+// readFolder reads a register's files, and reports those that are torn or foreign.
+func readFolder(d disk.Disk, folder string, names []string, onSkipped skipFunc) folderContent {
 	content := folderContent{changes: map[Revision]Change{}}
 	for _, name := range names {
-		var epoch uint64
-		if n, _ := fmt.Sscanf(name, "p.%016x", &epoch); n == 1 && name == promiseFileName(epoch) {
+		if epoch, ok := parsePromiseFileName(name); ok {
 			content.promises = append(content.promises, epoch)
 			continue
 		}
@@ -87,7 +86,7 @@
 			continue
 		}
 		onSkipped(folder, name, err)
-		if revision, version := parseVersionFileName(name); version {
+		if revision, ok := parseVersionFileName(name); ok {
 			content.torn = append(content.torn, revision)
 		}
 	}
@@ -108,10 +107,26 @@
 	return change, nil
 }
 
-// deltaChain gives the changes that make up a version, a whole first, or nil if one of them is missing. A revision has one content only, so it does
-// not matter when or by whom the files were written.
-func deltaChain(changes map[Revision]Change, revision Revision) []Change {
-	var chain []Change
+// highestChain gives the changes that make up the highest version that is complete. Versions above it whose base is missing count as torn.
+func (content *folderContent) highestChain(folder string, onSkipped skipFunc) []Change {
+	revisions := make([]Revision, 0, len(content.changes))
+	for revision := range content.changes {
+		revisions = append(revisions, revision)
+	}
+	slices.SortFunc(revisions, func(a, b Revision) int { return compare(b, a) })
+	for _, revision := range revisions {
+		if chain := deltaChain(content.changes, revision); chain != nil {
+			return chain
+		}
+		onSkipped(folder, versionFileName(revision), apierror.New(apierror.Torn, "its base is not there"))
+		content.torn = append(content.torn, revision)
+	}
+	return nil
+}
+
+// deltaChain gives the changes that make up a version, the full content first; nil if one of them is missing. A revision has one content
+// only, so it does not matter when or by whom the files were written.
+func deltaChain(changes map[Revision]Change, revision Revision) (chain []Change) {
 	for {
 		change, ok := changes[revision]
 		if !ok || !change.Full && !change.Base.Less(change.Next) {
@@ -126,8 +141,8 @@
 	}
 }
 
-// apply applies a change that was read from the disk.
-func (e *entry) apply(change Change) {
+// load applies a change that was read from the disk.
+func (e *entry) load(change Change) {
 	if change.Full || e.record.Fields == nil {
 		e.record.Fields = Fields{}
 	}
@@ -142,7 +157,7 @@
 	}
 }
 
-// classifyFiles tells the files that count from those that do not. While the key is damaged all are kept.
+// classifyFiles tells the files that count from the obsolete ones. While the register is damaged all are kept.
 func (e *entry) classifyFiles(content folderContent) {
 	for _, epoch := range content.promises {
 		if epoch == e.record.Promised || e.isDamaged() {
@@ -164,15 +179,5 @@
 			e.obsolete = append(e.obsolete, name)
 		}
 	}
-	slices.Sort(e.obsolete) // a map's order is another each time
-}
-
-func compare(a, b Revision) int {
-	switch {
-	case a.Less(b):
-		return -1
-	case b.Less(a):
-		return 1
-	}
-	return 0
+	slices.Sort(e.obsolete) // a map has another order each time
 }
--- a/register/owner.go
+++ b/register/owner.go
@@ -8,51 +8,58 @@
 	"asterridge/apierror"
 )
 
-// Peer is an acceptor elsewhere, or this core's own.
-type Peer interface {
-	Prepare(ctx context.Context, key string, epoch uint64, has Revision) (Record, error)
-	// Confirm has no error if no epoch above was promised; it writes nothing.
-	Confirm(ctx context.Context, key string, epoch uint64) error
-	Accept(ctx context.Context, change Change) error
-	Commit(ctx context.Context, key string, revision Revision)
-}
-
-// Peers is all members' acceptors, this core's own among them, as of one version of the list of members (§2.8).
-type Peers []Peer
-
-func (c Peers) majority() int { return len(c)/2 + 1 }
+const (
+	// MemberBits is how many low bits of an epoch are the ID of the member that owns under it. IDs are never given twice, so no two owners
+	// share an epoch.
+	MemberBits = 24
+	// acquireRetries is how often a register is prepared again under a higher epoch after another owner was met.
+	acquireRetries = 2
+)
 
-// Op reads the working copy and gives the fields to change, or an error that concerns its caller alone.
-type Op func(now Fields, version uint64) (Fields, error)
+// Op reads a working copy of a register's content and gives the change to make, which may be none, or an error that concerns its caller
+// alone. It may be called again on newer content. The fields must not be altered.
+type Op func(present Fields, version uint64) (change Fields, err error)
 
 // OwnerOptions of an owner.
 type OwnerOptions struct {
-	MemberID func() uint32 // this core's number, the low bits of its epochs
+	// MemberID is this core's ID, the low bits of its epochs.
+	MemberID func() uint32
 	Acceptor *Acceptor
-	Peers    func() (Peers, error)
-	Timeout  time.Duration // how long to wait for a majority
+	// Peers are the acceptors of the members in force; an error rejects what is asked.
+	Peers func() (Peers, error)
+	// Timeout is how long to wait for a majority.
+	Timeout time.Duration
 }
 
-// Owner changes the keys that this core owns (§2.3).
+// Owner changes registers. Which core owns a register is a guess that costs time if it is wrong; that two owners do no harm rests on epochs.
 type Owner struct {
 	options OwnerOptions
-	mu      sync.Mutex
-	keys    map[string]*ownedKey
+
+	mu   sync.Mutex // guards keys, and the queue and busy of each
+	keys map[string]*ownedKey
 }
 
+// ownedKey is one register's state at its owner. All but the queue and busy belongs to the goroutine that works on it while busy is set.
 type ownedKey struct {
-	queue       []*pending
-	busy        bool
-	epoch       uint64 // 0 while the key is not ours
-	highestSeen uint64 // highest epoch met
-	revision    Revision
-	committed   Revision
-	fields      Fields
-	inDoubt     bool // an earlier change is undecided
+	queue []*pending
+	busy  bool
+
+	// epoch is the one that a majority has promised; zero while the register is not ours.
+	epoch uint64
+	// highestSeen is the highest epoch met.
+	highestSeen uint64
+	// revision, fields and committed are what the register has, as the owner knows it.
+	revision  Revision
+	fields    Fields
+	committed Revision
+	// inDoubt: fields may not be on a majority, and have to be written before anything is answered.
+	inDoubt bool
 }
 
+// pending is a call that waits for its result.
 type pending struct {
-	op      Op // nil to settle
+	op Op // nil to commit what there is
+	// rewrite has a majority accept the content anew even if it is committed.
 	rewrite bool
 	ctx     context.Context // the caller's
 	result  chan result
@@ -68,18 +75,33 @@
 	return &Owner{options: options, keys: map[string]*ownedKey{}}
 }
 
-// Change applies an op to a key; nil error means that a majority has it on disk. The op's own error, and its yes to what stands already, are
-// given only once a majority has confirmed the owner after the call; else the answer is undecided.
+// Change applies an op to a register; nil means that a majority has the change on disk. The op's own error, and the success of an op without
+// a change, are given only once a majority has confirmed, after the call, that this core owns the register. The other errors are
+// apierror.Undecided if the change may or may not have been made, and, if nothing was done, NoMajority, Superseded, and those of Peers.
 func (o *Owner) Change(ctx context.Context, key string, op Op) (Revision, error) {
 	return o.submit(ctx, key, &pending{op: op, ctx: ctx, result: make(chan result, 1)})
 }
 
-// Commit makes sure that what the key has is on a majority, and gives its revision: no older one than stood when it was called. With isCarry
-// the present membership accepts it anew even if it is known to be settled.
+// Commit makes sure that what a register has is on a majority, and gives its revision: no older one than stood when it was called. With
+// rewrite the members in force accept it anew even if it is known to be committed. The errors are those of Change.
 func (o *Owner) Commit(ctx context.Context, key string, rewrite bool) (Revision, error) {
 	return o.submit(ctx, key, &pending{rewrite: rewrite, ctx: ctx, result: make(chan result, 1)})
 }
 
+// OwnedKeys lists the registers that are owned and at rest, with their epochs.
+func (o *Owner) OwnedKeys() map[string]uint64 {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	owned := map[string]uint64{}
+	for key, k := range o.keys {
+		if !k.busy && k.epoch != 0 {
+			owned[key] = k.epoch
+		}
+	}
+	return owned
+}
+
+// submit queues a call and waits for its result.
 func (o *Owner) submit(ctx context.Context, key string, p *pending) (Revision, error) {
 	o.mu.Lock()
 	k := o.keys[key]
@@ -101,7 +123,7 @@
 	}
 }
 
-// run takes all waiting ops of a key as one batch, again and again, until none waits.
+// run processes all queued calls of a register as one batch, again and again, until none is queued.
 func (o *Owner) run(key string, k *ownedKey) {
 	for {
 		o.mu.Lock()
@@ -113,8 +135,8 @@
 			return
 		}
 		o.mu.Unlock()
-		ctx, stop := context.WithTimeout(context.Background(), o.options.Timeout)
-		time.AfterFunc(o.options.Timeout, stop) // not sooner: the slower members are to hear too of what a majority has settled
+		ctx, cancel := context.WithTimeout(context.Background(), o.options.Timeout)
+		time.AfterFunc(o.options.Timeout, cancel) // not sooner: the slower members are to hear too of what a majority has accepted
 		o.process(ctx, key, k, batch)
 	}
 }
@@ -122,31 +144,25 @@
 // process answers a batch. An answer counts only if a majority has stood by this owner's epoch after all of the batch had arrived: by having
 // promised it, by having accepted a version under it, or by confirming it.
 func (o *Owner) process(ctx context.Context, key string, k *ownedKey, batch []*pending) {
-	membership, err := o.options.Peers()
+	peers, err := o.options.Peers()
 	if err != nil {
 		rejectAll(batch, err)
 		return
 	}
-	acquired, err := o.ensureOwned(ctx, membership, key, k)
+	acquired, err := o.ensureOwned(ctx, peers, key, k)
 	if err != nil {
 		rejectAll(batch, err)
 		return
 	}
 	e := k.evaluate(batch)
 	if !e.needsWrite && !acquired {
-		err := o.confirm(ctx, membership, key, k)
-		if apierror.Is(err, apierror.Superseded) { // another owner may have changed the key: what was answered here is void, and nothing was written
-			if _, err = o.ensureOwned(ctx, membership, key, k); err == nil {
-				e = k.evaluate(batch)
-			}
-		}
-		if err != nil {
+		if e, err = o.confirmEvaluation(ctx, peers, key, k, batch, e); err != nil {
 			rejectAll(batch, apierror.New(apierror.Undecided, "not confirmed for %s: %v", key, err))
 			return
 		}
 	}
 	if e.needsWrite {
-		if err := o.write(ctx, membership, key, k, e.change, e.working); err != nil {
+		if err := o.write(ctx, peers, key, k, e.change, e.content); err != nil {
 			rejectAll(batch, err) // those too that change nothing: their answers rest on what was to be written
 			return
 		}
@@ -162,104 +178,90 @@
 	}
 }
 
-// evaluation is what a batch comes to, on the content that the owner knows.
+// confirmEvaluation has a majority confirm an evaluation that writes nothing. If another owner was met, which may have changed the register,
+// the register is acquired and the batch evaluated again: nothing of the first evaluation was written or answered.
+func (o *Owner) confirmEvaluation(ctx context.Context, peers Peers, key string, k *ownedKey, batch []*pending, e evaluation) (evaluation, error) {
+	err := o.confirm(ctx, peers, key, k)
+	if apierror.Is(err, apierror.Superseded) {
+		if _, err = o.ensureOwned(ctx, peers, key, k); err == nil {
+			e = k.evaluate(batch)
+		}
+	}
+	return e, err
+}
+
+// evaluation is what a batch comes to on the content that the owner knows.
 type evaluation struct {
-	working    Fields
-	change     Fields
-	rejections []error // one for each of the batch; nil for a yes
-	needsWrite bool    // something is to be written
+	// content is what the register will have, change what is new in it.
+	content Fields
+	change  Fields
+	// rejections has the error of each call of the batch; nil for a success.
+	rejections []error
+	needsWrite bool
 }
 
 // evaluate applies a batch in order to one working copy.
 func (k *ownedKey) evaluate(batch []*pending) evaluation {
-	e := evaluation{working: k.fields.Clone(), change: Fields{}, rejections: make([]error, len(batch)), needsWrite: k.inDoubt}
+	e := evaluation{content: k.fields.Clone(), change: Fields{}, rejections: make([]error, len(batch)), needsWrite: k.inDoubt}
 	for i, p := range batch {
 		if p.op == nil {
 			e.needsWrite = e.needsWrite || p.rewrite && k.revision.Version > 0
 			continue
 		}
-		if err := p.ctx.Err(); err != nil { // the caller may have gone to another core, and changed the key since
+		if err := p.ctx.Err(); err != nil { // the caller may have gone to another core, and changed the register since
 			e.rejections[i] = apierror.Wrap(err, apierror.Undecided, "the caller has gone")
 			continue
 		}
-		delta, err := p.op(e.working, k.revision.Version)
+		change, err := p.op(e.content, k.revision.Version)
 		if err != nil {
 			e.rejections[i] = err
 			continue
 		}
-		e.working.Apply(delta)
-		for name, value := range delta {
+		e.content.Apply(change)
+		for name, value := range change {
 			e.change[name] = value
 		}
-		e.needsWrite = e.needsWrite || len(delta) > 0
+		e.needsWrite = e.needsWrite || len(change) > 0
 	}
 	return e
 }
 
-// ensureOwned takes the key unless it is ours; isTaken: a majority has just promised it.
-func (o *Owner) ensureOwned(ctx context.Context, membership Peers, key string, k *ownedKey) (acquired bool, err error) {
+// ensureOwned acquires the register unless it is ours; acquired: a majority has just promised the epoch.
+func (o *Owner) ensureOwned(ctx context.Context, peers Peers, key string, k *ownedKey) (acquired bool, err error) {
 	if k.epoch != 0 && o.options.Acceptor.Promised(key) > k.epoch {
 		k.epoch = 0 // another owner has asked this very disk
 	}
 	if k.epoch != 0 {
 		return false, nil
 	}
-	err = o.acquire(ctx, membership, key, k)
-	for retry := 0; retry < 2 && apierror.Is(err, apierror.Superseded); retry++ {
-		err = o.acquire(ctx, membership, key, k)
+	err = o.acquire(ctx, peers, key, k)
+	for retry := 0; retry < acquireRetries && apierror.Is(err, apierror.Superseded); retry++ {
+		err = o.acquire(ctx, peers, key, k)
 	}
 	return err == nil, err
 }
 
-// confirm asks a majority whether this owner's epoch still stands; else the key is to be taken anew. No disk is written.
-func (o *Owner) confirm(ctx context.Context, membership Peers, key string, k *ownedKey) error {
-	epoch := k.epoch
-	answers := gather(membership, func(p Peer) (struct{}, error) { return struct{}{}, p.Confirm(ctx, key, epoch) })
-	confirmed, rejected := 0, 0
-	var rejection error
-	for confirmed < membership.majority() {
-		if rejected > len(membership)-membership.majority() {
-			k.epoch = 0
-			return rejection
-		}
-		a := <-answers // each member answers, if only by the context's end
-		switch {
-		case a.err == nil:
-			confirmed++
-			continue
-		case apierror.Is(a.err, apierror.Superseded):
-			k.highestSeen = max(k.highestSeen, uint64(apierror.Of(a.err).At))
-			rejection = a.err
-		case rejection == nil:
-			rejection = a.err
-		}
-		rejected++
-	}
-	return nil
-}
-
-// acquire gets the key under a new epoch and adopts the highest accepted content.
-func (o *Owner) acquire(ctx context.Context, membership Peers, key string, k *ownedKey) error {
+// acquire prepares a new epoch and adopts the highest revision that a majority has accepted.
+func (o *Owner) acquire(ctx context.Context, peers Peers, key string, k *ownedKey) error {
 	epoch := nextEpoch(max(k.highestSeen, o.options.Acceptor.Promised(key)), o.options.MemberID())
 	k.highestSeen = epoch
 	own := o.options.Acceptor.Read(key)
 	newest, committed := own, own.Committed
 	var rejection error
-	count := 0
-	answers := gather(membership, func(p Peer) (Record, error) { return p.Prepare(ctx, key, epoch, own.Revision) })
-	for count < membership.majority() {
-		a, open := <-answers
-		if !open {
+	promises := 0
+	answers := gather(peers, func(p Peer) (Record, error) { return p.Prepare(ctx, key, epoch, own.Revision) })
+	for promises < peers.majority() {
+		a, more := <-answers
+		if !more {
 			break
 		}
 		if a.err != nil {
-			if apierror.Is(a.err, apierror.Superseded) {
-				k.highestSeen = max(k.highestSeen, uint64(apierror.Of(a.err).At))
+			if k.observe(a.err) {
 				rejection = a.err
 			}
 			continue
 		}
-		count++
+		promises++
 		if newest.Revision.Less(a.value.Revision) {
 			newest = a.value
 		}
@@ -267,104 +269,107 @@
 			committed = a.value.Committed
 		}
 	}
-	if count < membership.majority() {
+	if promises < peers.majority() {
 		if rejection != nil {
 			return rejection
 		}
-		return apierror.New(apierror.NoMajority, "%d of %d promises for %s", count, membership.majority(), key)
+		return apierror.New(apierror.NoMajority, "%d of %d promises for %s", promises, peers.majority(), key)
 	}
 	k.epoch, k.revision, k.fields, k.committed = epoch, newest.Revision, newest.Fields.Clone(), committed
 	k.inDoubt = !IsCommitted(newest.Revision, committed)
 	return nil
 }
 
-// write has one version accepted by a majority.
-func (o *Owner) write(ctx context.Context, membership Peers, key string, k *ownedKey, change, content Fields) error {
+// observe notes a higher epoch that an error tells of, and reports whether it does.
+func (k *ownedKey) observe(err error) bool {
+	if !apierror.Is(err, apierror.Superseded) {
+		return false
+	}
+	k.highestSeen = max(k.highestSeen, uint64(apierror.Of(err).At))
+	return true
+}
+
+// confirm asks a majority whether this owner's epoch still stands; if not, the register has to be acquired anew. No disk is written.
+func (o *Owner) confirm(ctx context.Context, peers Peers, key string, k *ownedKey) error {
+	epoch := k.epoch
+	answers := gather(peers, func(p Peer) (struct{}, error) { return struct{}{}, p.Confirm(ctx, key, epoch) })
+	confirmed, rejected := 0, 0
+	var rejection error
+	for confirmed < peers.majority() {
+		if rejected > len(peers)-peers.majority() {
+			k.epoch = 0
+			return rejection
+		}
+		a := <-answers // each peer answers, if only by the context's end
+		if a.err == nil {
+			confirmed++
+			continue
+		}
+		if k.observe(a.err) || rejection == nil {
+			rejection = a.err
+		}
+		rejected++
+	}
+	return nil
+}
+
+// write has one version accepted by a majority, and then tells all peers that it is committed. Without a change the adopted content is
+// written under the new epoch.
+func (o *Owner) write(ctx context.Context, peers Peers, key string, k *ownedKey, change, content Fields) error {
 	next := Revision{Epoch: k.epoch, Version: k.revision.Version + 1}
 	if len(change) == 0 {
-		next.Version = k.revision.Version // the adopted content under the new epoch
+		next.Version = k.revision.Version
 	}
 	delta := Change{Key: key, Base: k.revision, Next: next, Fields: change, Committed: k.committed}
-	accept := func(p Peer) (struct{}, error) {
-		err := p.Accept(ctx, delta)
-		if apierror.Is(err, apierror.Behind) {
-			full := delta
-			full.Full, full.Fields = true, content
-			err = p.Accept(ctx, full)
-		}
-		return struct{}{}, err
-	}
-	count := 0
-	answers := gather(membership, accept)
+	answers := gather(peers, func(p Peer) (struct{}, error) { return struct{}{}, acceptDelta(ctx, p, delta, content) })
+	accepted := 0
 	var rejection error
-	for count < membership.majority() {
-		a, open := <-answers
-		if !open {
+	for accepted < peers.majority() {
+		a, more := <-answers
+		if !more {
 			break
 		}
-		switch {
-		case a.err == nil:
-			count++
-		case apierror.Is(a.err, apierror.Superseded):
-			k.highestSeen = max(k.highestSeen, uint64(apierror.Of(a.err).At))
-			rejection = a.err
-		case rejection == nil:
+		if a.err == nil {
+			accepted++
+			continue
+		}
+		if k.observe(a.err) || rejection == nil {
 			rejection = a.err
 		}
 	}
-	if count < membership.majority() {
+	if accepted < peers.majority() {
 		k.epoch = 0
-		return apierror.New(apierror.Undecided, "%d of %d disks have %s version %d: %v", count, membership.majority(), key, next.Version, rejection)
+		return apierror.New(apierror.Undecided, "%d of %d disks have %s version %d: %v", accepted, peers.majority(), key, next.Version, rejection)
 	}
 	k.revision, k.fields, k.committed, k.inDoubt = next, content, next, false
 	o.options.Acceptor.Commit(key, next)
-	for _, p := range membership {
-		go func() {
-			ctx, stop := context.WithTimeout(context.Background(), o.options.Timeout)
-			defer stop()
-			p.Commit(ctx, key, next)
-		}()
-	}
+	o.broadcastCommit(peers, key, next)
 	return nil
 }
 
-// MemberBits is how many low bits of an epoch are the number of the member that owns under it. Numbers are never given twice, so that no
-// two cores share an epoch.
-const MemberBits = 24
-
-// nextEpoch is a member's lowest epoch above another one.
-func nextEpoch(above uint64, member uint32) uint64 {
-	return (above>>MemberBits+1)<<MemberBits | uint64(member)
-}
-
-// OwnedKeys lists the keys held now with their epochs.
-func (o *Owner) OwnedKeys() map[string]uint64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	all := map[string]uint64{}
-	for key, k := range o.keys {
-		if !k.busy && k.epoch != 0 {
-			all[key] = k.epoch
-		}
+// acceptDelta has a peer accept a delta, or the full content if it lacks the base.
+func acceptDelta(ctx context.Context, p Peer, delta Change, content Fields) error {
+	err := p.Accept(ctx, delta)
+	if apierror.Is(err, apierror.Behind) {
+		full := delta
+		full.Full, full.Fields = true, content
+		err = p.Accept(ctx, full)
 	}
-	return all
-}
-
-type answer[T any] struct {
-	value T
-	err   error
+	return err
 }
 
-// gather asks all at once; the channel closes after the last answer.
-func gather[P, T any](peers []P, call func(P) (T, error)) <-chan answer[T] {
-	answers := make(chan answer[T], len(peers))
-	var pending sync.WaitGroup
+// broadcastCommit tells all peers that a revision is on a majority; nobody waits for it.
+func (o *Owner) broadcastCommit(peers Peers, key string, revision Revision) {
 	for _, p := range peers {
-		pending.Go(func() {
-			value, err := call(p)
-			answers <- answer[T]{value, err}
-		})
+		go func() {
+			ctx, cancel := context.WithTimeout(context.Background(), o.options.Timeout)
+			defer cancel()
+			p.Commit(ctx, key, revision)
+		}()
 	}
-	go func() { pending.Wait(); close(answers) }()
-	return answers
+}
+
+// nextEpoch is a member's lowest epoch above another one.
+func nextEpoch(above uint64, member uint32) uint64 {
+	return (above>>MemberBits+1)<<MemberBits | uint64(member)
 }
--- /dev/null
+++ b/rendezvous/rendezvous.go
@@ -0,0 +1,35 @@
+// Package rendezvous assigns keys to names by highest random weight: every process that knows the same names picks the same one for a key,
+// and a name that comes or goes moves only its own keys.
+package rendezvous
+
+import "hash/fnv"
+
+// Weight is the weight of a name for a key. It must stay the same in all builds that run side by side.
+func Weight(key, name string) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte(name)) // a hash never fails
+	_, _ = h.Write([]byte{0})
+	_, _ = h.Write([]byte(key))
+	return mix(h.Sum64())
+}
+
+// mix spreads the bits of a hash: FNV alone leaves the high bits of similar names alike.
+func mix(x uint64) uint64 {
+	x ^= x >> 33
+	x *= 0xff51afd7ed558ccd
+	x ^= x >> 33
+	x *= 0xc4ceb9fe1a85ec53
+	return x ^ x>>33
+}
+
+// Pick gives the name with the highest weight for a key; empty if there are no names.
+func Pick(key string, names []string) string {
+	var best string
+	var highest uint64
+	for _, name := range names {
+		if weight := Weight(key, name); best == "" || weight > highest || weight == highest && name < best {
+			best, highest = name, weight
+		}
+	}
+	return best
+}
--- a/router/pool.go
+++ b/router/pool.go
@@ -9,7 +9,7 @@
 	"asterridge/config"
 	"asterridge/prefixindex"
 	"asterridge/queue"
-	"asterridge/register"
+	"asterridge/rendezvous"
 )
 
 // credit is one slot of one replica.
@@ -118,7 +118,7 @@
 		if r.signals.HasRefused(rep.index, x.Tenant.index) {
 			cost += oldCost // another replica's answer tells more
 		}
-		if cost < least || best.replica == nil || cost == least && register.Weight(d.anchor, rep.Name) > register.Weight(d.anchor, best.replica.Name) {
+		if cost < least || best.replica == nil || cost == least && rendezvous.Weight(d.anchor, rep.Name) > rendezvous.Weight(d.anchor, best.replica.Name) {
 			best, least = credit{replica: rep, weights: f.weights, placement: f.on, source: source, work: int64(x.Prompt.Size() - d.kept[rep.Name])}, cost
 			best.sink = r.sinkFor(x, v, d)
 			if source == "" {
@@ -172,7 +172,7 @@
 
 // meet has a replica compete for being the home.
 func (d *cacheState) meet(name string) {
-	if w := register.Weight(d.anchor, name); d.home == "" || w > d.weight {
+	if w := rendezvous.Weight(d.anchor, name); d.home == "" || w > d.weight {
 		d.home, d.weight = name, w
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -23,6 +23,7 @@
 	"asterridge/prefixindex"
 	"asterridge/queue"
 	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/rpc"
 	"asterridge/throttle"
 	"asterridge/watch"
@@ -235,9 +236,9 @@
 	if v == nil {
 		return 0
 	}
-	own, before := register.Weight(scope, r.options.Name), 0
+	own, before := rendezvous.Weight(scope, r.options.Name), 0
 	for _, name := range v.proxies {
-		if register.Weight(scope, name) > own {
+		if rendezvous.Weight(scope, name) > own {
 			before++
 		}
 	}
--- a/router/view.go
+++ b/router/view.go
@@ -11,6 +11,7 @@
 
 	"asterridge/config"
 	"asterridge/register"
+	"asterridge/rendezvous"
 )
 
 // View is one compiled state of the world; it is never changed, only replaced. Names are dense indices here.
@@ -48,7 +49,7 @@
 	for _, t := range targets {
 		sum += t.Share
 	}
-	at := int(register.Weight(p.Name, request) % uint64(max(1, sum)))
+	at := int(rendezvous.Weight(p.Name, request) % uint64(max(1, sum)))
 	for i, t := range targets {
 		if at -= t.Share; at < 0 {
 			return p.pools[i]
@@ -287,9 +288,9 @@
 	if rest == 0 || !slices.Contains(proxies, own) {
 		return part
 	}
-	rank, weight := 0, register.Weight(replica, own)
+	rank, weight := 0, rendezvous.Weight(replica, own)
 	for _, name := range proxies {
-		if register.Weight(replica, name) > weight {
+		if rendezvous.Weight(replica, name) > weight {
 			rank++
 		}
 	}
--- a/sim/change_loss_test.go
+++ b/sim/change_loss_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"asterridge/config"
-	"asterridge/register"
+	"asterridge/rendezvous"
 )
 
 // A loss at each step of a change of members: the disk of a core is lost so long after the change began, in steps that are finer than a
@@ -57,7 +57,7 @@
 		names[name] = i
 		live = append(live, name)
 	}
-	leader := names[register.Pick(config.MembersKey, live)]
+	leader := names[rendezvous.Pick(config.MembersKey, live)]
 	machines = append(machines, leader)
 	for _, i := range f.live[1 : len(f.live)-1] {
 		if len(machines) < howMany && i != leader {
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -15,7 +15,7 @@
 	"asterridge/claim"
 	"asterridge/config"
 	"asterridge/controlplane"
-	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/router"
 )
 
@@ -23,7 +23,7 @@
 
 // ownerOf gives the core that a key is drawn to while all four live, and another one.
 func ownerOf(key string) (owner, other int) {
-	name := register.Pick(key, strings.Fields(allFour))
+	name := rendezvous.Pick(key, strings.Fields(allFour))
 	number, _ := strconv.Atoi(strings.TrimPrefix(name, "core-"))
 	return number - 1, number % 4
 }
--- a/sim/faults_test.go
+++ b/sim/faults_test.go
@@ -13,7 +13,7 @@
 	"asterridge/config"
 	"asterridge/controlplane"
 	"asterridge/fake"
-	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/router"
 )
 
@@ -438,7 +438,7 @@
 	t.Parallel()
 	inBubble(t, options(38), func(is *is.I, f *Fleet) {
 		owner := 0
-		_, _ = fmt.Sscanf(register.Pick(config.ReplicasKey, []string{"core-1", "core-2", "core-3", "core-4"}), "core-%d", &owner)
+		_, _ = fmt.Sscanf(rendezvous.Pick(config.ReplicasKey, []string{"core-1", "core-2", "core-3", "core-4"}), "core-%d", &owner)
 		asked := owner % 4 // the next one
 		f.Net.Cut(CoreIP(owner-1), CoreIP(asked))
 		var ordering sync.WaitGroup
--- a/sim/lagging_member_test.go
+++ b/sim/lagging_member_test.go
@@ -10,7 +10,7 @@
 
 	"asterridge/config"
 	"asterridge/membership"
-	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/router"
 )
 
@@ -33,7 +33,7 @@
 				f.isolate(3, true, true, true)
 				f.members("admit", "core-4")
 				owner := 0
-				for register.Pick(config.MembersKey, founders) != founders[owner] {
+				for rendezvous.Pick(config.MembersKey, founders) != founders[owner] {
 					owner++
 				}
 				lost, other := (owner+1)%3, (owner+2)%3
@@ -69,7 +69,7 @@
 		f.isolate(lagging, true, true, true)
 		f.members("admit", "core-5")
 		owner := 4
-		is.Equal(register.Pick(config.MembersKey, []string{"core-1", "core-2", "core-3", "core-5"}), "core-5")
+		is.Equal(rendezvous.Pick(config.MembersKey, []string{"core-1", "core-2", "core-3", "core-5"}), "core-5")
 		f.Kill(CoreIP(0))
 		f.Kill(CoreIP(1))
 		_, err := f.Order(owner, "members", membership.Change{Action: membership.Remove, Name: "core-1"})
--- a/sim/members_test.go
+++ b/sim/members_test.go
@@ -12,7 +12,7 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/membership"
-	"asterridge/register"
+	"asterridge/rendezvous"
 	"asterridge/router"
 )
 
@@ -208,7 +208,7 @@
 		f.Kill(CoreIP(retired))
 		time.Sleep(2 * time.Second)
 	}
-	_, _ = fmt.Sscanf(register.Pick(config.MembersKey, live), "core-%d", &owner)
+	_, _ = fmt.Sscanf(rendezvous.Pick(config.MembersKey, live), "core-%d", &owner)
 	name := fmt.Sprintf("core-%d", retired+1)
 	others := func(do func(from, to string)) {
 		for i := range 4 {
--- a/sim/traffic_test.go
+++ b/sim/traffic_test.go
@@ -15,7 +15,7 @@
 	"asterridge/config"
 	"asterridge/fake"
 	"asterridge/golden"
-	"asterridge/register"
+	"asterridge/rendezvous"
 )
 
 func TestEveryReplicaRefusingSpendsNoMoreThanTheBudget(t *testing.T) {
@@ -74,7 +74,7 @@
 	t.Parallel()
 	inBubble(t, options(72), func(is *is.I, f *Fleet) {
 		f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "20"})
-		owner := register.Pick("hold/a", []string{"core-1", "core-2", "core-3", "core-4"})
+		owner := rendezvous.Pick("hold/a", []string{"core-1", "core-2", "core-3", "core-4"})
 		var i int
 		_, _ = fmt.Sscanf(owner, "core-%d", &i)
 		f.Net.Part([]string{CoreIP(i - 1)}, []string{CoreIP(0), CoreIP(1), CoreIP(2), CoreIP(3), ProxyIP(0), ProxyIP(1), ProxyIP(2)}, true) // it hears, and is heard by, nobody
