--- a/apierror/fail_test.go
+++ b/apierror/apierror_test.go
@@ -18,13 +18,13 @@
 func TestCodesPageIsTheTable(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\nEvery error has a number that never changes its meaning. Callers find it in the header `X-Result-Code` and in the body\n" +
-		"(`error.number`), and in `X-Ran` what is known of their request: `no` is a promise, `unknown` is not.\nMade from `fail/fail.go` by `go test ./fail -approve`.\n\n" +
+		"(`error.number`), and in `X-Ran` what is known of their request: `no` is a promise, `unknown` is not.\nMade from `apierror/apierror.go` by `go test ./apierror -approve`.\n\n" +
 		"The last column says whether some test brings the code about.\n\n" +
 		"| number | name | HTTP status | ran | meaning | tested |\n|---|---|---|---|---|---|\n")
 	tests, names := testTexts(t), goNames(t)
 	for _, c := range Codes() {
 		isTested := "no"
-		if regexp.MustCompile(fmt.Sprintf(`"number":%d\b|\b%d %s\b|"%d"|Code == %d\b|code %d\b|fail\.%s\b|"\d{3} %d (no|yes|unknown)"`,
+		if regexp.MustCompile(fmt.Sprintf(`"number":%d\b|\b%d %s\b|"%d"|Code == %d\b|code %d\b|apierror\.%s\b|"\d{3} %d (no|yes|unknown)"`,
 			c.Number, c.Number, c.Name, c.Number, c.Number, c.Number, names[fmt.Sprint(c.Number)], c.Number)).MatchString(tests) {
 			isTested = "yes"
 		}
@@ -54,7 +54,7 @@
 		paths, err := filepath.Glob(pattern)
 		is.New(t).NoErr(err)
 		for _, path := range paths {
-			if filepath.Base(path) != "fail_test.go" && filepath.Base(path) != "check_test.go" {
+			if filepath.Base(path) != "apierror_test.go" && filepath.Base(path) != "check_test.go" {
 				raw, err := os.ReadFile(path)
 				is.New(t).NoErr(err)
 				all.Write(raw)
@@ -66,7 +66,7 @@
 
 // goNames reads the codes' Go names, by number, from the table's own source.
 func goNames(t *testing.T) map[string]string {
-	raw, err := os.ReadFile("fail.go")
+	raw, err := os.ReadFile("apierror.go")
 	is.New(t).NoErr(err)
 	names := map[string]string{}
 	for _, m := range regexp.MustCompile(`(\w+) += code\((\d+),`).FindAllStringSubmatch(string(raw), -1) {
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -93,31 +93,36 @@
 	return &journal{current: map[string]bool{}, inForce: map[uint64]inForce{}}
 }
 
-// Write takes one line.
+// The log messages that the journal counts.
+const (
+	currencyMessage = "currency changed"
+	appliedMessage  = "register applied"
+	viewMessage     = "routing view updated"
+)
+
+// Write takes one line of a process's log.
 func (j *journal) Write(line []byte) (int, error) {
-	var said struct {
-		Event     string `json:"event"`
-		Daemon    string `json:"daemon"`
-		IsCurrent bool   `json:"is_current"`
-		Config    uint64 `json:"blueprint"`
-		Version   uint64 `json:"version"`
-		Key       string `json:"key"`
+	var entry struct {
+		Message string `json:"message"`
+		Daemon  string `json:"daemon"`
+		Current bool   `json:"current"`
+		Version uint64 `json:"version"`
+		Key     string `json:"key"`
 	}
-	if json.Unmarshal(line, &said) != nil {
+	if json.Unmarshal(line, &entry) != nil {
 		return len(line), nil
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	switch {
-	case said.Event == "currency":
-		if j.current[said.Daemon] && !said.IsCurrent {
+	case entry.Message == currencyMessage:
+		if j.current[entry.Daemon] && !entry.Current {
 			j.lost++
 		}
-		j.current[said.Daemon] = said.IsCurrent
-	case said.Event == "view" || said.Event == "applied" && said.Key == config.Key:
-		version := max(said.Config, said.Version)
-		f := j.inForce[version]
-		j.inForce[version] = inForce{f.Count + 1, time.Now()}
+		j.current[entry.Daemon] = entry.Current
+	case entry.Message == viewMessage, entry.Message == appliedMessage && entry.Key == config.Key:
+		f := j.inForce[entry.Version]
+		j.inForce[entry.Version] = inForce{f.Count + 1, time.Now()}
 	}
 	return len(line), nil
 }
--- a/replicaclient/replicaclient.go
+++ b/replicaclient/replicaclient.go
@@ -1,3 +1,4 @@
+// Package replicaclient calls replicas that speak our own interface: it asks for reports and sends orders.
 package replicaclient
 
 import (
