--- a/agent/agent.go
+++ b/agent/agent.go
@@ -41,8 +41,8 @@
 
 // Options of an agent.
 type Options struct {
-	// Dialect is how replicas are spoken to; nil: router.ChatDialect.
-	Dialect router.Dialect
+	// Protocol is how replicas are spoken to; nil: router.ChatDialect.
+	Protocol router.Protocol
 	// FreshLimit is T: how old a majority's answers may be for the agent to be current; 0: protocol.FreshLimit.
 	FreshLimit time.Duration
 	// UndecidedLimit is U: how long the agent stays current beside a version that may be committed; 0: protocol.UndecidedLimit.
@@ -95,8 +95,8 @@
 
 // New makes an agent. Its disk may be nil.
 func New(host daemon.Host, d disk.Disk, options Options) *Agent {
-	if options.Dialect == nil {
-		options.Dialect = router.ChatDialect{}
+	if options.Protocol == nil {
+		options.Protocol = router.ChatProtocol{}
 	}
 	if options.FreshLimit == 0 {
 		options.FreshLimit = protocol.FreshLimit
--- a/agent/currency.go
+++ b/agent/currency.go
@@ -27,7 +27,7 @@
 	a.evaluateCurrency()
 	a.detectDisturbance()
 	a.forwardProxies()
-	if a.options.Dialect.ReportPath() != "" {
+	if a.options.Protocol.ReportPath() != "" {
 		a.pollReplicas(ctx)
 	}
 }
--- a/agent/replica_reports.go
+++ b/agent/replica_reports.go
@@ -63,7 +63,7 @@
 	poll := func() {
 		requestCtx, cancel := context.WithTimeout(ctx, replicaclient.Timeout)
 		defer cancel()
-		report, err := replicaclient.GetReport(requestCtx, a.replicaClient, a.options.Dialect, replica, last)
+		report, err := replicaclient.GetReport(requestCtx, a.replicaClient, a.options.Protocol, replica, last)
 		if err != nil || ctx.Err() != nil {
 			return
 		}
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -290,7 +290,7 @@
 }
 
 // toldDialect is that of a fleet whose replicas do not report to agents: the cores tell of them.
-type toldDialect struct{ router.ChatDialect }
+type toldDialect struct{ router.ChatProtocol }
 
 // ReportPath is empty.
 func (toldDialect) ReportPath() string { return "" }
@@ -312,7 +312,7 @@
 		options := agent.Options{}
 		if c.setup.Platform {
 			options = platformBounds.Agent()
-			options.Dialect, options.Grace = toldDialect{}, 0
+			options.Protocol, options.Grace = toldDialect{}, 0
 		}
 		agent := agent.New(c.place("agent", i, zones, outer.Addr().String()), nil, options)
 		c.all.Go(func() { _ = agent.Serve(c.ctx, local, outer) })
@@ -327,7 +327,7 @@
 		host := c.place("proxy", i, zones, agent)
 		options := router.Options{Name: host.Name, Zone: host.Zone, Fleet: fleetName, Agent: agent, Net: host.Net, Log: host.Log, Index: c.setup.Index, Seed: uint64(i)}
 		if c.setup.Platform {
-			options.Dialect, options.AgentWait = toldDialect{}, platformBounds.Proxy().AgentWatchWait
+			options.Protocol, options.AgentWait = toldDialect{}, platformBounds.Proxy().AgentWatchWait
 		}
 		r := router.New(options)
 		c.all.Go(func() { r.Run(c.ctx) })
--- a/controlplane/adapter_state.go
+++ b/controlplane/adapter_state.go
@@ -58,7 +58,7 @@
 		pending.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, replicaclient.Timeout)
 			defer cancel()
-			report, err := replicaclient.GetReport(ctx, c.replicaClient, router.ChatDialect{}, replica, router.Report{})
+			report, err := replicaclient.GetReport(ctx, c.replicaClient, router.ChatProtocol{}, replica, router.Report{})
 			if err == nil {
 				mu.Lock()
 				state.reports[name] = report.Report
--- a/controlplane/weights_rollout.go
+++ b/controlplane/weights_rollout.go
@@ -32,7 +32,7 @@
 	core          *Core
 	candidate     *lease.Candidate
 	replicaClient *http.Client
-	dialect       router.Dialect
+	protocol      router.Protocol
 
 	mu sync.Mutex
 	// behind is, by pool, since when replicas are behind.
@@ -51,7 +51,7 @@
 		core:          c,
 		candidate:     c.newCandidate(weightsRole, roleLease),
 		replicaClient: replicaclient.New(c.host.Net),
-		dialect:       router.ChatDialect{},
+		protocol:      router.ChatProtocol{},
 		behind:        map[string]behindState{},
 	}
 	go daemon.Every(ctx, roleLease/campaignsPerLease, func() {
@@ -99,7 +99,7 @@
 			break
 		}
 		orders.Go(func() {
-			err := replicaclient.PostOrder(ctx, r.replicaClient, replica.Address+r.dialect.LoadPath(), loadWeightsOrder{Order: order, Weights: weights})
+			err := replicaclient.PostOrder(ctx, r.replicaClient, replica.Address+r.protocol.LoadPath(), loadWeightsOrder{Order: order, Weights: weights})
 			r.core.host.Log.Info().Str("replica", replica.Name).Str("weights", weights).Uint64("order", order).Uint64("lease", number).
 				AnErr("failure", err).Msg("replica told to load weights")
 		})
@@ -124,7 +124,7 @@
 		pending.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, replicaclient.Timeout)
 			defer cancel()
-			report, err := replicaclient.GetReport(ctx, r.replicaClient, r.dialect, replica, router.Report{})
+			report, err := replicaclient.GetReport(ctx, r.replicaClient, r.protocol, replica, router.Report{})
 			if err != nil {
 				return
 			}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -28,8 +28,8 @@
 	PrefixIndexSize int
 	// BodyMemory bounds the bytes of clients' bodies that are held at a time.
 	BodyMemory int64
-	// Dialect is how clients and replicas are spoken to; nil: router.ChatDialect.
-	Dialect router.Dialect
+	// Protocol is how clients and replicas are spoken to; nil: router.ChatDialect.
+	Protocol router.Protocol
 	// OldWeightsLimit is how long requests may begin on a version before the published one.
 	OldWeightsLimit time.Duration
 	// RetryRatio and RetrySlack bound second attempts: that part of the first ones, and so many beyond it.
@@ -72,7 +72,7 @@
 		Seed:       options.Seed,
 		Index:      options.PrefixIndexSize,
 		Room:       options.BodyMemory,
-		Dialect:    options.Dialect,
+		Protocol:   options.Protocol,
 		OldWeights: options.OldWeightsLimit,
 		RetryRatio: options.RetryRatio,
 		RetrySlack: options.RetrySlack,
--- a/relaytest/judge_test.go
+++ b/relaytest/judge_test.go
@@ -146,7 +146,7 @@
 
 func planted(fault string) relaytest.Mix {
 	return relaytest.Mix{Relay: plant(fault), Router: router.Options{Name: "unused", Log: zerolog.Nop()}, Speech: relaytest.Speech{
-		Dialect: router.ChatDialect{}, TagHeader: "X-Tag", IDHeader: "X-Tag", StampHeader: "X-Stamp", Stamped: true,
+		Dialect: router.ChatProtocol{}, TagHeader: "X-Tag", IDHeader: "X-Tag", StampHeader: "X-Stamp", Stamped: true,
 		Lines:      func(relaytest.Kind) []string { return nil },
 		Path:       func(relaytest.Kind) string { return "/any/" },
 		Refusals:   []relaytest.Refusal{{Status: 503, Lines: []string{"Not-Run: 1"}}},
--- a/relaytest/world.go
+++ b/relaytest/world.go
@@ -38,7 +38,7 @@
 
 // Speech is how client and replicas speak with the relay.
 type Speech struct {
-	Dialect     router.Dialect
+	Dialect     router.Protocol
 	TagHeader   string // the client's name for a request; the relay hands it on
 	IDHeader    string // the id that a replica's answer has to bear
 	StampHeader string // of a replica's answer: unique to the run
@@ -129,7 +129,7 @@
 
 // Play runs one mix inside a synctest bubble and gives what the judge found.
 func Play(m Mix) []Finding {
-	m.Router.Dialect, m.Router.Seed = m.Speech.Dialect, m.Seed
+	m.Router.Protocol, m.Router.Seed = m.Speech.Dialect, m.Seed
 	w := &World{Speech: m.Speech, Testbed: sim.NewTestbed(m.Router), Address: sim.TestbedAddress,
 		random: rand.New(rand.NewPCG(m.Seed, 16)), sent: map[string]*Sent{}, acts: chosen(m.Only)}
 	defer w.Testbed.Stop()
--- a/router/deadline_test.go
+++ b/router/deadline_test.go
@@ -20,15 +20,15 @@
 // tellingDialect tells replicas the deadline of a request.
 type tellingDialect struct{ plainDialect }
 
-func (tellingDialect) IsDeadlineTold() bool { return true }
+func (tellingDialect) SendsDeadline() bool { return true }
 
 // stalled asks for a stream whose replica sends one event after each pause, and is silent from then on until it is left. It gives how long
 // the caller had the connection, what came, and how many retries there were.
-func stalled(t *testing.T, dialect router.Dialect, p config.Path, pauses ...time.Duration) (held time.Duration, text string, secondAttempts int64) {
+func stalled(t *testing.T, dialect router.Protocol, p config.Path, pauses ...time.Duration) (held time.Duration, text string, secondAttempts int64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Dialect: dialect, Log: zerolog.Nop()})
+		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Protocol: dialect, Log: zerolog.Nop()})
 		defer stand.Stop()
 		stand.Serve("10.0.2.1:80", http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			_, _ = io.Copy(io.Discard, q.Body)
--- a/router/dialect.go
+++ b/router/dialect.go
@@ -14,88 +14,88 @@
 	"asterridge/rpc"
 )
 
-// Opening is what a dialect reads of a caller's request before its body.
-type Opening struct {
-	ID     string        // the caller's own id of this attempt; empty: the router gives one
-	Secret string        // the access key
-	Key    string        // under which the request runs once, if the caller gives one
-	Wait   time.Duration // how long the caller will wait; 0: as long as the path lets it
-	Repeat string        // "yes" or "no" where the caller says whether the request may run more than once
-	Last   uint64        // of a stream that the caller takes up again: the last event that it has
+// ClientHeader is what a dialect reads of a caller's request before its body.
+type ClientHeader struct {
+	ID          string        // the caller's own id of this attempt; empty: the router gives one
+	Secret      string        // the access key
+	Key         string        // under which the request runs once, if the caller gives one
+	Timeout     time.Duration // how long the caller will wait; 0: as long as the path lets it
+	Idempotent  string        // "yes" or "no" where the caller says whether the request may run more than once
+	LastEventID uint64        // of a stream that the caller takes up again: the last event that it has
 }
 
 // Prompt is what the router reads of a request's prompt: its text, or the parts that it is made of.
 type Prompt struct {
-	Model  string
-	Text   string
-	Parts  []Part
-	Stream bool
+	Model    string
+	Text     string
+	Segments []Segment
+	Stream   bool
 }
 
-// Part is a piece of a prompt that may be shared with others; Size is in the replicas' own units.
-type Part struct {
+// Segment is a piece of a prompt that may be shared with others; Size is in the replicas' own units.
+type Segment struct {
 	ID   string
 	Size int
 }
 
 // Size is the whole prompt's.
 func (p Prompt) Size() int {
-	if p.Parts == nil {
+	if p.Segments == nil {
 		return len(p.Text)
 	}
 	sum := 0
-	for _, part := range p.Parts {
+	for _, part := range p.Segments {
 		sum += part.Size
 	}
 	return sum
 }
 
-// Sending is what a dialect tells a replica with a request.
-type Sending struct {
-	Domain  string // of kept prompts
-	Weights string // the version that the replica is to have; empty: any
-	Source  string // where the replica may fetch what it lacks of the prompt
-	Sink    string // where it is to leave what it has read
-	Left    time.Duration
-	Last    uint64 // the stream goes on behind this event; 0: from its beginning
+// ReplicaHeader is what a dialect tells a replica with a request.
+type ReplicaHeader struct {
+	Domain      string // of kept prompts
+	Weights     string // the version that the replica is to have; empty: any
+	Source      string // where the replica may fetch what it lacks of the prompt
+	Sink        string // where it is to leave what it has read
+	Timeout     time.Duration
+	LastEventID uint64 // the stream goes on behind this event; 0: from its beginning
 }
 
-// Verdict is what a replica's answer means.
-type Verdict struct {
-	Served bool
-	NotRun bool // the dialect defines this refusal as not run
-	Tenant bool // it names the tenant as its ground
-	Pushed bool // it is a throttle: refused for load or rate
-	Moved  bool // other weights, or leaving: pick again
-	Full   bool // no slot was free
-	Reason string
+// Outcome is what a replica's answer means.
+type Outcome struct {
+	Served      bool
+	NotExecuted bool // the dialect defines this refusal as not run
+	NamesTenant bool // it names the tenant as its ground
+	Throttled   bool // it is a throttle: refused for load or rate
+	PickAgain   bool // other weights, or leaving: pick again
+	NoSlot      bool // no slot was free
+	Reason      string
 }
 
-// Dialect is the one place that knows how callers and replicas speak.
-type Dialect interface {
-	Open(q *http.Request) (Opening, error)
-	Read(q *http.Request, body []byte) (Prompt, error)
-	Dress(h http.Header, x *Exchange, s Sending)
-	Judge(r *http.Response) Verdict
+// Protocol is the one place that knows how callers and replicas speak.
+type Protocol interface {
+	ReadHeader(q *http.Request) (ClientHeader, error)
+	ReadPrompt(q *http.Request, body []byte) (Prompt, error)
+	SetHeaders(h http.Header, x *Exchange, s ReplicaHeader)
+	Classify(r *http.Response) Outcome
 	// Occupancy is what an answer tells of the replica's load; Version, of its model's version; 0: nothing.
 	Occupancy(r *http.Response) (Occupancy, bool)
-	Version(r *http.Response) uint64
+	ModelVersion(r *http.Response) uint64
 	AnswerID(r *http.Response) string
 	// IDHeader is the header by which our own answers bear the request's id.
 	IDHeader() string
 	// RetryAfter writes when to come back.
 	RetryAfter(d time.Duration) string
-	// IsEnd looks for a stream's own end marker; nil where its framing tells the end.
-	IsEnd() func(tail []byte) bool
-	// IsDeadlineTold says whether replicas are told the request's deadline and end their answers by it, streams too.
-	IsDeadlineTold() bool
+	// EndDetector looks for a stream's own end marker; nil where its framing tells the end.
+	EndDetector() func(tail []byte) bool
+	// SendsDeadline says whether replicas are told the request's deadline and end their answers by it, streams too.
+	SendsDeadline() bool
 	// ReportPath is where replicas tell their load; empty: they do not, and the core's word for them counts.
 	ReportPath() string
 	LoadPath() string
 }
 
-// ChatDialect speaks the widely published chat completions: JSON in, JSON or an event stream out.
-type ChatDialect struct{}
+// ChatProtocol speaks the widely published chat completions: JSON in, JSON or an event stream out.
+type ChatProtocol struct{}
 
 // Headers that the dialect adds.
 const (
@@ -115,25 +115,25 @@
 	} `json:"messages"`
 }
 
-// Open reads the headers.
-func (ChatDialect) Open(q *http.Request) (o Opening, err error) {
+// ReadHeader reads the headers.
+func (ChatProtocol) ReadHeader(q *http.Request) (o ClientHeader, err error) {
 	word, bearer := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
 	if !bearer {
 		return o, apierror.New(apierror.BadKey, "no bearer key")
 	}
-	o = Opening{Secret: word, Key: q.Header.Get("Idempotency-Key"), Repeat: q.Header.Get("X-Repeatable")}
+	o = ClientHeader{Secret: word, Key: q.Header.Get("Idempotency-Key"), Idempotent: q.Header.Get("X-Repeatable")}
 	if text := q.Header.Get("X-Deadline-Ms"); text != "" {
 		ms, err := strconv.Atoi(text)
 		if err != nil || ms < 1 {
 			return o, apierror.New(apierror.OutOfRange, "X-Deadline-Ms %q", text)
 		}
-		o.Wait = time.Duration(ms) * time.Millisecond
+		o.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	return o, nil
 }
 
-// Read finds the model, the prompt's text, and whether a stream is wanted. Other addresses carry no prompt.
-func (ChatDialect) Read(q *http.Request, body []byte) (Prompt, error) {
+// ReadPrompt finds the model, the prompt's text, and whether a stream is wanted. Other addresses carry no prompt.
+func (ChatProtocol) ReadPrompt(q *http.Request, body []byte) (Prompt, error) {
 	if !strings.HasSuffix(q.URL.Path, "/chat/completions") {
 		return Prompt{}, nil
 	}
@@ -155,8 +155,8 @@
 	return Prompt{Model: b.Model, Text: prefixindex.Text(parts...), Stream: b.Stream}, nil
 }
 
-// Dress puts the router's words to the replica on a request.
-func (ChatDialect) Dress(h http.Header, x *Exchange, s Sending) {
+// SetHeaders puts the router's words to the replica on a request.
+func (ChatProtocol) SetHeaders(h http.Header, x *Exchange, s ReplicaHeader) {
 	for _, ours := range []string{"Authorization", domainHeader, weightsHeader, sourceHeader} {
 		h.Del(ours) // a caller does not say them for us
 	}
@@ -177,21 +177,21 @@
 }
 
 // Occupancy is told in reports.
-func (ChatDialect) Occupancy(*http.Response) (Occupancy, bool) { return Occupancy{}, false }
+func (ChatProtocol) Occupancy(*http.Response) (Occupancy, bool) { return Occupancy{}, false }
 
-// Version is told in reports.
-func (ChatDialect) Version(*http.Response) uint64 { return 0 }
+// ModelVersion is told in reports.
+func (ChatProtocol) ModelVersion(*http.Response) uint64 { return 0 }
 
 // IDHeader bears the request's id.
-func (ChatDialect) IDHeader() string { return idHeader }
+func (ChatProtocol) IDHeader() string { return idHeader }
 
 // RetryAfter writes whole seconds, rounded up.
-func (ChatDialect) RetryAfter(d time.Duration) string { return rpc.RetryAfter(d) }
+func (ChatProtocol) RetryAfter(d time.Duration) string { return rpc.RetryAfter(d) }
 
-// Judge reads the status; a refusal's body has {"error":{"type":…}}.
-func (ChatDialect) Judge(r *http.Response) Verdict {
+// Classify reads the status; a refusal's body has {"error":{"type":…}}.
+func (ChatProtocol) Classify(r *http.Response) Outcome {
 	if r.StatusCode != 429 && r.StatusCode != 503 && r.StatusCode != 412 {
-		return Verdict{Served: true}
+		return Outcome{Served: true}
 	}
 	raw, _ := io.ReadAll(io.LimitReader(r.Body, 1<<16))
 	var body struct {
@@ -201,36 +201,36 @@
 		} `json:"error"`
 	}
 	_ = json.Unmarshal(raw, &body)
-	v := Verdict{Reason: body.Error.Type}
+	v := Outcome{Reason: body.Error.Type}
 	switch {
 	case r.StatusCode == 429:
-		v.NotRun, v.Pushed, v.Tenant = true, true, body.Error.Type == "tenant_throttled"
+		v.NotExecuted, v.Throttled, v.NamesTenant = true, true, body.Error.Type == "tenant_throttled"
 	case r.StatusCode == 412 && (body.Error.Type == "weights_mismatch" || isPlacementGone(body.Error.Type)):
-		v.NotRun, v.Moved = true, true
+		v.NotExecuted, v.PickAgain = true, true
 	case r.StatusCode == 503 && (body.Error.Type == "overloaded" || body.Error.Type == "leaving" || body.Error.Type == "warming"):
-		v.NotRun, v.Moved, v.Full = true, true, body.Error.Type == "overloaded"
+		v.NotExecuted, v.PickAgain, v.NoSlot = true, true, body.Error.Type == "overloaded"
 	default:
-		return Verdict{Served: true} // not a refusal known as not run: it is the replica's own answer
+		return Outcome{Served: true} // not a refusal known as not run: it is the replica's own answer
 	}
 	return v
 }
 
 // AnswerID is the request id that the answer bears.
-func (ChatDialect) AnswerID(r *http.Response) string { return r.Header.Get(idHeader) }
+func (ChatProtocol) AnswerID(r *http.Response) string { return r.Header.Get(idHeader) }
 
-// IsEnd looks for the event stream's end marker.
-func (ChatDialect) IsEnd() func(tail []byte) bool {
+// EndDetector looks for the event stream's end marker.
+func (ChatProtocol) EndDetector() func(tail []byte) bool {
 	return func(tail []byte) bool { return bytes.HasSuffix(bytes.TrimRight(tail, "\r\n"), []byte("data: [DONE]")) }
 }
 
-// IsDeadlineTold is false: a deadline is for the first piece, and streams are as long as they are.
-func (ChatDialect) IsDeadlineTold() bool { return false }
+// SendsDeadline is false: a deadline is for the first piece, and streams are as long as they are.
+func (ChatProtocol) SendsDeadline() bool { return false }
 
 // ReportPath is where a replica tells its load.
-func (ChatDialect) ReportPath() string { return "/report" }
+func (ChatProtocol) ReportPath() string { return "/report" }
 
 // LoadPath is where a replica takes the order to load weights; a lower order number than it has met is refused.
-func (ChatDialect) LoadPath() string { return "/weights" }
+func (ChatProtocol) LoadPath() string { return "/weights" }
 
 // Loading stands in a report in the place of the weights while new ones load.
 const Loading = "loading"
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -133,7 +133,7 @@
 	Header http.Header
 	First  []byte
 	Rest   io.ReadCloser
-	IsEnd  func(tail []byte) bool // whether the stream's own end marker has come; nil if there is none
+	AtEnd  func(tail []byte) bool // whether the stream's own end marker has come; nil if there is none
 	All    bool                   // First is the whole answer
 	buffer *[pieceSize]byte       // First's, used again for the pieces after it
 	finish func(err error)
--- a/router/filters.go
+++ b/router/filters.go
@@ -62,7 +62,7 @@
 // decode makes an exchange of a caller's request; the body is read later, when its bound is known.
 func (r *Router) decode(ctx context.Context, q *http.Request) (any, error) {
 	door := ctx.Value(doorName{}).(*door)
-	return &Exchange{ID: door.id, Request: q, Received: time.Now(), Last: door.opening.Last, door: door}, nil
+	return &Exchange{ID: door.id, Request: q, Received: time.Now(), Last: door.opening.LastEventID, door: door}, nil
 }
 
 // Handle rejects new work while this router cannot prove that it is current, or stops.
@@ -128,7 +128,7 @@
 		return err
 	}
 	x.Body = body
-	if x.Prompt, err = f.r.options.Dialect.Read(q, body); err != nil {
+	if x.Prompt, err = f.r.options.Protocol.ReadPrompt(q, body); err != nil {
 		return err
 	}
 	if err := x.lead(x.View); err != nil {
@@ -146,7 +146,7 @@
 		return apierror.New(apierror.Oversize, "an idempotency key of %d bytes", len(x.Key))
 	}
 	wait := time.Duration(x.Path.DeadlineMs) * time.Millisecond
-	if given := x.door.opening.Wait; given > 0 {
+	if given := x.door.opening.Timeout; given > 0 {
 		wait = min(wait, given)
 	}
 	x.Deadline = x.Received.Add(wait)
@@ -171,7 +171,7 @@
 		return err
 	}
 	x.View, x.Tenant, x.Path, x.Pool, x.Repeatable = v, t, p, p.pick(x.ID), p.Repeatable || p.Resumable
-	switch x.door.opening.Repeat {
+	switch x.door.opening.Idempotent {
 	case "yes":
 		x.Repeatable = true
 	case "no":
--- a/router/limits_test.go
+++ b/router/limits_test.go
@@ -22,7 +22,7 @@
 	status := 0
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Dialect: plainDialect{}, Log: zerolog.Nop()})
+		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Protocol: plainDialect{}, Log: zerolog.Nop()})
 		defer stand.Stop()
 		stand.Serve("10.0.2.1:80", http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 			_, _ = io.Copy(io.Discard, q.Body)
--- a/router/mix_test.go
+++ b/router/mix_test.go
@@ -32,7 +32,7 @@
 		return relaytest.Refusal{Status: status, Body: `{"error":{"type":"` + kind + `","message":"not run"}}`}
 	}
 	return relaytest.Speech{
-		Dialect: router.ChatDialect{}, TagHeader: "X-Tag", IDHeader: "X-Request-Id", StampHeader: "X-Stamp", EndMark: "data: [DONE]",
+		Dialect: router.ChatProtocol{}, TagHeader: "X-Tag", IDHeader: "X-Request-Id", StampHeader: "X-Stamp", EndMark: "data: [DONE]",
 		Lines:    func(relaytest.Kind) []string { return nil },
 		Path:     func(kind relaytest.Kind) string { return "/" + []string{"again", "once", "stream"}[kind] + "/" },
 		Deadline: 3 * time.Second,
--- a/router/named.go
+++ b/router/named.go
@@ -121,7 +121,7 @@
 // endOf is beginBy for the replica that a request was given.
 func (r *Router) endOf(v *View, x *Exchange) (end time.Time, old bool) {
 	rep := v.replicas[x.replica.Name]
-	if x.weights == "" || rep == nil || r.options.Dialect.ReportPath() != "" {
+	if x.weights == "" || rep == nil || r.options.Protocol.ReportPath() != "" {
 		return time.Time{}, false
 	}
 	return r.beginBy(v, x.Prompt.Model, rep.version(x.Prompt.Model))
--- a/router/old_version_test.go
+++ b/router/old_version_test.go
@@ -25,7 +25,7 @@
 // versionDialect hands replicas a deadline, and names a model.
 type versionDialect struct{ plainDialect }
 
-func (versionDialect) Read(*http.Request, []byte) (router.Prompt, error) {
+func (versionDialect) ReadPrompt(*http.Request, []byte) (router.Prompt, error) {
 	return router.Prompt{Model: "m"}, nil
 }
 
@@ -85,7 +85,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		options := deployment.Bounds{ModelVersion: bound}.Proxy()
-		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Dialect: versionDialect{}, Log: zerolog.Nop(), OldWeights: options.OldWeightsLimit})
+		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Protocol: versionDialect{}, Log: zerolog.Nop(), OldWeights: options.OldWeightsLimit})
 		defer stand.Stop()
 		stand.Serve("10.0.2.1:80", s)
 		b := config.Empty()
--- a/router/pool.go
+++ b/router/pool.go
@@ -55,7 +55,7 @@
 	if rep.State == config.ReplicaDraining {
 		return "", false
 	}
-	if r.options.Dialect.ReportPath() == "" {
+	if r.options.Protocol.ReportPath() == "" {
 		if !slices.Contains(p.Models, model) {
 			return "", true
 		}
@@ -106,13 +106,13 @@
 		rep, d := f.replica, f.cache
 		work, source := r.work(x, v, p, rep, d.kept)
 		cost := r.cost(rep, x.Prompt.Size(), work, now) - firstGain(rep, f.on)
-		if x.Prompt.Parts != nil && rep.Zone != r.options.Zone {
+		if x.Prompt.Segments != nil && rep.Zone != r.options.Zone {
 			cost += zoneCost
 		}
-		if x.Prompt.Parts != nil && d.home != rep.Name {
+		if x.Prompt.Segments != nil && d.home != rep.Name {
 			cost += homeGain + againCost*float64(max(0, d.shared-max(d.kept[rep.Name], d.most)))/rep.rate()
 		}
-		if r.options.Dialect.ReportPath() != "" && f.weights != p.Weights {
+		if r.options.Protocol.ReportPath() != "" && f.weights != p.Weights {
 			cost += oldCost
 		}
 		if r.signals.HasRefused(rep.index, x.Tenant.index) {
@@ -164,8 +164,8 @@
 	for _, kept := range d.kept {
 		d.most = max(d.most, kept)
 	}
-	if n := len(x.Prompt.Parts); n > 1 {
-		d.shared = x.Prompt.Size() - x.Prompt.Parts[n-1].Size
+	if n := len(x.Prompt.Segments); n > 1 {
+		d.shared = x.Prompt.Size() - x.Prompt.Segments[n-1].Size
 	}
 	return d
 }
@@ -217,7 +217,7 @@
 	if seen := rep.seen.Load(); seen != nil && now.Sub(seen.at) < seenAge {
 		return max(seen.Running+seen.Waiting+int(rep.sent.Load()), own)+1 <= int(borrowMost*float64(rep.Limit))
 	}
-	return r.options.Dialect.ReportPath() == "" && own < unseenRoom
+	return r.options.Protocol.ReportPath() == "" && own < unseenRoom
 }
 
 // borrowing is the part of a replica's slots up to which this proxy goes beyond its share. Reports are old by the time of several requests,
@@ -259,10 +259,10 @@
 	}
 	chain, made := x.chains[domain]
 	if !made {
-		if x.Prompt.Parts == nil {
+		if x.Prompt.Segments == nil {
 			chain = prefixindex.TextBlocks(domain, x.Prompt.Text)
 		}
-		for _, part := range x.Prompt.Parts {
+		for _, part := range x.Prompt.Segments {
 			chain = append(chain, prefixindex.Block{Key: domain + "/" + part.ID, Size: part.Size})
 		}
 		x.chains[domain] = chain
@@ -273,7 +273,7 @@
 // anchor stands for the prompt's opening, on which proxies without news agree. The last part of a prompt is its own.
 func (x *Exchange) anchor(domain string) string {
 	chain := x.chain(domain)
-	if x.Prompt.Parts != nil {
+	if x.Prompt.Segments != nil {
 		chain = chain[:max(min(len(chain), 1), len(chain)-1)]
 	}
 	if len(chain) > 0 {
--- a/router/relay.go
+++ b/router/relay.go
@@ -62,7 +62,7 @@
 // pieceWait is how long the next piece of an answer is waited for. A replica that is told the deadline ends its answer by then; until then its
 // silence is no reason to end it, and after that nothing is to be expected of it.
 func (r *Router) pieceWait(x *Exchange) time.Duration {
-	if r.options.Dialect.IsDeadlineTold() {
+	if r.options.Protocol.SendsDeadline() {
 		return max(0, time.Until(x.Deadline)+answerSlack)
 	}
 	return pieceLimit
@@ -162,7 +162,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if a.IsEnd != nil && !a.IsEnd(tail) {
+			if a.AtEnd != nil && !a.AtEnd(tail) {
 				return errBroken{apierror.New(apierror.StreamCut, "no end mark")}
 			}
 			if rest := cut.drop(); len(rest) > 0 {
--- a/router/resumed_test.go
+++ b/router/resumed_test.go
@@ -22,34 +22,36 @@
 )
 
 // plainDialect is a plain manner of speaking in which streams may be taken up behind an event.
-type plainDialect struct{ router.ChatDialect }
+type plainDialect struct{ router.ChatProtocol }
 
-func (plainDialect) Open(q *http.Request) (o router.Opening, err error) {
+func (plainDialect) ReadHeader(q *http.Request) (o router.ClientHeader, err error) {
 	o.ID = q.Header.Get("X-Request-Id")
 	if text := q.Header.Get("After-Event"); text != "" {
-		o.Last, err = strconv.ParseUint(text, 10, 64)
+		o.LastEventID, err = strconv.ParseUint(text, 10, 64)
 	}
 	return o, err
 }
 
-func (plainDialect) Read(*http.Request, []byte) (router.Prompt, error) { return router.Prompt{}, nil }
+func (plainDialect) ReadPrompt(*http.Request, []byte) (router.Prompt, error) {
+	return router.Prompt{}, nil
+}
 
-func (plainDialect) Dress(h http.Header, x *router.Exchange, s router.Sending) {
+func (plainDialect) SetHeaders(h http.Header, x *router.Exchange, s router.ReplicaHeader) {
 	h.Set("X-Request-Id", x.ID)
-	h.Set("X-Left-Ms", strconv.FormatInt(s.Left.Milliseconds(), 10))
+	h.Set("X-Left-Ms", strconv.FormatInt(s.Timeout.Milliseconds(), 10))
 	h.Del("After-Event")
-	if s.Last > 0 {
-		h.Set("After-Event", strconv.FormatUint(s.Last, 10))
+	if s.LastEventID > 0 {
+		h.Set("After-Event", strconv.FormatUint(s.LastEventID, 10))
 	}
 }
 
-func (plainDialect) Judge(r *http.Response) router.Verdict {
+func (plainDialect) Classify(r *http.Response) router.Outcome {
 	refused := r.StatusCode == http.StatusServiceUnavailable
-	return router.Verdict{Served: !refused, NotRun: refused, Moved: refused, Reason: r.Status}
+	return router.Outcome{Served: !refused, NotExecuted: refused, PickAgain: refused, Reason: r.Status}
 }
-func (plainDialect) IsEnd() func([]byte) bool { return nil }
-func (plainDialect) ReportPath() string       { return "" }
-func (plainDialect) LoadPath() string         { return "" }
+func (plainDialect) EndDetector() func([]byte) bool { return nil }
+func (plainDialect) ReportPath() string             { return "" }
+func (plainDialect) LoadPath() string               { return "" }
 
 // run is what one replica does with a request.
 type run struct {
@@ -140,7 +142,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Dialect: plainDialect{}, Log: zerolog.Nop()})
+		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Protocol: plainDialect{}, Log: zerolog.Nop()})
 		defer stand.Stop()
 		s := &streamer{}
 		stand.Serve("10.0.2.1:80", s.replica("one"))
--- a/router/room.go
+++ b/router/room.go
@@ -56,7 +56,7 @@
 // door is the caller's side of one request's connection.
 type door struct {
 	id      string
-	opening Opening
+	opening ClientHeader
 	failure error // why the opening could not be read
 	control *http.ResponseController
 	leave   []func() // when the request is over
--- a/router/router.go
+++ b/router/router.go
@@ -48,19 +48,19 @@
 
 // Options of a router.
 type Options struct {
-	Name    string // unique in the fleet
-	Zone    string
-	Fleet   string
-	Agent   string // the agent's address on loopback
-	Net     rpc.Network
-	Log     zerolog.Logger
-	Seed    uint64
-	Dialect Dialect
-	Filters []Filter // policies of one's own, after identity and path are known
-	Audit   int      // events kept; 0: 4096
-	Index   int      // entries of the index of kept prompts; 0: no index, the choice goes by load and by the prompt's opening
-	Admin   string   // where the agent reaches this router's queries
-	Room    int64    // bytes of callers' bodies held at a time; 0: 256 MiB
+	Name     string // unique in the fleet
+	Zone     string
+	Fleet    string
+	Agent    string // the agent's address on loopback
+	Net      rpc.Network
+	Log      zerolog.Logger
+	Seed     uint64
+	Protocol Protocol
+	Filters  []Filter // policies of one's own, after identity and path are known
+	Audit    int      // events kept; 0: 4096
+	Index    int      // entries of the index of kept prompts; 0: no index, the choice goes by load and by the prompt's opening
+	Admin    string   // where the agent reaches this router's queries
+	Room     int64    // bytes of callers' bodies held at a time; 0: 256 MiB
 	// OldWeights is how long work may begin on old weights after the new ones were learned; 0: 12 s (§6.2).
 	OldWeights time.Duration
 	// RetrySlack is how many retries all routers together may send beyond their part; 0: five each (§5.4).
@@ -139,8 +139,8 @@
 	if options.KeepAlive == 0 {
 		options.KeepAlive = 5 * time.Second
 	}
-	if options.Dialect == nil {
-		options.Dialect = ChatDialect{}
+	if options.Protocol == nil {
+		options.Protocol = ChatProtocol{}
 	}
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(options.Name))
@@ -322,7 +322,7 @@
 		r.open.add(1)
 		defer r.open.add(-1)
 		d := &door{control: http.NewResponseController(w)}
-		d.opening, d.failure = r.options.Dialect.Open(q)
+		d.opening, d.failure = r.options.Protocol.ReadHeader(q)
 		if d.id = d.opening.ID; d.id == "" {
 			d.id = rand.Text()
 		}
@@ -331,7 +331,7 @@
 				leave()
 			}
 		}()
-		w.Header().Set(r.options.Dialect.IDHeader(), d.id) // every answer bears it, refusals too
+		w.Header().Set(r.options.Protocol.IDHeader(), d.id) // every answer bears it, refusals too
 		if isFramedTwice(q) {
 			w.Header().Set("Connection", "close")
 		}
@@ -384,7 +384,7 @@
 func (r *Router) encodeRefusal(ctx context.Context, err error, w http.ResponseWriter) {
 	f := apierror.Of(err)
 	if f.Again > 0 {
-		w.Header().Set("Retry-After", r.options.Dialect.RetryAfter(f.Again))
+		w.Header().Set("Retry-After", r.options.Protocol.RetryAfter(f.Again))
 	}
 	w.Header().Set("X-Ran", string(f.Code.Ran))
 	w.Header().Set("X-Result-Code", fmt.Sprint(f.Code.Number))
--- a/router/send.go
+++ b/router/send.go
@@ -73,7 +73,7 @@
 		return err
 	}
 	r.learnAnswer(x, answer)
-	verdict := r.options.Dialect.Judge(answer)
+	verdict := r.options.Protocol.Classify(answer)
 	if !verdict.Served {
 		timer.Stop()
 		_ = answer.Body.Close()
@@ -104,7 +104,7 @@
 	if answer.StatusCode < http.StatusOK || answer.StatusCode > highestStatus {
 		return r.lost(x, apierror.New(apierror.ReplicaSaid, "status %d", answer.StatusCode))
 	}
-	if id := r.options.Dialect.AnswerID(answer); id != x.ID {
+	if id := r.options.Protocol.AnswerID(answer); id != x.ID {
 		r.log.Error().Str("request", x.ID).Str("answer", id).Str("replica", x.replica.Name).Msg("answer bears the ID of another request")
 		foreign, again := apierror.New(apierror.ForeignAnswer, "answer %q", id), errAgain{}
 		if err := r.lost(x, foreign); errors.As(err, &again) {
@@ -119,14 +119,14 @@
 
 // learnAnswer takes what an answer tells of its replica.
 func (r *Router) learnAnswer(x *Exchange, answer *http.Response) {
-	if seen, told := r.options.Dialect.Occupancy(answer); told {
+	if seen, told := r.options.Protocol.Occupancy(answer); told {
 		seen.at = time.Now()
 		if before := x.replica.seen.Load(); before != nil {
 			seen.Free = before.Free
 		}
 		x.replica.occupied(&seen)
 	}
-	if version := r.options.Dialect.Version(answer); version > x.replica.seenVersion.Load() {
+	if version := r.options.Protocol.ModelVersion(answer); version > x.replica.seenVersion.Load() {
 		x.replica.seenVersion.Store(version)
 	}
 }
@@ -157,11 +157,11 @@
 			q.Header[name] = values
 		}
 	}
-	s := Sending{Domain: domain, Weights: x.weights, Source: x.source, Sink: x.sink, Left: x.left, Last: x.Last}
+	s := ReplicaHeader{Domain: domain, Weights: x.weights, Source: x.source, Sink: x.sink, Timeout: x.left, LastEventID: x.Last}
 	if x.Pool.Kind == config.WebPool {
 		s.Weights = ""
 	}
-	r.options.Dialect.Dress(q.Header, x, s)
+	r.options.Protocol.SetHeaders(q.Header, x, s)
 	dressPlacement(q.Header, x.placement)
 	// A body reader without GetBody keeps net/http from resending by itself (§5.4).
 	q.Body, q.GetBody = io.NopCloser(struct{ io.Reader }{bytes.NewReader(x.Body)}), nil
@@ -228,7 +228,7 @@
 	case x.Request.Method == http.MethodHead:
 		a.All = true
 	case strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream"):
-		if a.IsEnd = r.options.Dialect.IsEnd(); a.IsEnd == nil && !framed {
+		if a.AtEnd = r.options.Protocol.EndDetector(); a.AtEnd == nil && !framed {
 			return errUnframed
 		}
 		a.buffer = pieces.Get().(*[pieceSize]byte)
@@ -272,14 +272,14 @@
 }
 
 // refused reads a refusal: a throttle holds the tenant's scope; all that the dialect defines as not run may be tried again.
-func (r *Router) refused(x *Exchange, answer *http.Response, v Verdict) error {
+func (r *Router) refused(x *Exchange, answer *http.Response, v Outcome) error {
 	r.counts.add("refusals", 1)
 	cause := apierror.New(apierror.ReplicaSaid, "%s refused: %s", x.replica.Name, v.Reason)
-	if v.Pushed {
+	if v.Throttled {
 		r.counts.add("refusals_pushed", 1)
 		rule := r.view.Load().hold
 		values := answer.Header.Values("Retry-After")
-		own := v.Tenant || r.signals.Refused(x.replica.index, x.Tenant.index)
+		own := v.NamesTenant || r.signals.Refused(x.replica.index, x.Tenant.index)
 		if !own {
 			r.cool(x.replica)
 		}
@@ -291,16 +291,16 @@
 			r.throttle(x, delay, "refused: "+v.Reason, strings.Join(values, " | "))
 		}
 	}
-	if v.Moved {
+	if v.PickAgain {
 		r.cool(x.replica)
 	}
 	if isPlacementGone(v.Reason) {
 		x.forgetPlacement()
 	}
-	if v.Full {
+	if v.NoSlot {
 		r.borrow.learn(true)
 	}
-	if !v.NotRun {
+	if !v.NotExecuted {
 		return r.lost(x, errors.New(cause.Error()))
 	}
 	return errAgain{cause}
