--- a/router/adapter.go
+++ b/router/adapter.go
@@ -74,7 +74,7 @@
 	}
 	on = v.adapters[p.Adapter].placement
 	said := rep.report.Load()
-	if said == nil || x.begun.Adapter != "" && x.begun != on {
+	if said == nil || x.resumedPlacement.Adapter != "" && x.resumedPlacement != on {
 		return on, false
 	}
 	has := said.Adapters[on.Key()]
@@ -118,8 +118,8 @@
 	buildHeader   = "X-Adapter-Build"
 )
 
-// dressPlacement says to the replica what the request runs on; a caller does not say it for us.
-func dressPlacement(h http.Header, on config.Placement) {
+// setPlacementHeaders says to the replica what the request runs on; a caller does not say it for us.
+func setPlacementHeaders(h http.Header, on config.Placement) {
 	for name, value := range map[string]string{baseHeader: on.Base, adapterHeader: on.Adapter, buildHeader: on.Build} {
 		h.Del(name)
 		if on.Adapter != "" {
--- a/router/adapter_test.go
+++ b/router/adapter_test.go
@@ -55,7 +55,7 @@
 	is.Equal(firstGain(rep, on), 0.0)
 	is.True(firstGain(rep, old) > 0)
 
-	x.begun = old
+	x.resumedPlacement = old
 	_, fit = before.placement(x, huts, rep)
 	is.True(fit)
 	_, fit = after.placement(x, huts, rep)
@@ -82,6 +82,6 @@
 	is.Equal(len(met), 5)
 	is.Equal(domainOf("w1", config.Placement{}), "w1") // without an adapter nothing has changed
 	h := http.Header{"X-Base": {"mine"}, "X-Adapter": {"mine"}, "X-Adapter-Build": {"mine"}}
-	dressPlacement(h, config.Placement{})
+	setPlacementHeaders(h, config.Placement{})
 	is.Equal(len(h), 0) // a caller does not say it
 }
--- a/router/claim.go
+++ b/router/claim.go
@@ -18,7 +18,7 @@
 
 // Handle claims the caller's key before the first send of a request that may not be repeated.
 func (f claimFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
-	if x.Key == "" || x.Repeatable || x.claimed {
+	if x.Key == "" || x.Idempotent || x.claimed {
 		return onward(ctx, x)
 	}
 	began := time.Now()
@@ -36,16 +36,16 @@
 	return again(apierror.New(apierror.NoClaim, "%v", err), time.Second)
 }
 
-// unclaim gives the key back if the request is rejected as not run, or else notes that its outcome is unknown.
-func (r *Router) unclaim(x *Exchange, err error) {
+// releaseClaim gives the key back if the request is rejected as not run, or else notes that its outcome is unknown.
+func (r *Router) releaseClaim(x *Exchange, err error) {
 	state := "free"
 	if apierror.Of(err).Code.Ran != apierror.NotRun {
 		state = "unknown"
 	}
-	r.settleClaim(x, state)
+	r.reportClaim(x, state)
 }
 
-func (r *Router) settleClaim(x *Exchange, state string) {
+func (r *Router) reportClaim(x *Exchange, state string) {
 	if !x.claimed {
 		return
 	}
--- a/router/cost.go
+++ b/router/cost.go
@@ -119,9 +119,9 @@
 // quick sample counts for more than a slow one.
 func (r *Router) learnRate(x *Exchange, delay time.Duration) {
 	rep := x.replica
-	work := x.reading.work
+	work := x.prefill.work
 	if aim := time.Duration(x.Path.AimMs) * time.Millisecond; aim > 0 {
-		x.reading.pool.window.learn(delay-readBase-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), aim)
+		x.prefill.pool.window.learn(delay-readBase-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), aim)
 	}
 	if work < leastSample || x.source != "" || rep.pending.Load() > work || delay <= readBase {
 		return
--- a/router/events_test.go
+++ b/router/events_test.go
@@ -21,7 +21,7 @@
 			n := min(len(left), cuts())
 			piece := []byte(left[:n])
 			left = left[n:]
-			whole := e.take(piece)
+			whole := e.complete(piece)
 			for i := range piece {
 				piece[i] = '#' // the buffer is used again
 			}
@@ -29,16 +29,16 @@
 			is.True(len(whole) == 0 || strings.HasSuffix(string(whole), "\n\n"))
 			is.True(strings.HasPrefix(events, out))
 			if count := strings.Count(out, "\n\n"); count > 0 {
-				is.Equal(e.last, ids[count])
+				is.Equal(e.lastID, ids[count])
 			} else {
-				is.Equal(e.last, uint64(5)) // none yet: what the caller has
+				is.Equal(e.lastID, uint64(5)) // none yet: what the caller has
 			}
 		}
 		is.Equal(out, events)
-		is.Equal(string(e.drop()), rest)
-		is.Equal(len(e.drop()), 0)
-		is.Equal(string(e.take([]byte("id: 14\n\n"))), "id: 14\n\n") // nothing of what was given up is left
-		is.Equal(e.last, uint64(14))
+		is.Equal(string(e.dropPartial()), rest)
+		is.Equal(len(e.dropPartial()), 0)
+		is.Equal(string(e.complete([]byte("id: 14\n\n"))), "id: 14\n\n") // nothing of what was given up is left
+		is.Equal(e.lastID, uint64(14))
 	}
 	check(func() int { return 1 })
 	check(func() int { return len(events + rest) })
@@ -48,4 +48,4 @@
 	}
 }
 
-func events0(last uint64) *events { return &events{last: last} }
+func events0(last uint64) *eventStream { return &eventStream{lastID: last} }
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -80,41 +80,41 @@
 
 // Exchange is one request on its way through the chain.
 type Exchange struct {
-	ID       string
-	Request  *http.Request
-	Body     []byte
-	Prompt   Prompt
-	Key      string // the caller's idempotency key, if any
-	Access   string // hash of the access key
-	View     *View
-	Tenant   *tenant
-	Path     *path
-	Deadline time.Time
-	Received time.Time
-	Sent     time.Time     // the last attempt
-	left     time.Duration // that the replica was told
-
-	Repeatable bool
-	Attempt    int
-	State      State
-	Answer     *Answer
-	Pool       *pool  // that the path's split gave it
-	Last       uint64 // of a stream that is taken up: the last event that the caller has
-
-	door      *door
-	chains    map[string][]prefixindex.Block
-	item      queue.Item
-	replica   *replica
-	turn      *turn // of the last attempt, on its connection
-	weights   string
-	placement config.Placement
-	begun     config.Placement // of a stream that is taken up again: its pieces are all from there
-	source    string
-	sink      string
-	reading   credit // until the first piece
-	unsent    int    // draws whose request was not written
-	claimed   bool
-	sent      bool // some attempt may have run
+	ID        string
+	Request   *http.Request
+	Body      []byte
+	Prompt    Prompt
+	Key       string // the caller's idempotency key, if any
+	Access    string // hash of the access key
+	View      *View
+	Tenant    *tenant
+	Path      *path
+	Deadline  time.Time
+	Received  time.Time
+	Sent      time.Time     // the last attempt
+	remaining time.Duration // that the replica was told
+
+	Idempotent  bool
+	Attempt     int
+	State       State
+	Answer      *Answer
+	Pool        *pool  // that the path's split gave it
+	LastEventID uint64 // of a stream that is taken up: the last event that the caller has
+
+	connection       *clientConn
+	blocks           map[string][]prefixindex.Block
+	item             queue.Item
+	replica          *replica
+	write            *requestWrite // of the last attempt, on its connection
+	weights          string
+	placement        config.Placement
+	resumedPlacement config.Placement // of a stream that is taken up again: its pieces are all from there
+	source           string
+	sink             string
+	prefill          credit // until the first piece
+	unsentAttempts   int    // draws whose request was not written
+	claimed          bool
+	mayHaveExecuted  bool // some attempt may have run
 }
 
 // Replica names the replica that the request is sent to.
@@ -129,14 +129,14 @@
 
 // Answer is a replica's answer whose first piece is here.
 type Answer struct {
-	Status int
-	Header http.Header
-	First  []byte
-	Rest   io.ReadCloser
-	AtEnd  func(tail []byte) bool // whether the stream's own end marker has come; nil if there is none
-	All    bool                   // First is the whole answer
-	buffer *[pieceSize]byte       // First's, used again for the pieces after it
-	finish func(err error)
+	Status     int
+	Header     http.Header
+	firstChunk []byte
+	Body       io.ReadCloser
+	AtEnd      func(tail []byte) bool // whether the stream's own end marker has come; nil if there is none
+	Complete   bool                   // First is the whole answer
+	buffer     *[chunkSize]byte       // First's, used again for the pieces after it
+	finish     func(err error)
 }
 
 // step moves a request to its next state and notes it.
--- a/router/filters.go
+++ b/router/filters.go
@@ -61,8 +61,8 @@
 
 // decode makes an exchange of a caller's request; the body is read later, when its bound is known.
 func (r *Router) decode(ctx context.Context, q *http.Request) (any, error) {
-	door := ctx.Value(doorName{}).(*door)
-	return &Exchange{ID: door.id, Request: q, Received: time.Now(), Last: door.opening.LastEventID, door: door}, nil
+	door := ctx.Value(clientConnKey{}).(*clientConn)
+	return &Exchange{ID: door.id, Request: q, Received: time.Now(), LastEventID: door.header.LastEventID, connection: door}, nil
 }
 
 // Handle rejects new work while this router cannot prove that it is current, or stops.
@@ -90,16 +90,16 @@
 
 // Handle finds the tenant by the access key.
 func (f identityFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
-	x.View, x.Access = f.r.view.Load(), config.HashKey(x.door.opening.Secret)
+	x.View, x.Access = f.r.view.Load(), config.HashKey(x.connection.header.Secret)
 	if err := x.View.checkHeader(x.Request); err != nil {
 		return err
 	}
 	x.Tenant = x.View.tenantOf(x)
 	switch {
-	case x.Tenant != nil && (x.door.failure == nil || x.Tenant == x.View.public && apierror.Is(x.door.failure, apierror.BadKey)):
+	case x.Tenant != nil && (x.connection.failure == nil || x.Tenant == x.View.public && apierror.Is(x.connection.failure, apierror.BadKey)):
 		return onward(ctx, x)
-	case x.door.failure != nil:
-		return x.door.failure
+	case x.connection.failure != nil:
+		return x.connection.failure
 	}
 	if x.Access == noSecret && x.View.find(x.Request.Host, x.Request.URL.Path, x.Prompt.Model) == nil {
 		return apierror.New(apierror.NoPath, "no path for %s", x.Request.URL.Path)
@@ -141,12 +141,12 @@
 	if len(body) > most {
 		return apierror.New(apierror.Oversize, "%d bytes, at most %d", len(body), most)
 	}
-	x.Key = x.door.opening.Key
+	x.Key = x.connection.header.Key
 	if len(x.Key) > 256 {
 		return apierror.New(apierror.Oversize, "an idempotency key of %d bytes", len(x.Key))
 	}
 	wait := time.Duration(x.Path.DeadlineMs) * time.Millisecond
-	if given := x.door.opening.Timeout; given > 0 {
+	if given := x.connection.header.Timeout; given > 0 {
 		wait = min(wait, given)
 	}
 	x.Deadline = x.Received.Add(wait)
@@ -170,12 +170,12 @@
 	if err := v.mayUse(t, p); err != nil {
 		return err
 	}
-	x.View, x.Tenant, x.Path, x.Pool, x.Repeatable = v, t, p, p.pick(x.ID), p.Repeatable || p.Resumable
-	switch x.door.opening.Idempotent {
+	x.View, x.Tenant, x.Path, x.Pool, x.Idempotent = v, t, p, p.pick(x.ID), p.Repeatable || p.Resumable
+	switch x.connection.header.Idempotent {
 	case "yes":
-		x.Repeatable = true
+		x.Idempotent = true
 	case "no":
-		x.Repeatable = false
+		x.Idempotent = false
 	}
 	x.item.Tenant, x.item.Pool, x.item.Cost = t.index, x.Pool.index, p.Cost
 	x.item.Weight, x.item.Limit = t.Weight, t.Backlog
@@ -201,17 +201,17 @@
 	waiting, stop := context.WithDeadline(ctx, x.Deadline)
 	defer stop()
 	r.step(x, Eligible, "")
-	err := r.shoot(waiting, x, onward)
-	if err != nil && x.sent && apierror.Of(err).Code.Ran == apierror.NotRun {
+	err := r.attempt(waiting, x, onward)
+	if err != nil && x.mayHaveExecuted && apierror.Of(err).Code.Ran == apierror.NotRun {
 		err = apierror.New(apierror.OutcomeLost, "an earlier attempt was sent; then: %v", err)
 	}
 	if err != nil {
-		r.unclaim(x, err)
+		r.releaseClaim(x, err)
 	}
 	return err
 }
 
-func (r *Router) shoot(ctx context.Context, x *Exchange, onward handle) error {
+func (r *Router) attempt(ctx context.Context, x *Exchange, onward handle) error {
 	for {
 		if err := x.lead(r.view.Load()); err != nil {
 			return err
@@ -235,7 +235,7 @@
 		}
 		var unsent errUnsent
 		if errors.As(err, &unsent) { // nothing arrived anywhere: it is not paid for
-			if x.unsent++; x.unsent > unsentMost {
+			if x.unsentAttempts++; x.unsentAttempts > unsentMost {
 				return r.givenUp(x, unsent.cause)
 			}
 			if x.State == Submitted {
@@ -248,7 +248,7 @@
 		if !errors.As(err, &retry) {
 			return err
 		}
-		if err := r.paySecond(x, retry.cause); err != nil {
+		if err := r.payRetry(x, retry.cause); err != nil {
 			return err
 		}
 	}
@@ -262,8 +262,8 @@
 func (e errUnsent) Error() string { return e.cause.Error() }
 func (e errUnsent) Unwrap() error { return e.cause }
 
-// paySecond takes a retry from the budget and from the path's tries, and makes the request eligible again.
-func (r *Router) paySecond(x *Exchange, cause error) error {
+// payRetry takes a retry from the budget and from the path's tries, and makes the request eligible again.
+func (r *Router) payRetry(x *Exchange, cause error) error {
 	if x.Path.Tries > 0 && x.Attempt+1 >= x.Path.Tries {
 		return r.givenUp(x, cause)
 	}
@@ -325,7 +325,7 @@
 		}
 		return again(apierror.Of(err), time.Second)
 	}
-	x.replica, x.weights, x.source, x.sink, x.reading = c.replica, c.weights, c.source, c.sink, c
+	x.replica, x.weights, x.source, x.sink, x.prefill = c.replica, c.weights, c.source, c.sink, c
 	x.placement = c.placement
 	kept := false
 	defer func() {
--- a/router/guard_test.go
+++ b/router/guard_test.go
@@ -20,7 +20,7 @@
 func (c *noted) SetWriteDeadline(time.Time) error { return nil }
 func (c *noted) Close() error                     { c.closed = true; return nil }
 
-func write(g *guard, id string) (*turn, error) {
+func write(g *replicaConn, id string) (*requestWrite, error) {
 	t := g.arm(id, func() (*View, error) { return &View{}, nil })
 	_, err := g.Write(nil)
 	return t, err
@@ -29,7 +29,7 @@
 func TestConnectionIsDiscardedUnlessAnotherRequestHasIt(t *testing.T) {
 	is := is.New(t)
 	c := &noted{}
-	g := &guard{Conn: c}
+	g := &replicaConn{Conn: c}
 	a, err := write(g, "a")
 	is.NoErr(err)
 	_, err = write(g, "b")
@@ -49,18 +49,18 @@
 // An answer without a body makes the connection another request's before its own sender hears of it: each knows what was written of it.
 func TestTurnOutlastsTheNextOnesBeginning(t *testing.T) {
 	is := is.New(t)
-	g := &guard{Conn: &noted{}}
+	g := &replicaConn{Conn: &noted{}}
 	a, err := write(g, "a")
 	is.NoErr(err)
 	b := g.arm("b", func() (*View, error) { return &View{}, nil })
-	seen, _, failure := a.settle()
+	seen, _, failure := a.finish()
 	is.True(seen != nil && failure == nil) // it was written, though b was not yet
 	_, err = g.Write(nil)
 	is.NoErr(err) // and b may be
-	seen, _, failure = b.settle()
+	seen, _, failure = b.finish()
 	is.True(seen != nil && failure == nil)
 	c := g.arm("c", func() (*View, error) { return &View{}, nil })
-	seen, _, failure = c.settle()
+	seen, _, failure = c.finish()
 	is.True(seen == nil && failure == errUnwritten)
 	_, err = g.Write(nil)
 	is.True(err != nil) // given up, it is not written any more
--- a/router/named.go
+++ b/router/named.go
@@ -98,9 +98,9 @@
 	return !old || now.Add(p.answers.expected(r.options.OldWeights/2)).Before(end)
 }
 
-// timeLeft is what a replica is told that it has for a request. It drops what has not begun by then, and an old version ends there: that, and
+// remainingTime is what a replica is told that it has for a request. It drops what has not begun by then, and an old version ends there: that, and
 // not what is expected of it, keeps work from beginning too late.
-func (r *Router) timeLeft(v *View, x *Exchange) time.Duration {
+func (r *Router) remainingTime(v *View, x *Exchange) time.Duration {
 	left := time.Until(x.Deadline)
 	if end, old := r.endOf(v, x); old {
 		left = min(left, time.Until(end))
@@ -108,11 +108,11 @@
 	return left
 }
 
-// isLate says whether a request that is written now would have time beyond the end of the old version that it goes to: it sought a connection
+// isPastOldVersion says whether a request that is written now would have time beyond the end of the old version that it goes to: it sought a connection
 // since it was told its time, or the version has become an old one.
-func (r *Router) isLate(v *View, x *Exchange) bool {
+func (r *Router) isPastOldVersion(v *View, x *Exchange) bool {
 	end, old := r.endOf(v, x)
-	return old && time.Now().Add(x.left).After(end.Add(sendSlack))
+	return old && time.Now().Add(x.remaining).After(end.Add(sendSlack))
 }
 
 // sendSlack is how long a request may take from being told its time to its write.
--- a/router/pool.go
+++ b/router/pool.go
@@ -179,8 +179,8 @@
 
 // hasRead ends a request's part in what its replica has yet to read, and its place in the pool's window.
 func (r *Router) hasRead(x *Exchange) {
-	c := x.reading
-	x.reading = credit{}
+	c := x.prefill
+	x.prefill = credit{}
 	c.unread()
 	if c.windowed {
 		r.queue.Wake(c.pool.index)
@@ -254,10 +254,10 @@
 
 // chain gives the prompt's blocks in a cache domain, made once.
 func (x *Exchange) chain(domain string) []prefixindex.Block {
-	if x.chains == nil {
-		x.chains = map[string][]prefixindex.Block{}
+	if x.blocks == nil {
+		x.blocks = map[string][]prefixindex.Block{}
 	}
-	chain, made := x.chains[domain]
+	chain, made := x.blocks[domain]
 	if !made {
 		if x.Prompt.Segments == nil {
 			chain = prefixindex.TextBlocks(domain, x.Prompt.Text)
@@ -265,7 +265,7 @@
 		for _, part := range x.Prompt.Segments {
 			chain = append(chain, prefixindex.Block{Key: domain + "/" + part.ID, Size: part.Size})
 		}
-		x.chains[domain] = chain
+		x.blocks[domain] = chain
 	}
 	return chain
 }
--- a/router/relay.go
+++ b/router/relay.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	tailSize   = 64
-	pieceSize  = 32 << 10
-	pieceLimit = 60 * time.Second // between two pieces of a stream
+	tailSize            = 64
+	chunkSize           = 32 << 10
+	chunkTimeoutDefault = 60 * time.Second // between two pieces of a stream
 	// answerSlack is for the way of what a replica sent before the deadline that it was told.
 	answerSlack = 200 * time.Millisecond
 )
 
-// pieces are buffers that streams share in turn.
-var pieces = sync.Pool{New: func() any { return new([pieceSize]byte) }}
+// chunkBuffers are buffers that streams share in turn.
+var chunkBuffers = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
 // relay passes the answer on as it comes (§5.6). A stream that breaks off aborts the caller's connection.
 func (r *Router) relay(_ context.Context, w http.ResponseWriter, response any) error {
@@ -39,12 +39,12 @@
 	w.Header().Set("X-Waited-Ms", strconv.FormatInt(x.Sent.Sub(x.Received).Milliseconds(), 10))
 	w.Header().Set(VersionHeader, strconv.FormatUint(x.View.Version.Version, 10))
 	w.WriteHeader(a.Status)
-	err := r.pour(w, x)
+	err := r.relayBody(w, x)
 	x.Answer.end(err)
 	if err == nil {
 		x.Pool.answers.learn(time.Since(x.Sent))
 		r.step(x, Done, "")
-		r.settleClaim(x, "ran")
+		r.reportClaim(x, "ran")
 		return nil
 	}
 	if x.Request.Context().Err() != nil {
@@ -55,17 +55,17 @@
 	}
 	r.counts.reject(apierror.Of(err).Code)
 	r.step(x, Failed, err.Error())
-	r.settleClaim(x, "unknown")
+	r.reportClaim(x, "unknown")
 	panic(http.ErrAbortHandler)
 }
 
-// pieceWait is how long the next piece of an answer is waited for. A replica that is told the deadline ends its answer by then; until then its
+// chunkTimeout is how long the next piece of an answer is waited for. A replica that is told the deadline ends its answer by then; until then its
 // silence is no reason to end it, and after that nothing is to be expected of it.
-func (r *Router) pieceWait(x *Exchange) time.Duration {
+func (r *Router) chunkTimeout(x *Exchange) time.Duration {
 	if r.options.Protocol.SendsDeadline() {
 		return max(0, time.Until(x.Deadline)+answerSlack)
 	}
-	return pieceLimit
+	return chunkTimeoutDefault
 }
 
 // errBroken is a stream that the replica broke off.
@@ -74,19 +74,19 @@
 func (e errBroken) Error() string { return e.cause.Error() }
 func (e errBroken) Unwrap() error { return e.cause }
 
-// pour passes the answer's bytes on. A stream that may be resumed goes on at another replica, behind the last event that the caller has
+// relayBody passes the answer's bytes on. A stream that may be resumed goes on at another replica, behind the last event that the caller has
 // whole (§5.7).
-func (r *Router) pour(w http.ResponseWriter, x *Exchange) error {
+func (r *Router) relayBody(w http.ResponseWriter, x *Exchange) error {
 	flush := http.NewResponseController(w)
-	cut := events{last: x.Last}
+	stream := eventStream{lastID: x.LastEventID}
 	for {
-		err := r.pourOne(w, flush, x, &cut)
+		err := r.relayReplica(w, flush, x, &stream)
 		var broken errBroken
 		if err == nil || !errors.As(err, &broken) || x.Answer.buffer == nil || !x.Path.Resumable || x.Request.Context().Err() != nil || !time.Now().Before(x.Deadline) {
 			return err
 		}
-		x.Last = cut.last
-		cut.drop()
+		x.LastEventID = stream.lastID
+		stream.dropPartial()
 		if failure := r.resume(x, err); failure != nil {
 			return apierror.Wrap(err, apierror.StreamCut, failure.Error())
 		}
@@ -97,14 +97,14 @@
 func (r *Router) resume(x *Exchange, cause error) error {
 	x.Answer.end(cause)
 	r.cool(x.replica)
-	x.begun = x.placement
-	if err := r.paySecond(x, cause); err != nil {
+	x.resumedPlacement = x.placement
+	if err := r.payRetry(x, cause); err != nil {
 		return err
 	}
 	r.counts.add("resumed", 1)
 	ctx, stop := context.WithDeadline(x.Request.Context(), x.Deadline)
 	defer stop()
-	if err := r.shoot(ctx, x, r.onward); err != nil {
+	if err := r.attempt(ctx, x, r.onward); err != nil {
 		return err
 	}
 	if x.Answer.Status != http.StatusOK || x.Answer.buffer == nil {
@@ -113,28 +113,28 @@
 	return nil
 }
 
-// pourOne passes on what one replica sends.
-func (r *Router) pourOne(w http.ResponseWriter, flush *http.ResponseController, x *Exchange, cut *events) error {
+// relayReplica passes on what one replica sends.
+func (r *Router) relayReplica(w http.ResponseWriter, flush *http.ResponseController, x *Exchange, stream *eventStream) error {
 	a := x.Answer
 	// A caller that stops reading is not waited for without end; a writer that knows no deadlines has its own bounds.
-	_ = flush.SetWriteDeadline(time.Now().Add(r.pieceWait(x)))
-	if a.All {
-		_, err := w.Write(a.First)
+	_ = flush.SetWriteDeadline(time.Now().Add(r.chunkTimeout(x)))
+	if a.Complete {
+		_, err := w.Write(a.firstChunk)
 		return err
 	}
 	isEvents := a.buffer != nil
 	if !isEvents {
-		a.buffer = pieces.Get().(*[pieceSize]byte)
+		a.buffer = chunkBuffers.Get().(*[chunkSize]byte)
 	}
 	defer func() {
-		pieces.Put(a.buffer) // First, which lies in it, is written by then
+		chunkBuffers.Put(a.buffer) // First, which lies in it, is written by then
 		if !isEvents {
 			a.buffer = nil
 		}
 	}()
 	pass := func(b []byte) error {
 		if isEvents && x.Path.Resumable {
-			if b = cut.take(b); len(b) == 0 {
+			if b = stream.complete(b); len(b) == 0 {
 				return nil
 			}
 		}
@@ -143,16 +143,16 @@
 		}
 		return flush.Flush()
 	}
-	tail := append([]byte(nil), a.First[max(0, len(a.First)-tailSize):]...)
-	if err := pass(a.First); err != nil {
+	tail := append([]byte(nil), a.firstChunk[max(0, len(a.firstChunk)-tailSize):]...)
+	if err := pass(a.firstChunk); err != nil {
 		return err
 	}
-	timer := time.AfterFunc(r.pieceWait(x), func() { _ = a.Rest.Close() })
+	timer := time.AfterFunc(r.chunkTimeout(x), func() { _ = a.Body.Close() })
 	defer timer.Stop()
 	for {
-		n, err := a.Rest.Read(a.buffer[:])
+		n, err := a.Body.Read(a.buffer[:])
 		if n > 0 {
-			wait := r.pieceWait(x)
+			wait := r.chunkTimeout(x)
 			timer.Reset(wait)
 			_ = flush.SetWriteDeadline(time.Now().Add(wait))
 			tail = append(tail, a.buffer[:n]...)
@@ -165,8 +165,8 @@
 			if a.AtEnd != nil && !a.AtEnd(tail) {
 				return errBroken{apierror.New(apierror.StreamCut, "no end mark")}
 			}
-			if rest := cut.drop(); len(rest) > 0 {
-				_, err := w.Write(rest)
+			if unfinished := stream.dropPartial(); len(unfinished) > 0 {
+				_, err := w.Write(unfinished)
 				return err
 			}
 			return nil
@@ -177,11 +177,11 @@
 	}
 }
 
-// events cuts a stream into whole events, and knows the last one's id.
-type events struct {
-	last uint64
-	held []byte // what was taken last
-	rest []byte // of it, the event that is not whole yet
+// eventStream cuts a stream into whole events, and knows the last one's id.
+type eventStream struct {
+	lastID  uint64
+	buffer  []byte // what was taken last
+	partial []byte // of it, the event that is not whole yet
 }
 
 // eventEnd gives where the last whole event ends; 0: nowhere.
@@ -195,29 +195,29 @@
 	return last
 }
 
-// take gives the events that are whole now; they stay until the next call.
-func (e *events) take(b []byte) []byte {
-	e.held = append(append(e.held[:0], e.rest...), b...)
-	at := eventEnd(e.held)
+// complete gives the events that are whole now; they stay until the next call.
+func (e *eventStream) complete(b []byte) []byte {
+	e.buffer = append(append(e.buffer[:0], e.partial...), b...)
+	at := eventEnd(e.buffer)
 	if at == 0 {
-		e.rest = e.held
+		e.partial = e.buffer
 		return nil
 	}
-	whole := e.held[:at]
-	e.rest = e.held[len(whole):]
-	for line := range bytes.Lines(whole) {
+	complete := e.buffer[:at]
+	e.partial = e.buffer[len(complete):]
+	for line := range bytes.Lines(complete) {
 		if text, iD := bytes.CutPrefix(line, []byte("id:")); iD {
 			if id, err := strconv.ParseUint(string(bytes.TrimSpace(text)), 10, 64); err == nil {
-				e.last = id
+				e.lastID = id
 			}
 		}
 	}
-	return whole
+	return complete
 }
 
-// drop gives up the event that is not whole.
-func (e *events) drop() []byte {
-	rest := e.rest
-	e.rest = nil
-	return rest
+// dropPartial gives up the event that is not whole.
+func (e *eventStream) dropPartial() []byte {
+	partial := e.partial
+	e.partial = nil
+	return partial
 }
--- a/router/room.go
+++ b/router/room.go
@@ -53,16 +53,16 @@
 	return m.used
 }
 
-// door is the caller's side of one request's connection.
-type door struct {
+// clientConn is the caller's side of one request's connection.
+type clientConn struct {
 	id      string
-	opening ClientHeader
+	header  ClientHeader
 	failure error // why the opening could not be read
 	control *http.ResponseController
-	leave   []func() // when the request is over
+	onDone  []func() // when the request is over
 }
 
-type doorName struct{}
+type clientConnKey struct{}
 
 // readBody takes a body within bounds of size, room and time.
 func (r *Router) readBody(x *Exchange) ([]byte, error) {
@@ -71,7 +71,7 @@
 		return nil, apierror.New(apierror.Oversize, "a body of %d bytes", q.ContentLength)
 	}
 	taken, tenant := int64(0), x.Tenant.index
-	x.door.leave = append(x.door.leave, func() { r.room.give(tenant, taken) })
+	x.connection.onDone = append(x.connection.onDone, func() { r.room.give(tenant, taken) })
 	grow := func(n int64) error {
 		if !r.room.take(tenant, n) {
 			return again(apierror.New(apierror.NoRoom, "no room for %d more bytes", n), time.Second)
@@ -79,7 +79,7 @@
 		taken += n
 		return nil
 	}
-	_ = x.door.control.SetReadDeadline(time.Now().Add(bodyLimit + time.Duration(max(0, q.ContentLength))*time.Second/bodyRate))
+	_ = x.connection.control.SetReadDeadline(time.Now().Add(bodyLimit + time.Duration(max(0, q.ContentLength))*time.Second/bodyRate))
 	var body bytes.Buffer
 	if q.ContentLength > 0 {
 		if err := grow(q.ContentLength); err != nil {
@@ -100,7 +100,7 @@
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, apierror.New(apierror.TooSlow, "%d bytes came in time", body.Len())
 		case err == io.EOF || err == nil && n == 0:
-			_ = x.door.control.SetReadDeadline(time.Time{}) // streams are as long as they are
+			_ = x.connection.control.SetReadDeadline(time.Time{}) // streams are as long as they are
 			return body.Bytes(), nil
 		case err != nil:
 			return nil, apierror.Wrap(err, apierror.Malformed, "read body")
--- a/router/router.go
+++ b/router/router.go
@@ -317,17 +317,17 @@
 		}
 		return x, nil
 	}
-	kit := kithttp.NewServer(serve, r.decode, r.relay, kithttp.ServerErrorEncoder(r.encodeRefusal))
+	kit := kithttp.NewServer(serve, r.decode, r.relay, kithttp.ServerErrorEncoder(r.encodeRejection))
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.open.add(1)
 		defer r.open.add(-1)
-		d := &door{control: http.NewResponseController(w)}
-		d.opening, d.failure = r.options.Protocol.ReadHeader(q)
-		if d.id = d.opening.ID; d.id == "" {
+		d := &clientConn{control: http.NewResponseController(w)}
+		d.header, d.failure = r.options.Protocol.ReadHeader(q)
+		if d.id = d.header.ID; d.id == "" {
 			d.id = rand.Text()
 		}
 		defer func() {
-			for _, leave := range d.leave {
+			for _, leave := range d.onDone {
 				leave()
 			}
 		}()
@@ -335,7 +335,7 @@
 		if isFramedTwice(q) {
 			w.Header().Set("Connection", "close")
 		}
-		kit.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), doorName{}, d)))
+		kit.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), clientConnKey{}, d)))
 	})
 }
 
@@ -380,8 +380,8 @@
 	return ended
 }
 
-// encodeRefusal also says whether the request ran.
-func (r *Router) encodeRefusal(ctx context.Context, err error, w http.ResponseWriter) {
+// encodeRejection also says whether the request ran.
+func (r *Router) encodeRejection(ctx context.Context, err error, w http.ResponseWriter) {
 	f := apierror.Of(err)
 	if f.Again > 0 {
 		w.Header().Set("Retry-After", r.options.Protocol.RetryAfter(f.Again))
--- a/router/send.go
+++ b/router/send.go
@@ -40,7 +40,7 @@
 	if on, ready := v.placement(x, p, rep); !ready || on != x.placement {
 		return nil, errPickAgain // the route has switched: the base is picked at the write (§6.6)
 	}
-	if r.isLate(v, x) {
+	if r.isPastOldVersion(v, x) {
 		return nil, errPickAgain
 	}
 	return v, nil
@@ -50,12 +50,12 @@
 func (f sendFilter) Handle(_ context.Context, x *Exchange, _ func(context.Context, *Exchange) error) error {
 	r, rep := f.r, x.replica
 	domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.Walled, domainOf(x.weights, x.placement))
-	x.left = 0 // nothing was told yet
+	x.remaining = 0 // nothing was told yet
 	v, err := r.recheck(x)
 	if err != nil {
 		return err
 	}
-	x.left = r.timeLeft(v, x)
+	x.remaining = r.remainingTime(v, x)
 	// The stream outlives the wait for its first piece: it has the caller's context, and a stop of its own.
 	sending, stop := context.WithCancel(x.Request.Context())
 	timer := time.AfterFunc(time.Until(x.Deadline), stop)
@@ -65,49 +65,49 @@
 		stop()
 		return err
 	}
-	if err := r.recognise(x, answer); err != nil {
+	if err := r.matchResponse(x, answer); err != nil {
 		timer.Stop()
 		_ = answer.Body.Close()
-		x.turn.discard()
+		x.write.discard()
 		stop()
 		return err
 	}
-	r.learnAnswer(x, answer)
+	r.observeResponse(x, answer)
 	verdict := r.options.Protocol.Classify(answer)
 	if !verdict.Served {
 		timer.Stop()
 		_ = answer.Body.Close()
 		stop()
-		return r.refused(x, answer, verdict)
+		return r.handleRejection(x, answer, verdict)
 	}
-	x.Answer = &Answer{Status: answer.StatusCode, Header: answer.Header, Rest: answer.Body, finish: func(error) {
+	x.Answer = &Answer{Status: answer.StatusCode, Header: answer.Header, Body: answer.Body, finish: func(error) {
 		_ = answer.Body.Close()
 		stop()
 	}}
-	err = r.firstPiece(x, answer)
+	err = r.readFirstChunk(x, answer)
 	if !timer.Stop() && err == nil {
 		err = context.DeadlineExceeded
 	}
 	if err != nil {
 		x.Answer.finish(err)
-		return r.lost(x, err)
+		return r.handleLostAttempt(x, err)
 	}
-	r.began(x, time.Since(x.Sent))
+	r.observeFirstChunk(x, time.Since(x.Sent))
 	if answer.StatusCode == http.StatusOK {
 		r.index.Learn(rep.Name, x.chain(domain))
 	}
 	return nil
 }
 
-// recognise refuses an answer that is none, or another request's: whatever it says, it says nothing of this request, which may have run.
-func (r *Router) recognise(x *Exchange, answer *http.Response) error {
+// matchResponse refuses an answer that is none, or another request's: whatever it says, it says nothing of this request, which may have run.
+func (r *Router) matchResponse(x *Exchange, answer *http.Response) error {
 	if answer.StatusCode < http.StatusOK || answer.StatusCode > highestStatus {
-		return r.lost(x, apierror.New(apierror.ReplicaSaid, "status %d", answer.StatusCode))
+		return r.handleLostAttempt(x, apierror.New(apierror.ReplicaSaid, "status %d", answer.StatusCode))
 	}
 	if id := r.options.Protocol.AnswerID(answer); id != x.ID {
 		r.log.Error().Str("request", x.ID).Str("answer", id).Str("replica", x.replica.Name).Msg("answer bears the ID of another request")
 		foreign, again := apierror.New(apierror.ForeignAnswer, "answer %q", id), errAgain{}
-		if err := r.lost(x, foreign); errors.As(err, &again) {
+		if err := r.handleLostAttempt(x, foreign); errors.As(err, &again) {
 			return again
 		}
 		return foreign
@@ -117,8 +117,8 @@
 
 const highestStatus = 599
 
-// learnAnswer takes what an answer tells of its replica.
-func (r *Router) learnAnswer(x *Exchange, answer *http.Response) {
+// observeResponse takes what an answer tells of its replica.
+func (r *Router) observeResponse(x *Exchange, answer *http.Response) {
 	if seen, told := r.options.Protocol.Occupancy(answer); told {
 		seen.at = time.Now()
 		if before := x.replica.seen.Load(); before != nil {
@@ -131,8 +131,8 @@
 	}
 }
 
-// dress makes the replica's request of the caller's.
-func (r *Router) dress(ctx context.Context, x *Exchange, domain string) (*http.Request, error) {
+// replicaRequest makes the replica's request of the caller's.
+func (r *Router) replicaRequest(ctx context.Context, x *Exchange, domain string) (*http.Request, error) {
 	q, err := http.NewRequestWithContext(ctx, x.Request.Method, "http://"+x.replica.Address+x.Request.URL.RequestURI(), nil)
 	if err != nil {
 		return nil, apierror.Wrap(err, apierror.Internal, "make request")
@@ -157,12 +157,12 @@
 			q.Header[name] = values
 		}
 	}
-	s := ReplicaHeader{Domain: domain, Weights: x.weights, Source: x.source, Sink: x.sink, Timeout: x.left, LastEventID: x.Last}
+	s := ReplicaHeader{Domain: domain, Weights: x.weights, Source: x.source, Sink: x.sink, Timeout: x.remaining, LastEventID: x.LastEventID}
 	if x.Pool.Kind == config.WebPool {
 		s.Weights = ""
 	}
 	r.options.Protocol.SetHeaders(q.Header, x, s)
-	dressPlacement(q.Header, x.placement)
+	setPlacementHeaders(q.Header, x.placement)
 	// A body reader without GetBody keeps net/http from resending by itself (§5.4).
 	q.Body, q.GetBody = io.NopCloser(struct{ io.Reader }{bytes.NewReader(x.Body)}), nil
 	if len(x.Body) > 0 {
@@ -173,11 +173,11 @@
 
 // send writes the request and waits for the answer's head. What was not written for sure did not run; all else may have (§3.2).
 func (r *Router) send(ctx context.Context, x *Exchange, domain string) (*http.Response, error) {
-	var now *turn
+	var now *requestWrite
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
-		now = got.Conn.(*guard).arm(x.ID, func() (*View, error) { return r.recheck(x) }) // all that the transport dials are guards
+		now = got.Conn.(*replicaConn).arm(x.ID, func() (*View, error) { return r.recheck(x) }) // all that the transport dials are guards
 	}})
-	q, err := r.dress(traced, x, domain)
+	q, err := r.replicaRequest(traced, x, domain)
 	if err != nil {
 		return nil, err
 	}
@@ -187,7 +187,7 @@
 	var at time.Time
 	failure := errUnwritten
 	if now != nil {
-		seen, at, failure = now.settle()
+		seen, at, failure = now.finish()
 	}
 	if seen == nil {
 		r.counts.add("unwritten", 1)
@@ -200,13 +200,13 @@
 		r.cool(x.replica)
 		return nil, errUnsent{unwritten(answer, err)}
 	}
-	x.View, x.Sent, x.turn = seen, at, now
+	x.View, x.Sent, x.write = seen, at, now
 	if x.Attempt == 0 {
 		r.budget.first()
 		r.counts.add("first_shots", 1)
 	}
 	if err != nil {
-		return nil, r.lost(x, err)
+		return nil, r.handleLostAttempt(x, err)
 	}
 	return answer, nil
 }
@@ -220,59 +220,59 @@
 	return apierror.Wrap(err, apierror.ReplicaSaid, "no connection, or none that was written to")
 }
 
-// firstPiece reads the first piece of a stream, or a short answer whole.
-func (r *Router) firstPiece(x *Exchange, answer *http.Response) error {
-	a := x.Answer
+// readFirstChunk reads the first piece of a stream, or a short answer whole.
+func (r *Router) readFirstChunk(x *Exchange, answer *http.Response) error {
+	response := x.Answer
 	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 	switch {
 	case x.Request.Method == http.MethodHead:
-		a.All = true
+		response.Complete = true
 	case strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream"):
-		if a.AtEnd = r.options.Protocol.EndDetector(); a.AtEnd == nil && !framed {
+		if response.AtEnd = r.options.Protocol.EndDetector(); response.AtEnd == nil && !framed {
 			return errUnframed
 		}
-		a.buffer = pieces.Get().(*[pieceSize]byte)
-		n, err := answer.Body.Read(a.buffer[:])
+		response.buffer = chunkBuffers.Get().(*[chunkSize]byte)
+		n, err := answer.Body.Read(response.buffer[:])
 		for n == 0 && err == nil {
-			n, err = answer.Body.Read(a.buffer[:])
+			n, err = answer.Body.Read(response.buffer[:])
 		}
-		a.First = a.buffer[:n]
+		response.firstChunk = response.buffer[:n]
 		if n == 0 && !errors.Is(err, io.EOF) {
 			return err
 		}
 	case !framed:
 		return errUnframed
-	case answer.ContentLength <= maxWhole:
+	case answer.ContentLength <= maxBufferedBody:
 		var err error
-		a.First, err = io.ReadAll(io.LimitReader(answer.Body, maxWhole+1))
-		a.All = len(a.First) <= maxWhole
+		response.firstChunk, err = io.ReadAll(io.LimitReader(answer.Body, maxBufferedBody+1))
+		response.Complete = len(response.firstChunk) <= maxBufferedBody
 		return err
 	}
 	return nil
 }
 
-const maxWhole = 1 << 20
+const maxBufferedBody = 1 << 20
 
 // errUnframed is an answer that only the connection's end would end: one that was cut off looks just like it.
 var errUnframed = apierror.New(apierror.StreamCut, "an answer without an end of its own")
 
-// lost ends an attempt that may have run.
-func (r *Router) lost(x *Exchange, err error) error {
-	x.sent = true
+// handleLostAttempt ends an attempt that may have run.
+func (r *Router) handleLostAttempt(x *Exchange, err error) error {
+	x.mayHaveExecuted = true
 	if x.Request.Context().Err() != nil {
 		return apierror.Wrap(err, apierror.OutcomeLost, "the caller left")
 	}
 	r.cool(x.replica)
 	r.log.Warn().Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("request lost at a replica")
 	lost := apierror.Wrap(err, apierror.OutcomeLost, "no whole answer from "+x.replica.Name)
-	if x.Repeatable && time.Now().Before(x.Deadline) {
+	if x.Idempotent && time.Now().Before(x.Deadline) {
 		return errAgain{lost}
 	}
 	return apierror.New(apierror.OutcomeLost, "%v", lost)
 }
 
-// refused reads a refusal: a throttle holds the tenant's scope; all that the dialect defines as not run may be tried again.
-func (r *Router) refused(x *Exchange, answer *http.Response, v Outcome) error {
+// handleRejection reads a refusal: a throttle holds the tenant's scope; all that the dialect defines as not run may be tried again.
+func (r *Router) handleRejection(x *Exchange, answer *http.Response, v Outcome) error {
 	r.counts.add("refusals", 1)
 	cause := apierror.New(apierror.ReplicaSaid, "%s refused: %s", x.replica.Name, v.Reason)
 	if v.Throttled {
@@ -301,7 +301,7 @@
 		r.borrow.learn(true)
 	}
 	if !v.NotExecuted {
-		return r.lost(x, errors.New(cause.Error()))
+		return r.handleLostAttempt(x, errors.New(cause.Error()))
 	}
 	return errAgain{cause}
 }
@@ -314,19 +314,19 @@
 	return r.options.Clock()
 }
 
-// began feeds the delay of the first piece to the signals.
-func (r *Router) began(x *Exchange, delay time.Duration) {
+// observeFirstChunk feeds the delay of the first piece to the signals.
+func (r *Router) observeFirstChunk(x *Exchange, delay time.Duration) {
 	x.replica.bad.Store(0)
 	r.borrow.learn(false)
 	r.learnRate(x, delay)
 	r.hasRead(x)
-	said := x.replica.report.Load()
-	if said != nil && !said.Warm {
+	report := x.replica.report.Load()
+	if report != nil && !report.Warm {
 		return // slow for everyone
 	}
 	rule := r.view.Load().hold
-	cold := time.Duration(float64(x.Prompt.Size()) / x.replica.rate() * float64(time.Millisecond))
-	if r.signals.Began(x.replica.index, x.Path.index, x.Tenant.index, delay, cold, rule.SlowRatio) {
+	coldPrefill := time.Duration(float64(x.Prompt.Size()) / x.replica.rate() * float64(time.Millisecond))
+	if r.signals.Began(x.replica.index, x.Path.index, x.Tenant.index, delay, coldPrefill, rule.SlowRatio) {
 		r.throttle(x, r.random.backoff(rule, r.streak(x)), "slowed", "")
 	}
 	if x.Pool.Kind == config.ModelPool && !r.signals.IsSlow(x.Tenant.index) {
