--- a/agent/agent.go
+++ b/agent/agent.go
@@ -85,7 +85,7 @@
 	quorumSince time.Time
 	// proxies are those that share the replicas, as the proxy was told.
 	proxies       register.Fields
-	modelVersions router.Named
+	modelVersions router.ModelVersions
 	// cacheReaders is, by the key of a source's cache updates, the address of the core that they are taken from.
 	cacheReaders map[string]string
 	// polled are the replicas that are polled for reports, stopPolling what ends that.
@@ -207,7 +207,7 @@
 
 func (a *Agent) publishThrottle(e throttle.Entry) {
 	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
-	a.publishHint(router.HoldKey, register.Fields{e.Scope: raw})
+	a.publishHint(router.ThrottleKey, register.Fields{e.Scope: raw})
 }
 
 // publishHint gives the proxy fields of a key that is no register and so has no revision.
--- a/agent/cache_updates.go
+++ b/agent/cache_updates.go
@@ -11,7 +11,7 @@
 // forwardCached gives the proxy what a core has read of the caches that are assigned to it (docs/design.md §6.4).
 func (a *Agent) forwardCached(core *watch.Client, response watch.Response) {
 	for _, update := range response.Updates {
-		if !strings.HasPrefix(update.Key, router.KeptPrefix) {
+		if !strings.HasPrefix(update.Key, router.CachedPrefix) {
 			continue
 		}
 		live := a.liveCores(update.Key, core)
--- a/agent/cache_updates_test.go
+++ b/agent/cache_updates_test.go
@@ -22,7 +22,7 @@
 		a.members = append(a.members, config.Member{Name: name, Address: name})
 		a.cores[name] = watch.NewClient(watch.ClientOptions{Address: name}) // its asks were never answered, or long ago
 	}
-	key := router.KeptPrefix + "replica-1"
+	key := router.CachedPrefix + "replica-1"
 	answer := watch.Response{Snapshot: true, Updates: []watch.KeyUpdate{{Key: key, Fields: register.Fields{"block": []byte("7")}}}}
 	a.forwardCached(a.cores["core-3"], answer)
 	got, err := a.proxyUpdates.Watch(t.Context(), watch.Request{Name: "proxy"})
--- a/agent/forwarding.go
+++ b/agent/forwarding.go
@@ -138,11 +138,11 @@
 // forwardModelVersions tells the proxy since when versions of models are published, as the core knows it that has known it for longest.
 func (a *Agent) forwardModelVersions(response watch.Response) {
 	for _, update := range response.Updates {
-		if update.Key != router.NamedKey {
+		if update.Key != router.ModelVersionsKey {
 			continue
 		}
-		if moved := a.modelVersions.Learn(update.Fields, update.AgesMs); len(moved) > 0 {
-			a.publishHint(router.NamedKey, moved)
+		if moved := a.modelVersions.Apply(update.Fields, update.AgesMs); len(moved) > 0 {
+			a.publishHint(router.ModelVersionsKey, moved)
 		}
 	}
 }
--- a/agent/replica_reports.go
+++ b/agent/replica_reports.go
@@ -41,7 +41,7 @@
 			delete(a.stopPolling, name)
 			delete(a.polled, name)
 			a.publishHint(router.ReportsKey, register.Fields{name: nil})
-			a.proxyUpdates.Publish(router.KeptPrefix+name, register.Revision{}, register.Revision{}, register.Fields{}, true)
+			a.proxyUpdates.Publish(router.CachedPrefix+name, register.Revision{}, register.Revision{}, register.Fields{}, true)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 			change[block] = nil
 		}
 		if len(change) > 0 || report.Snapshot {
-			a.proxyUpdates.Publish(router.KeptPrefix+replica.Name, register.Revision{}, register.Revision{}, change, report.Snapshot)
+			a.proxyUpdates.Publish(router.CachedPrefix+replica.Name, register.Revision{}, register.Revision{}, change, report.Snapshot)
 		}
 		raw, _ := json.Marshal(report.Report) // a plain struct always encodes
 		a.publishHint(router.ReportsKey, register.Fields{replica.Name: raw})
--- a/cmd/hollow/child.go
+++ b/cmd/hollow/child.go
@@ -325,9 +325,9 @@
 func (c *child) startProxies() (s started, err error) {
 	for i, agent := range c.setup.Agents {
 		host := c.place("proxy", i, zones, agent)
-		options := router.Options{Name: host.Name, Zone: host.Zone, Fleet: fleetName, Agent: agent, Net: host.Net, Log: host.Log, Index: c.setup.Index, Seed: uint64(i)}
+		options := router.Options{Name: host.Name, Zone: host.Zone, Fleet: fleetName, Agent: agent, Net: host.Net, Log: host.Log, PrefixIndexSize: c.setup.Index, Seed: uint64(i)}
 		if c.setup.Platform {
-			options.Protocol, options.AgentWait = toldDialect{}, platformBounds.Proxy().AgentWatchWait
+			options.Protocol, options.AgentWatchWait = toldDialect{}, platformBounds.Proxy().AgentWatchWait
 		}
 		r := router.New(options)
 		c.all.Go(func() { r.Run(c.ctx) })
--- a/controlplane/cache_readers.go
+++ b/controlplane/cache_readers.go
@@ -57,7 +57,7 @@
 func (c *Core) assignedCacheSources() map[string]string {
 	assigned := map[string]string{}
 	for name, address := range c.cacheSources() {
-		if key := router.KeptPrefix + name; c.isAssigned(key) {
+		if key := router.CachedPrefix + name; c.isAssigned(key) {
 			assigned[key] = address
 		}
 	}
@@ -114,7 +114,7 @@
 		offset, failures, up = update.Offset, 0, true
 		fields := c.prefixes.update(key, update.Blocks, full)
 		if full {
-			fields[router.KeptUp] = json.RawMessage("1")
+			fields[router.CacheUp] = json.RawMessage("1")
 		}
 		if len(fields) > 0 {
 			c.publishCached(key, fields, full)
@@ -138,7 +138,9 @@
 	}
 }
 
-func isStore(key string) bool { return strings.HasPrefix(key, router.KeptPrefix+router.StoreName("")) }
+func isStore(key string) bool {
+	return strings.HasPrefix(key, router.CachedPrefix+router.StoreName(""))
+}
 
 // applySharedBlocks notes what a store has cached: it was left there since other requests may share it. What this core has held back of it
 // is published now.
--- a/controlplane/catchup.go
+++ b/controlplane/catchup.go
@@ -40,7 +40,7 @@
 		if c.acceptor.Uncommitted(key) && register.IsCommitted(own, committed) {
 			c.acceptor.Commit(key, own) // the owner's message was lost, and the owner's own disk may lack the content
 		}
-		if key != router.HoldKey && register.IsCommitted(revision, committed) && own.Less(revision) {
+		if key != router.ThrottleKey && register.IsCommitted(revision, committed) && own.Less(revision) {
 			behind = append(behind, key)
 		}
 	}
--- a/controlplane/messages_test.go
+++ b/controlplane/messages_test.go
@@ -82,6 +82,6 @@
 	is.Equal([]string{membership.PreviousField, membership.HighestIDField, protocol.ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
 	is.Equal([]string{config.Key, config.ModelsKey, config.LoadsKey, config.RetirementKey, config.ReplicasKey, config.MembersKey, config.KeysPrefix},
 		[]string{"blue" + "print", "models", "loads", "retirement", "replicas", "members", "keys/"})
-	is.Equal([]string{router.HoldKey, router.NamedKey, router.ProxiesKey, router.ReportsKey, router.KeptPrefix, router.OccupancyKey},
+	is.Equal([]string{router.ThrottleKey, router.ModelVersionsKey, router.ProxiesKey, router.ReportsKey, router.CachedPrefix, router.OccupancyKey},
 		[]string{"hold", "named", "proxies", "reports", "kept/", "occupancy"})
 }
--- a/controlplane/occupancy.go
+++ b/controlplane/occupancy.go
@@ -30,7 +30,7 @@
 	var pending sync.WaitGroup
 	taken, live := register.Fields{}, c.live()
 	for name, replica := range replicas {
-		if replica.Limit >= proxies || replica.State == config.ReplicaDraining || rendezvous.Pick(router.KeptPrefix+name, live) != c.host.Name {
+		if replica.Limit >= proxies || replica.State == config.ReplicaDraining || rendezvous.Pick(router.CachedPrefix+name, live) != c.host.Name {
 			continue
 		}
 		pending.Go(func() {
--- a/controlplane/prefix_filter.go
+++ b/controlplane/prefix_filter.go
@@ -85,9 +85,9 @@
 	for block, raw := range fields {
 		deleted := register.IsDeleted(raw)
 		switch {
-		case block == router.KeptUp && deleted:
+		case block == router.CacheUp && deleted:
 			delete(f.liveStores, store)
-		case block == router.KeptUp:
+		case block == router.CacheUp:
 			f.liveStores[store] = true
 		case !deleted && !f.sharedBlocks[block]:
 			f.sharedBlocks[block] = true
--- a/controlplane/publish.go
+++ b/controlplane/publish.go
@@ -52,13 +52,13 @@
 	}
 	fields := register.Fields{}
 	for name, model := range models {
-		field := router.NamedField(name, model.Version)
+		field := router.ModelVersionField(name, model.Version)
 		if _, announced := c.announcedVersions.LoadOrStore(field, true); !announced {
 			fields[field] = json.RawMessage("0")
 		}
 	}
 	if len(fields) > 0 {
-		publishHint(c.agentUpdates, router.NamedKey, fields)
+		publishHint(c.agentUpdates, router.ModelVersionsKey, fields)
 	}
 }
 
@@ -66,8 +66,8 @@
 func (c *Core) publishThrottle(e throttle.Entry) {
 	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
 	fields := register.Fields{e.Scope: raw}
-	publishHint(c.peerUpdates, router.HoldKey, fields)
-	publishHint(c.agentUpdates, router.HoldKey, fields)
+	publishHint(c.peerUpdates, router.ThrottleKey, fields)
+	publishHint(c.agentUpdates, router.ThrottleKey, fields)
 }
 
 // publishProxies tells agents which proxies share the replicas (docs/design.md §5.3).
--- a/controlplane/transfer.go
+++ b/controlplane/transfer.go
@@ -100,5 +100,5 @@
 
 // isRegister reports whether a watched key is a register. Throttles and cache updates are watched without a revision and stand on no disk.
 func isRegister(key string) bool {
-	return key != router.HoldKey && !strings.HasPrefix(key, router.KeptPrefix)
+	return key != router.ThrottleKey && !strings.HasPrefix(key, router.CachedPrefix)
 }
--- a/protocol/throttles.go
+++ b/protocol/throttles.go
@@ -10,7 +10,7 @@
 // take them from cores.
 func MergeThrottles(table *throttle.Table, response watch.Response) {
 	for _, update := range response.Updates {
-		if update.Key == router.HoldKey {
+		if update.Key == router.ThrottleKey {
 			table.Learn(update.Fields, update.AgesMs)
 		}
 	}
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -61,23 +61,23 @@
 		options.IdleTimeout = defaultIdleTimeout
 	}
 	return &Proxy{host: host, options: options, Router: router.New(router.Options{
-		Name:       host.Name,
-		Zone:       host.Zone,
-		Fleet:      host.Fleet,
-		Agent:      options.Agent,
-		Admin:      options.Admin,
-		Net:        host.Net,
-		Log:        host.Log,
-		Clock:      host.Clock,
-		Seed:       options.Seed,
-		Index:      options.PrefixIndexSize,
-		Room:       options.BodyMemory,
-		Protocol:   options.Protocol,
-		OldWeights: options.OldWeightsLimit,
-		RetryRatio: options.RetryRatio,
-		RetrySlack: options.RetrySlack,
-		AgentWait:  options.AgentWatchWait,
-		KeepAlive:  options.KeepAlive,
+		Name:            host.Name,
+		Zone:            host.Zone,
+		Fleet:           host.Fleet,
+		Agent:           options.Agent,
+		Admin:           options.Admin,
+		Net:             host.Net,
+		Log:             host.Log,
+		Clock:           host.Clock,
+		Seed:            options.Seed,
+		PrefixIndexSize: options.PrefixIndexSize,
+		BodyMemory:      options.BodyMemory,
+		Protocol:        options.Protocol,
+		OldWeightsLimit: options.OldWeightsLimit,
+		RetryRatio:      options.RetryRatio,
+		RetrySlack:      options.RetrySlack,
+		AgentWatchWait:  options.AgentWatchWait,
+		KeepAlive:       options.KeepAlive,
 	})}
 }
 
@@ -117,7 +117,7 @@
 func (p *Proxy) shutDown(ctx context.Context, server *http.Server) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.Grace)
 	defer cancel()
-	p.Router.Leave()
+	p.Router.Drain()
 	if p.options.ReadinessLinger > 0 {
 		server.SetKeepAlivesEnabled(false) // each answer ends its connection
 		_ = rpc.Sleep(ctx, p.options.ReadinessLinger)
--- a/router/claim.go
+++ b/router/claim.go
@@ -22,7 +22,7 @@
 		return onward(ctx, x)
 	}
 	began := time.Now()
-	_, err := rpc.Call[struct{}](ctx, f.r.wire, f.r.options.Agent, "/agent/claim", Claim{x.Tenant.Name, x.Key, x.ID, "running"})
+	_, err := rpc.Call[struct{}](ctx, f.r.rpc, f.r.options.Agent, "/agent/claim", Claim{x.Tenant.Name, x.Key, x.ID, "running"})
 	f.r.counts.add("claims", 1)
 	f.r.counts.add("claim_us", time.Since(began).Microseconds())
 	switch {
@@ -52,7 +52,7 @@
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 		defer stop()
-		_, err := rpc.Call[struct{}](ctx, r.wire, r.options.Agent, "/agent/claim", Claim{x.Tenant.Name, x.Key, x.ID, state})
+		_, err := rpc.Call[struct{}](ctx, r.rpc, r.options.Agent, "/agent/claim", Claim{x.Tenant.Name, x.Key, x.ID, state})
 		if err != nil {
 			r.log.Warn().Str("request", x.ID).Str("state", state).Err(err).Msg("end of a claim not reported")
 		}
--- a/router/cost.go
+++ b/router/cost.go
@@ -46,7 +46,7 @@
 // sinkFor names a store that answers and lacks some of what others may share.
 func (r *Router) sinkFor(x *Exchange, v *View, d *cacheState) string {
 	for _, store := range v.stores {
-		if _, up := r.sources.Load(store.Name); up && d.kept[store.Name] < d.shared {
+		if _, up := r.sources.Load(store.Name); up && d.cached[store.Name] < d.shared {
 			return store.Address
 		}
 	}
@@ -112,16 +112,16 @@
 	if learned := math.Float64frombits(rep.rateBits.Load()); learned > 0 {
 		return learned
 	}
-	return partRate
+	return segmentRate
 }
 
-// learnRate takes the time to a first piece as a sample of the reading rate. What slows a replica is more than its reading, so that a
+// observePrefillRate takes the time to a first piece as a sample of the reading rate. What slows a replica is more than its reading, so that a
 // quick sample counts for more than a slow one.
-func (r *Router) learnRate(x *Exchange, delay time.Duration) {
+func (r *Router) observePrefillRate(x *Exchange, delay time.Duration) {
 	rep := x.replica
 	work := x.prefill.work
 	if aim := time.Duration(x.Path.AimMs) * time.Millisecond; aim > 0 {
-		x.prefill.pool.window.learn(delay-readBase-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), aim)
+		x.prefill.pool.window.observe(delay-readBase-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), aim)
 	}
 	if work < leastSample || x.source != "" || rep.pending.Load() > work || delay <= readBase {
 		return
--- a/router/counts.go
+++ b/router/counts.go
@@ -35,38 +35,38 @@
 type budget struct {
 	mu     sync.Mutex
 	tokens float64
-	most   float64 // 0: budgetMost
-	part   float64 // of a retry that each first attempt pays for; 0: budgetPart
+	limit  float64 // 0: budgetMost
+	ratio  float64 // of a retry that each first attempt pays for; 0: budgetPart
 }
 
 const (
-	budgetPart      = 0.1
-	budgetAllowance = 1   // of each life of the process
-	slackPart       = 0.5 // of the fleet's slack that may be saved up by all routers: the rest is for lives of processes
-	budgetMost      = 5   // what is saved up: a burst beyond the part is no larger
+	defaultRetryRatio = 0.1
+	retryAllowance    = 1   // of each life of the process
+	slackRatio        = 0.5 // of the fleet's slack that may be saved up by all routers: the rest is for lives of processes
+	maxRetryTokens    = 5   // what is saved up: a burst beyond the part is no larger
 )
 
 func (b *budget) first() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	most := b.most
+	most := b.limit
 	if most == 0 {
-		most = budgetMost
+		most = maxRetryTokens
 	}
-	part := b.part
+	part := b.ratio
 	if part == 0 {
-		part = budgetPart
+		part = defaultRetryRatio
 	}
 	b.tokens = min(b.tokens+part, most)
 }
 
-// partOf is what each first attempt pays for where retries are bound to a ratio of them: half of it, as the rest is for how unevenly
+// ratioOf is what each first attempt pays for where retries are bound to a ratio of them: half of it, as the rest is for how unevenly
 // they fall on the pools and on the windows in which they are counted.
-func partOf(ratio float64) float64 {
+func ratioOf(ratio float64) float64 {
 	if ratio == 0 {
-		return budgetPart
+		return defaultRetryRatio
 	}
-	return min(budgetPart, ratio/2)
+	return min(defaultRetryRatio, ratio/2)
 }
 
 // share bounds what may be saved up by this router's part of what the whole fleet may send beyond its part; one token stays.
@@ -74,8 +74,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if slack > 0 {
-		b.most = min(budgetMost, max(1, slackPart*slack/float64(max(1, routers))))
-		b.tokens = min(b.tokens, b.most)
+		b.limit = min(maxRetryTokens, max(1, slackRatio*slack/float64(max(1, routers))))
+		b.tokens = min(b.tokens, b.limit)
 	}
 }
 
--- a/router/example_test.go
+++ b/router/example_test.go
@@ -29,7 +29,7 @@
 func Example() {
 	r := router.New(router.Options{
 		Name: "mine", Zone: "zone-1", Fleet: "karri-ridge", Agent: "127.0.0.1:7001", Admin: "127.0.0.1:7002",
-		Net: &rpc.TCP{}, Log: zerolog.Nop(), Index: 1000, Filters: []router.Filter{nightly{1000}},
+		Net: &rpc.TCP{}, Log: zerolog.Nop(), PrefixIndexSize: 1000, Filters: []router.Filter{nightly{1000}},
 	})
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", r.Handler())
--- a/router/exchange_test.go
+++ b/router/exchange_test.go
@@ -54,14 +54,14 @@
 
 func TestRetriesStayWithinATenthAndTheAllowance(t *testing.T) {
 	is := is.New(t)
-	b := budget{tokens: budgetAllowance}
+	b := budget{tokens: retryAllowance}
 	spent := 0
 	for n := 1; n <= 1000; n++ {
 		b.first()
 		if b.spend() {
 			spent++
 		}
-		is.True(float64(spent) <= budgetAllowance+budgetPart*float64(n)+1e-6)
+		is.True(float64(spent) <= retryAllowance+defaultRetryRatio*float64(n)+1e-6)
 	}
 	is.True(spent > 95)
 }
@@ -77,7 +77,7 @@
 			if b.spend() {
 				spent++
 			}
-			is.True(float64(spent) <= budgetAllowance+c.part*float64(n)+1e-6)
+			is.True(float64(spent) <= retryAllowance+c.part*float64(n)+1e-6)
 		}
 		is.True(float64(spent) > c.part*900)
 	}
@@ -86,8 +86,8 @@
 // What all routers together may save up stays within half of the fleet's slack, however many they are; one retry each is left.
 func TestSavedRetriesAreSharedOut(t *testing.T) {
 	is := is.New(t)
-	for _, c := range []struct{ slack, routers, most float64 }{{58, 9, 29.0 / 9}, {202, 81, 101.0 / 81}, {10, 81, 1}, {1000, 2, budgetMost}, {0, 9, budgetMost}} {
-		b := budget{tokens: budgetAllowance}
+	for _, c := range []struct{ slack, routers, most float64 }{{58, 9, 29.0 / 9}, {202, 81, 101.0 / 81}, {10, 81, 1}, {1000, 2, maxRetryTokens}, {0, 9, maxRetryTokens}} {
+		b := budget{tokens: retryAllowance}
 		b.share(c.slack, int(c.routers))
 		for range 1000 {
 			b.first()
--- a/router/filters.go
+++ b/router/filters.go
@@ -180,7 +180,7 @@
 	x.item.Tenant, x.item.Pool, x.item.Cost = t.index, x.Pool.index, p.Cost
 	x.item.Weight, x.item.Limit = t.Weight, t.Backlog
 	if p.AimMs > 0 {
-		x.item.Due = x.Received.Add(time.Duration(duePart * float64(p.AimMs) * float64(time.Millisecond)))
+		x.item.Due = x.Received.Add(time.Duration(dueShare * float64(p.AimMs) * float64(time.Millisecond)))
 	}
 	x.item.Scope = throttle.Scope(t.Name, x.Pool.Name, t.Scope == "pool")
 	return nil
@@ -280,7 +280,7 @@
 
 // heldTooLong rejects a request at once whose hold outlasts its deadline.
 func (r *Router) heldTooLong(x *Exchange) error {
-	until := r.table.Until(x.item.Scope)
+	until := r.throttles.Until(x.item.Scope)
 	if until.IsZero() || until.Before(x.Deadline) {
 		return nil
 	}
@@ -290,7 +290,7 @@
 // givenUp is the final answer of a request that has no attempt left; it says when to come back.
 func (r *Router) givenUp(x *Exchange, cause error) error {
 	f := apierror.New(apierror.SpentAttempts, "%v", cause)
-	if until := r.table.Until(x.item.Scope); !until.IsZero() {
+	if until := r.throttles.Until(x.item.Scope); !until.IsZero() {
 		f.Again = time.Until(until)
 	} else {
 		f.Again = time.Second
@@ -303,12 +303,12 @@
 	r := f.r
 	waiting, stop := context.WithCancel(ctx)
 	if x.Path.AimMs > 0 && x.Answer == nil { // a stream that goes on is not given up for having begun long ago
-		waiting, stop = context.WithDeadline(ctx, x.Received.Add(time.Duration(waitPart*float64(x.Deadline.Sub(x.Received)))))
+		waiting, stop = context.WithDeadline(ctx, x.Received.Add(time.Duration(waitShare*float64(x.Deadline.Sub(x.Received)))))
 	}
 	defer stop()
 	go func() {
 		select {
-		case <-r.draining:
+		case <-r.stopped:
 			stop()
 		case <-waiting.Done():
 		}
@@ -330,8 +330,8 @@
 	kept := false
 	defer func() {
 		if !kept {
-			r.hasRead(x)
-			r.giveBack(c)
+			r.endPrefill(x)
+			r.release(c)
 			r.queue.Wake(x.item.Pool)
 		}
 	}()
@@ -341,7 +341,7 @@
 	kept = true
 	finish := x.Answer.finish
 	x.Answer.finish = func(err error) {
-		r.giveBack(c)
+		r.release(c)
 		r.queue.Wake(x.item.Pool)
 		finish(err)
 	}
--- a/router/model_test.go
+++ b/router/model_test.go
@@ -21,9 +21,9 @@
 		const oldWeights = 10 * time.Second
 		now := time.Now()
 		at := func(seconds float64) time.Time { return now.Add(time.Duration(seconds * float64(time.Second))) }
-		r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop(), OldWeights: oldWeights})
+		r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop(), OldWeightsLimit: oldWeights})
 		v := &View{models: map[string]config.Model{"m": {Version: 6}, "n": {Version: 6}}}
-		r.named.Learn(register.Fields{NamedField("m", 6): []byte("0"), NamedField("m", 4): []byte("11000")}, map[string]int64{NamedField("m", 6): 7000})
+		r.modelVersions.Apply(register.Fields{ModelVersionField("m", 6): []byte("0"), ModelVersionField("m", 4): []byte("11000")}, map[string]int64{ModelVersionField("m", 6): 7000})
 		for _, c := range []struct {
 			what      string
 			model     string
@@ -58,9 +58,9 @@
 		}
 		r.disturbed.Store(nil)
 		// An older word for the same version counts, a younger one does not.
-		is.Equal(len(r.named.Learn(register.Fields{NamedField("m", 6): []byte("1000")}, nil)), 0)
+		is.Equal(len(r.modelVersions.Apply(register.Fields{ModelVersionField("m", 6): []byte("1000")}, nil)), 0)
 		is.True(mayBegin(r, v, "m", 5, at(2.8)))
-		is.Equal(len(r.named.Learn(register.Fields{NamedField("m", 6): []byte("9000")}, nil)), 1)
+		is.Equal(len(r.modelVersions.Apply(register.Fields{ModelVersionField("m", 6): []byte("9000")}, nil)), 1)
 		is.True(!mayBegin(r, v, "m", 5, at(1.1)))
 	})
 }
@@ -77,10 +77,10 @@
 	synctest.Test(t, func(t *testing.T) { // on a clock that a busy machine does not move
 		is := is.New(t)
 		const oldWeights = 10 * time.Second
-		r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop(), OldWeights: oldWeights})
+		r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop(), OldWeightsLimit: oldWeights})
 		v := &View{models: map[string]config.Model{"m": {Version: 2}}}
 		now := time.Now()
-		r.named.Learn(register.Fields{NamedField("m", 2): []byte("0")}, nil)
+		r.modelVersions.Apply(register.Fields{ModelVersionField("m", 2): []byte("0")}, nil)
 		sentUntil := func(p *pool) time.Duration {
 			last := time.Duration(0)
 			for after := time.Duration(0); after < 2*oldWeights; after += 10 * time.Millisecond {
--- a/router/named.go
+++ b/router/named.go
@@ -10,23 +10,23 @@
 	"asterridge/register"
 )
 
-// NamedKey has, for each version of a model that operators have named, how long ago a core took it: MODEL/VERSION → ms when it was put. Who
+// ModelVersionsKey has, for each version of a model that operators have named, how long ago a core took it: MODEL/VERSION → ms when it was put. Who
 // starts while replicas load learns by it how long old versions may still be used (§6.5).
-const NamedKey = "named"
+const ModelVersionsKey = "named"
 
-// NamedField is the field of a model's version.
-func NamedField(model string, version uint64) string {
+// ModelVersionField is the field of a model's version.
+func ModelVersionField(model string, version uint64) string {
 	return model + "/" + strconv.FormatUint(version, 10)
 }
 
-// Named remembers since when versions are named; of several words the oldest counts.
-type Named struct {
+// ModelVersions remembers since when versions are named; of several words the oldest counts.
+type ModelVersions struct {
 	mu    sync.Mutex
 	since map[string]map[uint64]time.Time
 }
 
-// Learn takes a link's entry, and gives the fields that moved with what is known of them now.
-func (n *Named) Learn(fields register.Fields, agesMs map[string]int64) register.Fields {
+// Apply takes a link's entry, and gives the fields that moved with what is known of them now.
+func (n *ModelVersions) Apply(fields register.Fields, agesMs map[string]int64) register.Fields {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	moved := register.Fields{}
@@ -50,7 +50,7 @@
 			}
 			n.since[field[:at]] = versions
 		}
-		if known, ok := versions[version]; !ok || since.Add(namedSlack).Before(known) {
+		if known, ok := versions[version]; !ok || since.Add(versionAgeSlack).Before(known) {
 			versions[version] = since
 			moved[field] = json.RawMessage(strconv.FormatInt(ms, 10))
 		}
@@ -58,11 +58,11 @@
 	return moved
 }
 
-// namedSlack is how much older a word must be to count as news: the way of a word differs a little each time.
-const namedSlack = 100 * time.Millisecond
+// versionAgeSlack is how much older a word must be to count as news: the way of a word differs a little each time.
+const versionAgeSlack = 100 * time.Millisecond
 
 // Superseded says since when there is a newer version of a model than this one.
-func (n *Named) Superseded(model string, version uint64) (since time.Time, ok bool) {
+func (n *ModelVersions) Superseded(model string, version uint64) (since time.Time, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	next := uint64(0)
@@ -81,21 +81,21 @@
 	if version >= v.models[model].Version {
 		return time.Time{}, false
 	}
-	since, ok := r.named.Superseded(model, version)
+	since, ok := r.modelVersions.Superseded(model, version)
 	if !ok {
 		return time.Time{}, true
 	}
 	if disturbed := r.disturbed.Load(); disturbed != nil && since.Before(*disturbed) {
 		since = *disturbed
 	}
-	return since.Add(r.options.OldWeights), true
+	return since.Add(r.options.OldWeightsLimit), true
 }
 
 // mayStart says whether work may be sent to a replica on a version of a model: on an old one as long as an answer is likely to be whole
 // before no work may begin.
 func (r *Router) mayStart(v *View, p *pool, model string, version uint64, now time.Time) bool {
 	end, old := r.beginBy(v, model, version)
-	return !old || now.Add(p.answers.expected(r.options.OldWeights/2)).Before(end)
+	return !old || now.Add(p.answers.expected(r.options.OldWeightsLimit/2)).Before(end)
 }
 
 // remainingTime is what a replica is told that it has for a request. It drops what has not begun by then, and an old version ends there: that, and
--- a/router/news.go
+++ b/router/news.go
@@ -10,24 +10,24 @@
 	"asterridge/watch"
 )
 
-// news brings the router's state up to the agent's.
-func (r *Router) news(f *watch.Client, answer watch.Response) {
+// applyUpdates brings the router's state up to the agent's.
+func (r *Router) applyUpdates(f *watch.Client, answer watch.Response) {
 	view := answer.Snapshot
 	for _, e := range answer.Updates {
 		switch {
-		case e.Key == HoldKey:
-			r.table.Learn(e.Fields, e.AgesMs)
+		case e.Key == ThrottleKey:
+			r.throttles.Learn(e.Fields, e.AgesMs)
 		case e.Key == OccupancyKey:
-			r.learnOccupancy(e.Fields, e.AgesMs)
-		case e.Key == NamedKey:
-			r.named.Learn(e.Fields, e.AgesMs)
+			r.applyOccupancy(e.Fields, e.AgesMs)
+		case e.Key == ModelVersionsKey:
+			r.modelVersions.Apply(e.Fields, e.AgesMs)
 		case e.Key == DisturbedKey:
 			at := time.Now().Add(-time.Duration(e.AgesMs[DisturbedKey]) * time.Millisecond)
 			r.disturbed.Store(&at)
 		case e.Key == ReportsKey:
 			view = view || r.view.Load() == nil
-		case strings.HasPrefix(e.Key, KeptPrefix):
-			r.learnKept(strings.TrimPrefix(e.Key, KeptPrefix), e.Fields, answer.Snapshot)
+		case strings.HasPrefix(e.Key, CachedPrefix):
+			r.applyCached(strings.TrimPrefix(e.Key, CachedPrefix), e.Fields, answer.Snapshot)
 		default:
 			view = true
 		}
@@ -45,11 +45,11 @@
 		r.budget.share(r.options.RetrySlack, len(v.proxies))
 		r.log.Info().Uint64("version", v.Version.Version).Int("replicas", len(v.replicas)).Msg("routing view updated")
 	}
-	r.learnReports(f.Read(ReportsKey).Fields)
+	r.applyReports(f.Read(ReportsKey).Fields)
 	r.queue.WakeAll()
 }
 
-func (r *Router) learnOccupancy(fields register.Fields, agesMs map[string]int64) {
+func (r *Router) applyOccupancy(fields register.Fields, agesMs map[string]int64) {
 	v := r.view.Load()
 	if v == nil {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-func (r *Router) learnReports(fields register.Fields) {
+func (r *Router) applyReports(fields register.Fields) {
 	v := r.view.Load()
 	if v == nil {
 		return
@@ -88,7 +88,7 @@
 	}
 }
 
-func (r *Router) learnKept(replica string, fields register.Fields, snapshot bool) {
+func (r *Router) applyCached(replica string, fields register.Fields, snapshot bool) {
 	if snapshot {
 		r.index.Forget(replica, nil)
 		r.sources.Delete(replica)
@@ -97,12 +97,12 @@
 	for block, raw := range fields {
 		if register.IsDeleted(raw) {
 			gone = append(gone, block)
-			if block == KeptUp {
+			if block == CacheUp {
 				r.sources.Delete(replica)
 			}
 			continue
 		}
-		if block == KeptUp {
+		if block == CacheUp {
 			r.sources.Store(replica, true)
 			continue
 		}
@@ -122,7 +122,7 @@
 		until = time.Time{}
 	}
 	r.current.Store(&until)
-	if r.noteCurrency() {
+	if r.logCurrency() {
 		r.queue.WakeAll()
 	}
 }
--- a/router/old_version_test.go
+++ b/router/old_version_test.go
@@ -85,7 +85,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		options := deployment.Bounds{ModelVersion: bound}.Proxy()
-		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Protocol: versionDialect{}, Log: zerolog.Nop(), OldWeights: options.OldWeightsLimit})
+		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Protocol: versionDialect{}, Log: zerolog.Nop(), OldWeightsLimit: options.OldWeightsLimit})
 		defer stand.Stop()
 		stand.Serve("10.0.2.1:80", s)
 		b := config.Empty()
@@ -113,7 +113,7 @@
 		fields := register.Fields{}
 		fields.Apply(config.Field("m", config.Model{Version: 2}))
 		stand.Put(config.ModelsKey, fields)
-		stand.Source.Publish(router.NamedKey, register.Revision{}, register.Revision{}, register.Fields{router.NamedField("m", 2): []byte("0")}, false)
+		stand.Source.Publish(router.ModelVersionsKey, register.Revision{}, register.Revision{}, register.Fields{router.ModelVersionField("m", 2): []byte("0")}, false)
 		time.Sleep(time.Second)
 		play(is, stand, ask, named)
 	})
--- a/router/pool.go
+++ b/router/pool.go
@@ -27,31 +27,31 @@
 }
 
 const (
-	reportAge   = 1500 * time.Millisecond
-	borrowMost  = 0.75 // of a replica's slots may be taken by its report, beyond one's own share
-	borrowStep  = 0.01
-	defaultRate = 4.0   // bytes of prompt per ms, until a replica tells
-	partRate    = 100.0 // units of a prompt in parts per ms, until it is learned
-	homeGain    = 20.0  // ms: the replica on which proxies without news agree for a prompt's opening
-	againCost   = 2.0   // times its reading: what others may share, and nobody has been heard to keep yet, is best read in one place
-	zoneCost    = 4.0   // ms: a replica in another zone
-	waitCost    = 40.0  // ms for each request that a replica has said to be waiting
-	seenAge     = 2 * time.Second
-	fullCost    = 300.0 // ms: a replica whose memory does not hold the prompt beside what runs
-	unseenRoom  = 2     // requests that a proxy sends to a replica of which it knows nothing, whatever its share
-	leastSample = 1000  // units of a prompt from which the reading rate is learned
-	readBase    = 25 * time.Millisecond
-	loadWeight  = 40.0
-	fetchDelay  = 5.0   // ms before the first byte of a fetched prefix
-	fetchTry    = 200.0 // bytes per ms expected of a source that was not tried yet
-	oldCost     = 400.0 // ms: a replica on old weights, which will be told to load at any moment, or one that has refused the tenant
-	newestWarm  = 3 * time.Second
-	coolStep    = 50 * time.Millisecond
-	coolMost    = 2 * time.Second
+	reportAge    = 1500 * time.Millisecond
+	maxBorrowed  = 0.75 // of a replica's slots may be taken by its report, beyond one's own share
+	borrowedStep = 0.01
+	defaultRate  = 4.0   // bytes of prompt per ms, until a replica tells
+	segmentRate  = 100.0 // units of a prompt in parts per ms, until it is learned
+	homeGain     = 20.0  // ms: the replica on which proxies without news agree for a prompt's opening
+	againCost    = 2.0   // times its reading: what others may share, and nobody has been heard to keep yet, is best read in one place
+	zoneCost     = 4.0   // ms: a replica in another zone
+	waitCost     = 40.0  // ms for each request that a replica has said to be waiting
+	seenAge      = 2 * time.Second
+	fullCost     = 300.0 // ms: a replica whose memory does not hold the prompt beside what runs
+	unseenLimit  = 2     // requests that a proxy sends to a replica of which it knows nothing, whatever its share
+	leastSample  = 1000  // units of a prompt from which the reading rate is learned
+	readBase     = 25 * time.Millisecond
+	loadWeight   = 40.0
+	fetchDelay   = 5.0   // ms before the first byte of a fetched prefix
+	fetchTry     = 200.0 // bytes per ms expected of a source that was not tried yet
+	oldCost      = 400.0 // ms: a replica on old weights, which will be told to load at any moment, or one that has refused the tenant
+	newestWarm   = 3 * time.Second
+	cooldownStep = 50 * time.Millisecond
+	maxCooldown  = 2 * time.Second
 )
 
-// mayServe says whether a replica may start work for the pool now (§6.1).
-func (r *Router) mayServe(v *View, p *pool, rep *replica, model string, now time.Time) (weights string, fit bool) {
+// canServe says whether a replica may start work for the pool now (§6.1).
+func (r *Router) canServe(v *View, p *pool, rep *replica, model string, now time.Time) (weights string, fit bool) {
 	if rep.State == config.ReplicaDraining {
 		return "", false
 	}
@@ -65,14 +65,14 @@
 		version := rep.version(model)
 		return strconv.FormatUint(version, 10), r.mayStart(v, p, model, version, now)
 	}
-	said := rep.report.Load()
-	if said == nil || now.Sub(said.at) > reportAge || !p.allows(said.Weights, now) {
+	report := rep.report.Load()
+	if report == nil || now.Sub(report.at) > reportAge || !p.allows(report.Weights, now) {
 		return "", false
 	}
-	if rep.State == config.ReplicaWarming && !said.Warm {
+	if rep.State == config.ReplicaWarming && !report.Warm {
 		return "", false
 	}
-	return said.Weights, true
+	return report.Weights, true
 }
 
 // pick takes a credit for a waiting request: the replica with the least estimated cost among those with room.
@@ -87,11 +87,11 @@
 	var best credit
 	var least float64
 	domains := map[string]*cacheState{}
-	var fit []fitting
+	var fit []candidate
 	for _, rep := range p.replicas {
-		weights, isFit := r.mayServe(v, p, rep, x.Prompt.Model, now)
+		weights, isFit := r.canServe(v, p, rep, x.Prompt.Model, now)
 		on, ready := v.placement(x, x.Path, rep)
-		if !isFit || !ready || !r.hasRoom(rep, now) || now.Before(*rep.coolUntil.Load()) {
+		if !isFit || !ready || !r.hasCapacity(rep, now) || now.Before(*rep.coolUntil.Load()) {
 			continue
 		}
 		domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.Walled, domainOf(weights, on))
@@ -100,17 +100,17 @@
 		}
 		d := domains[domain]
 		d.meet(rep.Name)
-		fit = append(fit, fitting{rep, weights, d, on})
+		fit = append(fit, candidate{rep, weights, d, on})
 	}
 	for _, f := range fit {
 		rep, d := f.replica, f.cache
-		work, source := r.work(x, v, p, rep, d.kept)
-		cost := r.cost(rep, x.Prompt.Size(), work, now) - firstGain(rep, f.on)
+		work, source := r.work(x, v, p, rep, d.cached)
+		cost := r.cost(rep, x.Prompt.Size(), work, now) - firstGain(rep, f.placement)
 		if x.Prompt.Segments != nil && rep.Zone != r.options.Zone {
 			cost += zoneCost
 		}
 		if x.Prompt.Segments != nil && d.home != rep.Name {
-			cost += homeGain + againCost*float64(max(0, d.shared-max(d.kept[rep.Name], d.most)))/rep.rate()
+			cost += homeGain + againCost*float64(max(0, d.shared-max(d.cached[rep.Name], d.maxCached)))/rep.rate()
 		}
 		if r.options.Protocol.ReportPath() != "" && f.weights != p.Weights {
 			cost += oldCost
@@ -119,10 +119,10 @@
 			cost += oldCost // another replica's answer tells more
 		}
 		if cost < least || best.replica == nil || cost == least && rendezvous.Weight(d.anchor, rep.Name) > rendezvous.Weight(d.anchor, best.replica.Name) {
-			best, least = credit{replica: rep, weights: f.weights, placement: f.on, source: source, work: int64(x.Prompt.Size() - d.kept[rep.Name])}, cost
+			best, least = credit{replica: rep, weights: f.weights, placement: f.placement, source: source, work: int64(x.Prompt.Size() - d.cached[rep.Name])}, cost
 			best.sink = r.sinkFor(x, v, d)
 			if source == "" {
-				best.source = r.backUp(v, rep, d.kept)
+				best.source = r.backUp(v, rep, d.cached)
 			}
 		}
 	}
@@ -137,22 +137,22 @@
 	return best, true
 }
 
-// fitting is a replica that may serve a request, and what is kept of its prompt in the replica's domain.
-type fitting struct {
-	replica *replica
-	weights string
-	cache   *cacheState
-	on      config.Placement
+// candidate is a replica that may serve a request, and what is kept of its prompt in the replica's domain.
+type candidate struct {
+	replica   *replica
+	weights   string
+	cache     *cacheState
+	placement config.Placement
 }
 
 // cacheState is what is known of a prompt in one cache domain.
 type cacheState struct {
-	anchor string
-	kept   map[string]int // by replica or store
-	most   int            // that any of them keeps
-	shared int            // what of it others may ask for too
-	home   string         // of the replicas that may serve: the one on which proxies without news agree
-	weight uint64
+	anchor    string
+	cached    map[string]int // by replica or store
+	maxCached int            // that any of them keeps
+	shared    int            // what of it others may ask for too
+	home      string         // of the replicas that may serve: the one on which proxies without news agree
+	weight    uint64
 }
 
 func (r *Router) cacheStateOf(x *Exchange, p *pool, domain string) *cacheState {
@@ -160,9 +160,9 @@
 	if p.Kind != config.ModelPool {
 		return d
 	}
-	d.kept = r.index.Kept(x.chain(domain))
-	for _, kept := range d.kept {
-		d.most = max(d.most, kept)
+	d.cached = r.index.Kept(x.chain(domain))
+	for _, kept := range d.cached {
+		d.maxCached = max(d.maxCached, kept)
 	}
 	if n := len(x.Prompt.Segments); n > 1 {
 		d.shared = x.Prompt.Size() - x.Prompt.Segments[n-1].Size
@@ -177,79 +177,79 @@
 	}
 }
 
-// hasRead ends a request's part in what its replica has yet to read, and its place in the pool's window.
-func (r *Router) hasRead(x *Exchange) {
+// endPrefill ends a request's part in what its replica has yet to read, and its place in the pool's window.
+func (r *Router) endPrefill(x *Exchange) {
 	c := x.prefill
 	x.prefill = credit{}
-	c.unread()
+	c.endPrefill()
 	if c.windowed {
 		r.queue.Wake(c.pool.index)
 	}
 }
 
-// unread takes back what a credit stands for until the first piece.
-func (c credit) unread() {
+// endPrefill takes back what a credit stands for until the first piece.
+func (c credit) endPrefill() {
 	if c.replica != nil {
 		c.replica.pending.Add(-c.work)
 	}
 	if c.windowed {
-		c.pool.window.leave()
+		c.pool.window.release()
 	}
 }
 
-// cool leaves a replica alone for a while that refuses everyone, or fails; longer each time until it serves again.
-func (r *Router) cool(rep *replica) {
-	pause := min(coolStep<<min(rep.bad.Add(1)-1, 6), coolMost)
-	until := time.Now().Add(pause)
+// coolDown leaves a replica alone for a while that refuses everyone, or fails; longer each time until it serves again.
+func (r *Router) coolDown(rep *replica) {
+	backoff := min(cooldownStep<<min(rep.bad.Add(1)-1, 6), maxCooldown)
+	until := time.Now().Add(backoff)
 	rep.coolUntil.Store(&until)
-	time.AfterFunc(pause+time.Millisecond, r.queue.WakeAll)
+	time.AfterFunc(backoff+time.Millisecond, r.queue.WakeAll)
 }
 
-// hasRoom looks at this proxy's share, and beyond it at what the replica's report leaves free (§5.3).
-func (r *Router) hasRoom(rep *replica, now time.Time) bool {
+// hasCapacity looks at this proxy's share, and beyond it at what the replica's report leaves free (§5.3).
+func (r *Router) hasCapacity(rep *replica, now time.Time) bool {
 	own := int(rep.running.Load())
 	if own < rep.share {
 		return true
 	}
-	if said := rep.report.Load(); said != nil {
-		return float64(said.Running)+float64(rep.sent.Load())+1 <= r.borrow.part()*float64(rep.Limit)
+	if report := rep.report.Load(); report != nil {
+		return float64(report.Running)+float64(rep.sent.Load())+1 <= r.borrow.share()*float64(rep.Limit)
 	}
 	if seen := rep.seen.Load(); seen != nil && now.Sub(seen.at) < seenAge {
-		return max(seen.Running+seen.Waiting+int(rep.sent.Load()), own)+1 <= int(borrowMost*float64(rep.Limit))
+		return max(seen.Running+seen.Waiting+int(rep.sent.Load()), own)+1 <= int(maxBorrowed*float64(rep.Limit))
 	}
-	return r.options.Protocol.ReportPath() == "" && own < unseenRoom
+	return r.options.Protocol.ReportPath() == "" && own < unseenLimit
 }
 
-// borrowing is the part of a replica's slots up to which this proxy goes beyond its share. Reports are old by the time of several requests,
+// borrowedShare is the part of a replica's slots up to which this proxy goes beyond its share. Reports are old by the time of several requests,
 // and all proxies look at the same ones: who meets a full replica halves its part, and each answer gives a little back.
-type borrowing struct {
+type borrowedShare struct {
 	mu  sync.Mutex
 	now float64
 }
 
-func (b *borrowing) part() float64 {
+func (b *borrowedShare) share() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.now
 }
 
-func (b *borrowing) learn(full bool) {
+func (b *borrowedShare) observe(full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if full {
 		b.now /= 2
 	} else {
-		b.now = min(b.now+borrowStep, borrowMost)
+		b.now = min(b.now+borrowedStep, maxBorrowed)
 	}
 }
 
-// giveBack returns a credit.
-func (r *Router) giveBack(c credit) { c.replica.running.Add(-1) }
+// release returns a credit.
+func (r *Router) release(c credit) { c.replica.running.Add(-1) }
 
-// leaveUnused returns a credit whose request left in the moment of the grant; it is called under the queue's lock.
-func (r *Router) leaveUnused(c credit) {
-	r.giveBack(c)
-	c.unread()
+// returnUnused returns a credit whose request left in the moment of the grant; it is called under the queue's lock.
+func (r *Router) returnUnused(c credit) {
+	r.release(c)
+	c.endPrefill()
 }
 
 // chain gives the prompt's blocks in a cache domain, made once.
--- a/router/query.go
+++ b/router/query.go
@@ -34,7 +34,7 @@
 func (r *Router) streak(x *Exchange) int {
 	r.streaks.mu.Lock()
 	defer r.streaks.mu.Unlock()
-	if r.table.Until(x.item.Scope).IsZero() {
+	if r.throttles.Until(x.item.Scope).IsZero() {
 		r.streaks.byScope[x.item.Scope]++
 	}
 	return max(0, r.streaks.byScope[x.item.Scope]-1)
@@ -42,7 +42,7 @@
 
 // calm forgets the streak when an answer begins and no hold stands.
 func (r *Router) calm(x *Exchange) {
-	if !r.table.Until(x.item.Scope).IsZero() {
+	if !r.throttles.Until(x.item.Scope).IsZero() {
 		return
 	}
 	r.streaks.mu.Lock()
@@ -117,7 +117,7 @@
 			rows = append(rows, Row{"proxy": r.options.Name, "tenant": d.tenant, "pool": d.pool, "waiting": d.Count, "oldest_ms": d.Oldest.Milliseconds()})
 		}
 	case "holds":
-		for _, n := range r.table.All() {
+		for _, n := range r.throttles.All() {
 			rows = append(rows, Row{"where": r.options.Name, "scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason,
 				AttemptColumn: n.Attempt, "mark": n.ID, "raw": n.Raw, "observed": n.Observed})
 		}
@@ -135,7 +135,7 @@
 			if p := v.pools[rep.Pool]; p != nil {
 				fit := len(p.Models) == 0
 				for _, model := range append([]string{""}, p.Models...) {
-					_, serving := r.mayServe(v, p, rep, model, time.Now())
+					_, serving := r.canServe(v, p, rep, model, time.Now())
 					fit = fit || serving
 				}
 				row["fit"] = fit
@@ -143,14 +143,14 @@
 			rows = append(rows, row)
 		}
 	case "fields":
-		for _, key := range r.follower.Keys() {
+		for _, key := range r.agent.Keys() {
 			if key == config.Key || key == config.ReplicasKey || strings.HasPrefix(key, config.KeysPrefix) {
-				held := r.follower.Read(key)
+				held := r.agent.Read(key)
 				rows = append(rows, FieldRows(r.options.Name, key, held.Revision, held.Fields)...)
 			}
 		}
 	case "counts":
-		row := Row{"proxy": r.options.Name, "index": r.index.Len(), "room_used": r.room.held()}
+		row := Row{"proxy": r.options.Name, "index": r.index.Len(), "room_used": r.bodyMemory.inUse()}
 		for name, n := range r.counts.all() {
 			row[name] = n
 		}
--- a/router/relay.go
+++ b/router/relay.go
@@ -96,7 +96,7 @@
 // resume has the stream go on at another replica, under the budget of retries.
 func (r *Router) resume(x *Exchange, cause error) error {
 	x.Answer.end(cause)
-	r.cool(x.replica)
+	r.coolDown(x.replica)
 	x.resumedPlacement = x.placement
 	if err := r.payRetry(x, cause); err != nil {
 		return err
--- a/router/room.go
+++ b/router/room.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	roomMost   = 256 << 20 // bytes of callers' bodies that a router holds, unless its options say otherwise
-	tenantPart = 4         // no tenant holds more than this part of them
-	roomStep   = 64 << 10
-	bodyLimit  = 10 * time.Second // for a body to come, and beyond that the time of its size at bodyRate
-	bodyRate   = 256 << 10        // bytes a second
+	defaultBodyMemory = 256 << 20 // bytes of callers' bodies that a router holds, unless its options say otherwise
+	tenantShare       = 4         // no tenant holds more than this part of them
+	memoryStep        = 64 << 10
+	bodyLimit         = 10 * time.Second // for a body to come, and beyond that the time of its size at bodyRate
+	bodyRate          = 256 << 10        // bytes a second
 )
 
-// room is the memory for bodies, in reading, waiting or being sent (§5.3).
-type room struct {
+// memoryBudget is the memory for bodies, in reading, waiting or being sent (§5.3).
+type memoryBudget struct {
 	mu       sync.Mutex
-	most     int64
+	limit    int64
 	used     int64
 	byTenant map[int]int64
 }
 
 // take gives room for more bytes of a tenant, if there is any.
-func (m *room) take(tenant int, n int64) bool {
+func (m *memoryBudget) take(tenant int, n int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.used+n > m.most || m.byTenant[tenant]+n > m.most/tenantPart {
+	if m.used+n > m.limit || m.byTenant[tenant]+n > m.limit/tenantShare {
 		return false
 	}
 	m.used += n
@@ -40,14 +40,14 @@
 	return true
 }
 
-func (m *room) give(tenant int, n int64) {
+func (m *memoryBudget) give(tenant int, n int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.used -= n
 	m.byTenant[tenant] -= n
 }
 
-func (m *room) held() int64 {
+func (m *memoryBudget) inUse() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.used
@@ -71,9 +71,9 @@
 		return nil, apierror.New(apierror.Oversize, "a body of %d bytes", q.ContentLength)
 	}
 	taken, tenant := int64(0), x.Tenant.index
-	x.connection.onDone = append(x.connection.onDone, func() { r.room.give(tenant, taken) })
+	x.connection.onDone = append(x.connection.onDone, func() { r.bodyMemory.give(tenant, taken) })
 	grow := func(n int64) error {
-		if !r.room.take(tenant, n) {
+		if !r.bodyMemory.take(tenant, n) {
 			return again(apierror.New(apierror.NoRoom, "no room for %d more bytes", n), time.Second)
 		}
 		taken += n
@@ -89,11 +89,11 @@
 	}
 	for {
 		if q.ContentLength < 0 {
-			if err := grow(roomStep); err != nil {
+			if err := grow(memoryStep); err != nil {
 				return nil, err
 			}
 		}
-		n, err := io.CopyN(&body, q.Body, roomStep)
+		n, err := io.CopyN(&body, q.Body, memoryStep)
 		switch {
 		case body.Len() > most:
 			return nil, apierror.New(apierror.Oversize, "a body of over %d bytes", most)
--- a/router/router.go
+++ b/router/router.go
@@ -31,16 +31,16 @@
 
 // Keys that an agent makes itself, besides the registers.
 const (
-	ProxiesKey = "proxies"
-	HoldKey    = "hold"
-	ReportsKey = "reports"
-	KeptPrefix = "kept/"
+	ProxiesKey   = "proxies"
+	ThrottleKey  = "hold"
+	ReportsKey   = "reports"
+	CachedPrefix = "kept/"
 	// OccupancyKey has the load of replicas whose slots are too few for a share of each proxy: running, waiting, room (§5.3).
 	OccupancyKey = "occupancy"
 	// DisturbedKey says when a core was last seen to fall silent or to return: until then the cores may not have been able to go on
 	// with what they do, so that what has a term counts it from there (§6.2).
 	DisturbedKey = "disturbed"
-	KeptUp       = "~up" // among what a source keeps: it answers
+	CacheUp      = "~up" // among what a source keeps: it answers
 )
 
 // StoreName is a declared store's name in the index of kept prompts.
@@ -48,64 +48,64 @@
 
 // Options of a router.
 type Options struct {
-	Name     string // unique in the fleet
-	Zone     string
-	Fleet    string
-	Agent    string // the agent's address on loopback
-	Net      rpc.Network
-	Log      zerolog.Logger
-	Seed     uint64
-	Protocol Protocol
-	Filters  []Filter // policies of one's own, after identity and path are known
-	Audit    int      // events kept; 0: 4096
-	Index    int      // entries of the index of kept prompts; 0: no index, the choice goes by load and by the prompt's opening
-	Admin    string   // where the agent reaches this router's queries
-	Room     int64    // bytes of callers' bodies held at a time; 0: 256 MiB
-	// OldWeights is how long work may begin on old weights after the new ones were learned; 0: 12 s (§6.2).
-	OldWeights time.Duration
+	Name            string // unique in the fleet
+	Zone            string
+	Fleet           string
+	Agent           string // the agent's address on loopback
+	Net             rpc.Network
+	Log             zerolog.Logger
+	Seed            uint64
+	Protocol        Protocol
+	Filters         []Filter // policies of one's own, after identity and path are known
+	Audit           int      // events kept; 0: 4096
+	PrefixIndexSize int      // entries of the index of kept prompts; 0: no index, the choice goes by load and by the prompt's opening
+	Admin           string   // where the agent reaches this router's queries
+	BodyMemory      int64    // bytes of callers' bodies held at a time; 0: 256 MiB
+	// OldWeightsLimit is how long work may begin on old weights after the new ones were learned; 0: 12 s (§6.2).
+	OldWeightsLimit time.Duration
 	// RetrySlack is how many retries all routers together may send beyond their part; 0: five each (§5.4).
-	RetrySlack float64
-	RetryRatio float64          // of retries to first ones that is allowed; 0: not told (§5.4)
-	AgentWait  time.Duration    // how long an ask is held by the agent; 0: 100 ms
-	KeepAlive  time.Duration    // how long an idle connection to a replica is kept; 0: 5 s
-	Clock      func() time.Time // the wall clock, for audit events and dates that a replica does not date itself; nil: the machine's
+	RetrySlack     float64
+	RetryRatio     float64          // of retries to first ones that is allowed; 0: not told (§5.4)
+	AgentWatchWait time.Duration    // how long an ask is held by the agent; 0: 100 ms
+	KeepAlive      time.Duration    // how long an idle connection to a replica is kept; 0: 5 s
+	Clock          func() time.Time // the wall clock, for audit events and dates that a replica does not date itself; nil: the machine's
 }
 
 // Router is one data plane process's state.
 type Router struct {
-	options     Options
-	log         zerolog.Logger
-	wire        *rpc.Client
-	upstream    *http.Transport
-	follower    *watch.Client
-	names       indices
-	view        atomic.Pointer[View]
-	current     atomic.Pointer[time.Time] // vouched for until then
-	table       *throttle.Table
-	signals     *throttle.Signals
-	index       *prefixindex.Index
-	queue       *queue.Queue[credit]
-	audit       *audit
-	counts      counts
-	budget      budget
-	room        room
-	borrow      borrowing
-	streaks     streaks
-	windows     sync.Map // *window by pool name
-	disturbed   atomic.Pointer[time.Time]
-	named       Named
-	sources     sync.Map // stores that answer, by name in the index
-	chain       handle
-	onward      handle // what comes after the filter that shoots
-	random      *lockedRandom
-	run         string // this life of the process
-	noticesSent atomic.Uint64
-	reports     chan throttle.Notice
-	stopping    atomic.Bool
-	leaving     atomic.Bool
-	saidCurrent atomic.Bool // as the log has it
-	open        running
-	draining    chan struct{}
+	options         Options
+	log             zerolog.Logger
+	rpc             *rpc.Client
+	upstream        *http.Transport
+	agent           *watch.Client
+	names           indices
+	view            atomic.Pointer[View]
+	current         atomic.Pointer[time.Time] // vouched for until then
+	throttles       *throttle.Table
+	signals         *throttle.Signals
+	index           *prefixindex.Index
+	queue           *queue.Queue[credit]
+	audit           *audit
+	counts          counts
+	budget          budget
+	bodyMemory      memoryBudget
+	borrow          borrowedShare
+	streaks         streaks
+	windows         sync.Map // *window by pool name
+	disturbed       atomic.Pointer[time.Time]
+	modelVersions   ModelVersions
+	sources         sync.Map // stores that answer, by name in the index
+	chain           handle
+	onward          handle // what comes after the filter that shoots
+	random          *lockedRandom
+	runID           string // this life of the process
+	noticesSent     atomic.Uint64
+	throttleReports chan throttle.Notice
+	stopping        atomic.Bool
+	draining        atomic.Bool
+	loggedCurrent   atomic.Bool // as the log has it
+	open            running
+	stopped         chan struct{}
 }
 
 type lockedRandom struct {
@@ -124,17 +124,17 @@
 	if options.Audit == 0 {
 		options.Audit = 4096
 	}
-	if options.Room == 0 {
-		options.Room = roomMost
+	if options.BodyMemory == 0 {
+		options.BodyMemory = defaultBodyMemory
 	}
 	if options.Clock == nil {
 		options.Clock = time.Now
 	}
-	if options.OldWeights == 0 {
-		options.OldWeights = oldWeightsTime
+	if options.OldWeightsLimit == 0 {
+		options.OldWeightsLimit = oldWeightsTime
 	}
-	if options.AgentWait == 0 {
-		options.AgentWait = 100 * time.Millisecond
+	if options.AgentWatchWait == 0 {
+		options.AgentWatchWait = 100 * time.Millisecond
 	}
 	if options.KeepAlive == 0 {
 		options.KeepAlive = 5 * time.Second
@@ -145,27 +145,27 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(options.Name))
 	r := &Router{
-		options: options, log: options.Log, wire: rpc.NewClient(options.Fleet, options.Net),
+		options: options, log: options.Log, rpc: rpc.NewClient(options.Fleet, options.Net),
 		upstream: &http.Transport{
 			MaxIdleConnsPerHost: 64, IdleConnTimeout: options.KeepAlive, DisableCompression: true,
 		},
-		names: indices{map[string]int{}}, signals: throttle.NewSignals(), index: prefixindex.NewIndex(options.Index),
-		audit: newAudit(options.Audit), counts: newCounts(), budget: budget{tokens: budgetAllowance, part: partOf(options.RetryRatio)}, room: room{most: options.Room, byTenant: map[int]int64{}},
-		run: rand.Text()[:8], streaks: streaks{byScope: map[string]int{}},
-		random:  &lockedRandom{r: mathrand.New(mathrand.NewPCG(options.Seed, h.Sum64()))},
-		reports: make(chan throttle.Notice, 256), draining: make(chan struct{}),
+		names: indices{map[string]int{}}, signals: throttle.NewSignals(), index: prefixindex.NewIndex(options.PrefixIndexSize),
+		audit: newAudit(options.Audit), counts: newCounts(), budget: budget{tokens: retryAllowance, ratio: ratioOf(options.RetryRatio)}, bodyMemory: memoryBudget{limit: options.BodyMemory, byTenant: map[int]int64{}},
+		runID: rand.Text()[:8], streaks: streaks{byScope: map[string]int{}},
+		random:          &lockedRandom{r: mathrand.New(mathrand.NewPCG(options.Seed, h.Sum64()))},
+		throttleReports: make(chan throttle.Notice, 256), stopped: make(chan struct{}),
 	}
 	r.upstream.DialContext = r.dialGuarded
-	r.table = throttle.NewTable(func(e throttle.Entry) {
+	r.throttles = throttle.NewTable(func(e throttle.Entry) {
 		r.log.Info().Str("scope", e.Scope).Str("id", e.ID).Int64("remaining_ms", e.RemainingMs).Str("reason", e.Reason).Msg("throttle extended")
 		r.queue.WakeAll()
 	})
 	r.queue = queue.New(queue.Options[credit]{
-		Pick: r.pick, Return: r.leaveUnused, HeldUntil: r.table.Last, ReleaseDelay: r.releaseDelay,
+		Pick: r.pick, Return: r.returnUnused, HeldUntil: r.throttles.Last, ReleaseDelay: r.releaseDelay,
 	})
-	r.follower = watch.NewClient(watch.ClientOptions{
-		RPC: r.wire, Address: options.Agent, Path: "/agent/pull", Wait: options.AgentWait,
-		Request: r.ask, OnUpdate: r.news, OnResponse: r.fresh,
+	r.agent = watch.NewClient(watch.ClientOptions{
+		RPC: r.rpc, Address: options.Agent, Path: "/agent/pull", Wait: options.AgentWatchWait,
+		Request: r.watchRequest, OnUpdate: r.applyUpdates, OnResponse: r.fresh,
 	})
 	filters := []Filter{
 		currencyFilter{r}, identityFilter{r}, pathFilter{r},
@@ -187,8 +187,8 @@
 
 // Run follows the agent and reports holds until the context ends.
 func (r *Router) Run(ctx context.Context) {
-	go r.tell(ctx)
-	r.follower.Run(ctx)
+	go r.reportThrottles(ctx)
+	r.agent.Run(ctx)
 }
 
 // Status is what a router tells its agent, and so the cores.
@@ -202,22 +202,22 @@
 	Counts  map[string]int64 `json:"counts"`
 }
 
-func (r *Router) ask() watch.Request {
-	r.noteCurrency()
-	status := Status{Proxy: r.options.Name, Run: r.run, Zone: r.options.Zone, Admin: r.options.Admin, Current: r.IsCurrent(),
+func (r *Router) watchRequest() watch.Request {
+	r.logCurrency()
+	status := Status{Proxy: r.options.Name, Run: r.runID, Zone: r.options.Zone, Admin: r.options.Admin, Current: r.IsCurrent(),
 		Stop: r.stopping.Load(), Counts: r.counts.all()}
 	raw, _ := json.Marshal(status) // a plain struct always encodes
-	ask := watch.Request{Name: r.options.Name, Role: "proxy", Status: raw, Applied: map[string]register.Revision{}}
+	request := watch.Request{Name: r.options.Name, Role: "proxy", Status: raw, Applied: map[string]register.Revision{}}
 	if v := r.view.Load(); v != nil {
-		ask.Applied[config.Key] = v.Version
+		request.Applied[config.Key] = v.Version
 	}
-	return ask
+	return request
 }
 
-// noteCurrency logs when the router becomes current, or has ceased to be.
-func (r *Router) noteCurrency() (changed bool) {
+// logCurrency logs when the router becomes current, or has ceased to be.
+func (r *Router) logCurrency() (changed bool) {
 	current := r.IsCurrent()
-	if changed = r.saidCurrent.Swap(current) != current; changed {
+	if changed = r.loggedCurrent.Swap(current) != current; changed {
 		r.log.Info().Bool("current", current).Msg("currency changed")
 	}
 	return changed
@@ -248,10 +248,10 @@
 const turnStep = 100 * time.Millisecond
 
 // IsReady is for the platform's check.
-func (r *Router) IsReady() bool { return r.IsCurrent() && !r.stopping.Load() && !r.leaving.Load() }
+func (r *Router) IsReady() bool { return r.IsCurrent() && !r.stopping.Load() && !r.draining.Load() }
 
-// IsDeclared says whether this router has a configuration.
-func (r *Router) IsDeclared() bool {
+// IsConfigured says whether this router has a configuration.
+func (r *Router) IsConfigured() bool {
 	v := r.view.Load()
 	return v != nil && v.Version.Version > 0
 }
@@ -264,39 +264,39 @@
 	return config.Limits{}
 }
 
-// Leave makes the router unready; it goes on serving until Stop.
-func (r *Router) Leave() { r.leaving.Store(true) }
+// Drain makes the router unready; it goes on serving until Stop.
+func (r *Router) Drain() { r.draining.Store(true) }
 
 // throttle extends a scope's hold here at once, and has it told to all (§4.2).
 func (r *Router) throttle(x *Exchange, delay time.Duration, reason, raw string) {
 	rule := r.view.Load().hold
 	limit := time.Duration(rule.CapMs) * time.Millisecond
 	n := throttle.Notice{
-		Scope: x.item.Scope, ID: fmt.Sprintf("%s.%s.%d", r.options.Name, r.run, r.noticesSent.Add(1)), Raw: raw,
+		Scope: x.item.Scope, ID: fmt.Sprintf("%s.%s.%d", r.options.Name, r.runID, r.noticesSent.Add(1)), Raw: raw,
 		RemainingMs: min(delay, limit).Milliseconds(), Reason: reason, Attempt: x.Attempt, Observed: rule.Observe,
 	}
 	r.counts.add("throttles", 1)
-	if !r.table.Merge(n, limit) {
+	if !r.throttles.Merge(n, limit) {
 		return // an equal or longer hold stands here, and was told already
 	}
 	r.log.Info().Str("scope", n.Scope).Str("request", x.ID).Int64("delay_ms", n.RemainingMs).Str("reason", reason).Msg("throttle reported")
 	select {
-	case r.reports <- n:
+	case r.throttleReports <- n:
 	default: // a full line means a storm; the local hold stands and others report too
 	}
 }
 
-// tell reports holds to the agent; what cannot be told is tried again while it lasts.
-func (r *Router) tell(ctx context.Context) {
+// reportThrottles reports holds to the agent; what cannot be told is tried again while it lasts.
+func (r *Router) reportThrottles(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-r.reports:
+		case n := <-r.throttleReports:
 			until := time.Now().Add(time.Duration(n.RemainingMs) * time.Millisecond)
 			for time.Now().Before(until) && ctx.Err() == nil {
 				n.RemainingMs = time.Until(until).Milliseconds()
-				_, err := rpc.Call[struct{}](ctx, r.wire, r.options.Agent, "/agent/hold", n)
+				_, err := rpc.Call[struct{}](ctx, r.rpc, r.options.Agent, "/agent/hold", n)
 				if err == nil {
 					break
 				}
@@ -344,7 +344,7 @@
 	if r.stopping.Swap(true) {
 		return
 	}
-	close(r.draining)
+	close(r.stopped)
 	select {
 	case <-r.open.idle():
 	case <-ctx.Done():
--- a/router/send.go
+++ b/router/send.go
@@ -28,13 +28,13 @@
 	if v != x.View && (t == nil || p == nil || !reflect.DeepEqual(t.Tenant, x.Tenant.Tenant) || !reflect.DeepEqual(p.Path, x.Path.Path)) {
 		return nil, errPickAgain // led anew, it is sent by what holds now, or refused
 	}
-	if until := r.table.Until(x.item.Scope); !until.IsZero() {
+	if until := r.throttles.Until(x.item.Scope); !until.IsZero() {
 		return nil, errPickAgain
 	}
 	if rep == nil || rep.Address != x.replica.Address {
 		return nil, errPickAgain
 	}
-	if weights, fit := r.mayServe(v, p.pick(x.ID), rep, x.Prompt.Model, time.Now()); !fit || weights != x.weights {
+	if weights, fit := r.canServe(v, p.pick(x.ID), rep, x.Prompt.Model, time.Now()); !fit || weights != x.weights {
 		return nil, errPickAgain
 	}
 	if on, ready := v.placement(x, p, rep); !ready || on != x.placement {
@@ -197,7 +197,7 @@
 		case x.Request.Context().Err() != nil:
 			return nil, apierror.New(apierror.CallerGone, "left before the request was written")
 		}
-		r.cool(x.replica)
+		r.coolDown(x.replica)
 		return nil, errUnsent{unwritten(answer, err)}
 	}
 	x.View, x.Sent, x.write = seen, at, now
@@ -262,7 +262,7 @@
 	if x.Request.Context().Err() != nil {
 		return apierror.Wrap(err, apierror.OutcomeLost, "the caller left")
 	}
-	r.cool(x.replica)
+	r.coolDown(x.replica)
 	r.log.Warn().Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("request lost at a replica")
 	lost := apierror.Wrap(err, apierror.OutcomeLost, "no whole answer from "+x.replica.Name)
 	if x.Idempotent && time.Now().Before(x.Deadline) {
@@ -281,7 +281,7 @@
 		values := answer.Header.Values("Retry-After")
 		own := v.NamesTenant || r.signals.Refused(x.replica.index, x.Tenant.index)
 		if !own {
-			r.cool(x.replica)
+			r.coolDown(x.replica)
 		}
 		if own || len(values) > 0 {
 			delay, parsed := throttle.RetryAfter(values, r.dateOf(answer), time.Duration(rule.CapMs)*time.Millisecond)
@@ -292,13 +292,13 @@
 		}
 	}
 	if v.PickAgain {
-		r.cool(x.replica)
+		r.coolDown(x.replica)
 	}
 	if isPlacementGone(v.Reason) {
 		x.forgetPlacement()
 	}
 	if v.NoSlot {
-		r.borrow.learn(true)
+		r.borrow.observe(true)
 	}
 	if !v.NotExecuted {
 		return r.handleLostAttempt(x, errors.New(cause.Error()))
@@ -317,9 +317,9 @@
 // observeFirstChunk feeds the delay of the first piece to the signals.
 func (r *Router) observeFirstChunk(x *Exchange, delay time.Duration) {
 	x.replica.bad.Store(0)
-	r.borrow.learn(false)
-	r.learnRate(x, delay)
-	r.hasRead(x)
+	r.borrow.observe(false)
+	r.observePrefillRate(x, delay)
+	r.endPrefill(x)
 	report := x.replica.report.Load()
 	if report != nil && !report.Warm {
 		return // slow for everyone
--- a/router/view.go
+++ b/router/view.go
@@ -63,7 +63,7 @@
 	index    int
 	replicas []*replica
 	names    []string // of the replicas that stay
-	window   *window
+	window   *concurrencyWindow
 	answers  *answerTime
 	// Old weights may still be used until then (§6.2).
 	oldWeights string
@@ -212,8 +212,8 @@
 	}
 	for name, p := range plan.Pools {
 		made := &pool{Pool: p, index: r.names.of("pool/" + name)}
-		kept, _ := r.windows.LoadOrStore(name, &window{})
-		made.window, made.answers = kept.(*window), &answerTime{}
+		kept, _ := r.windows.LoadOrStore(name, &concurrencyWindow{})
+		made.window, made.answers = kept.(*concurrencyWindow), &answerTime{}
 		if old != nil && old.pools[name] != nil {
 			made.answers = old.pools[name].answers
 		}
@@ -221,7 +221,7 @@
 			before := old.pools[name]
 			made.oldWeights, made.oldUntil = before.oldWeights, before.oldUntil
 			if before.Weights != p.Weights {
-				made.oldWeights, made.oldUntil = before.Weights, time.Now().Add(r.options.OldWeights)
+				made.oldWeights, made.oldUntil = before.Weights, time.Now().Add(r.options.OldWeightsLimit)
 			}
 		}
 		v.pools[name] = made
--- a/router/window_test.go
+++ b/router/window_test.go
@@ -11,7 +11,7 @@
 const testAim = 400 * time.Millisecond
 
 // fill enters as many as there are places for, and says how many.
-func (w *window) fill() (n int) {
+func (w *concurrencyWindow) fill() (n int) {
 	for w.enter() {
 		n++
 	}
@@ -21,11 +21,11 @@
 // The window has its first size, gives each place once, and takes it again.
 func TestWindowBoundsWhoIsIn(t *testing.T) {
 	is := is.New(t)
-	w := &window{}
+	w := &concurrencyWindow{}
 	is.Equal(w.fill(), 32)
 	is.True(!w.enter())
-	w.leave()
-	w.leave()
+	w.release()
+	w.release()
 	is.Equal(w.fill(), 2)
 }
 
@@ -33,28 +33,28 @@
 func TestWindowShrinksAndKeepsTwo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := &window{}
+		w := &concurrencyWindow{}
 		w.fill()
 		time.Sleep(time.Second)
 		before := w.size
 		for range 50 {
-			w.learn(testAim/2+time.Millisecond, testAim) // all at once: one cut
+			w.observe(testAim/2+time.Millisecond, testAim) // all at once: one cut
 		}
 		is.Equal(w.size, before*0.8)
 		time.Sleep(99 * time.Millisecond)
-		w.learn(testAim, testAim)
+		w.observe(testAim, testAim)
 		is.Equal(w.size, before*0.8)
 		time.Sleep(time.Millisecond)
-		w.learn(testAim, testAim)
+		w.observe(testAim, testAim)
 		is.Equal(w.size, before*0.8*0.8)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			w.learn(testAim, testAim)
+			w.observe(testAim, testAim)
 			is.True(w.size >= 2)
 		}
 		is.Equal(w.size, 2.0)
-		for w.out > 0 {
-			w.leave()
+		for w.inFlight > 0 {
+			w.release()
 		}
 		is.Equal(w.fill(), 2)
 	})
@@ -64,12 +64,12 @@
 func TestWindowIsCutFromWhatIsIn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := &window{}
+		w := &concurrencyWindow{}
 		for range 9 {
 			is.True(w.enter())
 		}
 		time.Sleep(time.Second)
-		w.learn(testAim, testAim)
+		w.observe(testAim, testAim)
 		is.Equal(w.size, 8.0)
 	})
 }
@@ -78,25 +78,25 @@
 // does a middling wait change it.
 func TestWindowGrowsWhileFullAndQuick(t *testing.T) {
 	is := is.New(t)
-	w := &window{}
+	w := &concurrencyWindow{}
 	w.fill()
-	w.learn(testAim/4, testAim) // neither quick nor long
-	w.learn(testAim/2, testAim)
+	w.observe(testAim/4, testAim) // neither quick nor long
+	w.observe(testAim/2, testAim)
 	is.Equal(w.size, 32.0)
 	for range 32 {
-		w.learn(-time.Second, testAim) // quicker than its reading
+		w.observe(-time.Second, testAim) // quicker than its reading
 	}
 	is.True(w.size > 32.9 && w.size < 33.1)
-	for w.out > 10 {
-		w.leave()
+	for w.inFlight > 10 {
+		w.release()
 	}
 	before := w.size
-	w.learn(0, testAim)
+	w.observe(0, testAim)
 	is.Equal(w.size, before) // not half full
 	w.fill()
 	for range 200000 {
-		w.learn(0, testAim)
+		w.observe(0, testAim)
 		w.fill()
 	}
-	is.Equal(w.size, windowMost)
+	is.Equal(w.size, maxWindow)
 }
--- a/sim/backend_test.go
+++ b/sim/backend_test.go
@@ -318,11 +318,11 @@
 // keptAt reads what an agent passes on of a source, and whether the source answers.
 func keptAt(f *watch.Client, source string) (kept map[string]int, up bool) {
 	kept = map[string]int{}
-	for field, raw := range f.Read(router.KeptPrefix + source).Fields {
+	for field, raw := range f.Read(router.CachedPrefix + source).Fields {
 		if register.IsDeleted(raw) {
 			continue
 		}
-		if field == router.KeptUp {
+		if field == router.CacheUp {
 			up = true
 		} else if n := 0; json.Unmarshal(raw, &n) == nil {
 			kept[field] = n
--- a/sim/exchange_test.go
+++ b/sim/exchange_test.go
@@ -183,7 +183,7 @@
 	inBubble(t, options(5), func(is *is.I, f *Fleet) {
 		host := f.Net.Host(ProxyIP(0))
 		own := router.New(router.Options{Name: "own", Zone: "zone-1", Fleet: fleetName, Agent: ProxyIP(0) + ":7001", Admin: ProxyIP(0) + ":7004",
-			Net: host, Log: zerolog.Nop(), Index: 1000, Filters: []router.Filter{small{300}}})
+			Net: host, Log: zerolog.Nop(), PrefixIndexSize: 1000, Filters: []router.Filter{small{300}}})
 		ctx, stop := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		running.Go(func() { own.Run(ctx) })
--- a/sim/listing_test.go
+++ b/sim/listing_test.go
@@ -136,7 +136,7 @@
 		untilKept(f, agents, 5*time.Second, theStore, map[string]int{"d/s": 100})
 		cores := []string{"core-1", "core-2", "core-3"}
 		readerOf := func(source string) int {
-			number, err := strconv.Atoi(strings.TrimPrefix(rendezvous.Pick(router.KeptPrefix+source, cores), "core-"))
+			number, err := strconv.Atoi(strings.TrimPrefix(rendezvous.Pick(router.CachedPrefix+source, cores), "core-"))
 			is.NoErr(err)
 			return number - 1
 		}
--- a/sim/loading_test.go
+++ b/sim/loading_test.go
@@ -298,8 +298,8 @@
 	b := newBackends()
 	b.add("pool", 15, "m")
 	rollout(t, 229, b, pools(1, oneModel), func(is *is.I, f *Fleet, _ *watch.Client) {
-		var named atomic.Pointer[router.Named]
-		named.Store(&router.Named{})
+		var named atomic.Pointer[router.ModelVersions]
+		named.Store(&router.ModelVersions{})
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		for i := range 3 {
@@ -307,8 +307,8 @@
 				Request: func() watch.Request { return watch.Request{Name: "agent", Role: "agent"} },
 				OnUpdate: func(_ *watch.Client, answer watch.Response) {
 					for _, e := range answer.Updates {
-						if e.Key == router.NamedKey {
-							named.Load().Learn(e.Fields, e.AgesMs)
+						if e.Key == router.ModelVersionsKey {
+							named.Load().Apply(e.Fields, e.AgesMs)
 						}
 					}
 				}})
@@ -330,7 +330,7 @@
 		for i := range 3 {
 			f.Kill(CoreIP(i))
 		}
-		named.Store(&router.Named{}) // the agents are killed with them
+		named.Store(&router.ModelVersions{}) // the agents are killed with them
 		time.Sleep(time.Second)
 		for i := range 3 {
 			f.StartCore(i)
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -362,12 +362,12 @@
 		f.untilMembership(10*time.Second, allFour)
 		f.Until(5*time.Second, "all proxies are ready", f.AreReady)
 		for _, p := range f.Proxies {
-			is.True(!p.Router.IsDeclared())
+			is.True(!p.Router.IsConfigured())
 		}
 		f.declare(2, numbered(3, 0, true, "a", "b"))
 		f.Until(2*time.Second, "all serve a and b", func() bool { return f.serves([]string{"a", "b"}, []string{"c"}) })
 		for _, p := range f.Proxies {
-			is.True(p.Router.IsDeclared())
+			is.True(p.Router.IsConfigured())
 		}
 		d := numbered(7, 3, false, "c")
 		d.Removed = []string{"path/a"}
