--- a/apierror/apierror.go
+++ b/apierror/apierror.go
@@ -11,28 +11,28 @@
 	"github.com/samber/oops"
 )
 
-// Ran says what is known of a request when an error ends it.
-type Ran string
+// Execution says what is known of a request when an error ends it.
+type Execution string
 
 const (
-	NotRun  Ran = "no"
-	DidRun  Ran = "yes"
-	Unknown Ran = "unknown"
+	NotRun  Execution = "no"
+	DidRun  Execution = "yes"
+	Unknown Execution = "unknown"
 )
 
 // Code is one row of the table of result codes.
 type Code struct {
-	Number int
-	Name   string
-	Status int
-	Ran    Ran
-	Text   string
+	Number   int
+	Name     string
+	Status   int
+	Executed Execution
+	Text     string
 }
 
 var table = map[int]Code{}
 
-func code(number int, name string, status int, ran Ran, text string) Code {
-	c := Code{Number: number, Name: name, Status: status, Ran: ran, Text: text}
+func code(number int, name string, status int, ran Execution, text string) Code {
+	c := Code{Number: number, Name: name, Status: status, Executed: ran, Text: text}
 	table[number] = c
 	return c
 }
@@ -170,13 +170,13 @@
 // Body is an error on the wire.
 type Body struct {
 	Error struct {
-		Number  int    `json:"number"`
-		Name    string `json:"name"`
-		Ran     Ran    `json:"ran"`
-		Message string `json:"message"`
-		Field   string `json:"field,omitempty"`
-		At      int    `json:"at,omitempty"`
-		AgainMs int64  `json:"again_ms,omitempty"`
+		Number  int       `json:"number"`
+		Name    string    `json:"name"`
+		Ran     Execution `json:"ran"`
+		Message string    `json:"message"`
+		Field   string    `json:"field,omitempty"`
+		At      int       `json:"at,omitempty"`
+		AgainMs int64     `json:"again_ms,omitempty"`
 	} `json:"error"`
 }
 
@@ -184,7 +184,7 @@
 func ToBody(err error) Body {
 	f := Of(err)
 	var b Body
-	b.Error.Number, b.Error.Name, b.Error.Ran = f.Code.Number, f.Code.Name, f.Code.Ran
+	b.Error.Number, b.Error.Name, b.Error.Ran = f.Code.Number, f.Code.Name, f.Code.Executed
 	b.Error.Field, b.Error.At, b.Error.AgainMs = f.Field, f.At, f.Again.Milliseconds()
 	b.Error.Message = f.Code.Text
 	if f.err != nil {
--- a/apierror/apierror_test.go
+++ b/apierror/apierror_test.go
@@ -28,7 +28,7 @@
 			c.Number, c.Number, c.Name, c.Number, c.Number, c.Number, names[fmt.Sprint(c.Number)], c.Number)).MatchString(tests) {
 			isTested = "yes"
 		}
-		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %s | %s |\n", c.Number, c.Name, c.Status, c.Ran, c.Text, isTested)
+		fmt.Fprintf(&b, "| %d | `%s` | %d | %s | %s | %s |\n", c.Number, c.Name, c.Status, c.Executed, c.Text, isTested)
 	}
 	golden.Compare(t, "../docs/codes.md", b.String())
 }
--- a/cmd/fleet/orders.go
+++ b/cmd/fleet/orders.go
@@ -22,7 +22,7 @@
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
 		a, err := rpc.Call[controlplane.Accepted](short, f.wire, core, "/op/"+name, q)
 		stop()
-		if err == nil || apierror.Of(err).Code.Ran != apierror.NotRun {
+		if err == nil || apierror.Of(err).Code.Executed != apierror.NotRun {
 			f.factLog.Order(name, q, a.Version, err != nil)
 		}
 		if err == nil {
--- a/cmd/hollow/fleet.go
+++ b/cmd/hollow/fleet.go
@@ -201,7 +201,7 @@
 	b := config.Empty()
 	for i := range s.tenants {
 		name := fmt.Sprintf("tenant-%03d", i+1)
-		b.Tenants[name] = config.Tenant{Name: name, Weight: 1 + i%9, Backlog: 256, Scope: "tenant", Walled: i%4 == 0, Keys: []string{config.HashKey(name)}}
+		b.Tenants[name] = config.Tenant{Name: name, Weight: 1 + i%9, Backlog: 256, Scope: "tenant", Isolated: i%4 == 0, Keys: []string{config.HashKey(name)}}
 	}
 	for i := range s.models {
 		name := modelName(i)
@@ -211,7 +211,7 @@
 			p.MaxReaders = 4
 			b.Pools[name] = p
 		}
-		b.Paths[name] = config.Path{Name: name, Address: "/v1/" + name, Model: name, Pool: name, DeadlineMs: 30000, MaxBody: 1 << 20, Cost: 1, AimMs: 2000}
+		b.Paths[name] = config.Path{Name: name, Address: "/v1/" + name, Model: name, Pool: name, DeadlineMs: 30000, MaxBody: 1 << 20, Cost: 1, LatencyTargetMs: 2000}
 	}
 	return b
 }
@@ -254,7 +254,7 @@
 }
 
 func (f *fleet) changed(ctx context.Context, items register.Fields, full bool) (uint64, error) {
-	d := config.Declaration{Number: f.number + 1, BasedOn: f.number, Full: full, Digest: fmt.Sprint(f.number + 1), Items: items, Texts: register.Fields{}}
+	d := config.NumberedConfig{Number: f.number + 1, BasedOn: f.number, Full: full, Digest: fmt.Sprint(f.number + 1), Items: items, Texts: register.Fields{}}
 	for name, raw := range items {
 		if name != "hold" && name != "limits" {
 			d.Texts[name] = raw
--- a/cmd/hollow/measure.go
+++ b/cmd/hollow/measure.go
@@ -281,7 +281,7 @@
 	key := func(n int) string { return "common@1/" + strconv.FormatUint(uint64(n)*0x9e3779b97f4a7c15, 16) }
 	began := time.Now()
 	for n := range entries {
-		x.Note(replicaName(n/chain%sources), key(n), 512)
+		x.Update(replicaName(n/chain%sources), key(n), 512)
 	}
 	filled := time.Since(began)
 	held := heap() - before
@@ -293,12 +293,12 @@
 		for j := range blocks {
 			blocks[j] = prefixindex.Block{Key: key(first + j), Size: 512}
 		}
-		x.Kept(blocks)
+		x.Cached(blocks)
 	}
 	lookups := time.Since(began)
 	began = time.Now()
 	for i := range looked {
-		x.Note(replicaName(0), key(entries+i), 512)
+		x.Update(replicaName(0), key(entries+i), 512)
 	}
 	renewed := time.Since(began)
 	runtime.KeepAlive(x)
--- a/config/accepted.go
+++ b/config/accepted.go
@@ -17,8 +17,8 @@
 	numberField    = "number"
 	acceptedPrefix = "accepted/"
 	segmentSize    = 64
-	segmentsKept   = 128 // 8,192 numbers: four days at 2,000 changes a day
-	formerKept     = 64  // digests in the former format
+	maxSegments    = 128 // 8,192 numbers: four days at 2,000 changes a day
+	maxRemembered  = 64  // digests in the former format
 )
 
 // fingerprint tells declarations of one number apart.
@@ -31,7 +31,7 @@
 }
 
 // fingerprint of the declaration: the same text as a whole configuration and as an amendment, or built on another number, is another one.
-func (d Declaration) fingerprint() fingerprint {
+func (d NumberedConfig) fingerprint() fingerprint {
 	return fingerprintOf("whole=", d.Full, " based on ", d.BasedOn, " ", d.Digest)
 }
 
@@ -83,7 +83,7 @@
 	}
 	former := a.Digests
 	a.Digests = nil
-	if len(former) >= formerKept {
+	if len(former) >= maxRemembered {
 		a.Forgotten = former[0].Number - 1
 	}
 	for _, d := range former {
@@ -107,7 +107,7 @@
 
 // remember puts a number to memory. The last one of a segment takes those before it along.
 func (a *accepted) remember(r acceptedRecord) {
-	at, segment := a.Count%segmentSize, a.Count/segmentSize%segmentsKept
+	at, segment := a.Count%segmentSize, a.Count/segmentSize%maxSegments
 	a.Count++
 	if at < segmentSize-1 {
 		a.put(newestField(at), r.append(nil))
@@ -125,7 +125,7 @@
 }
 
 // has says whether just this declaration is remembered as accepted.
-func (a accepted) has(d Declaration) bool {
+func (a accepted) has(d NumberedConfig) bool {
 	wanted, former := d.fingerprint(), fingerprintOf(d.Digest)
 	for field := range a.fields {
 		for records := a.records(field); len(records) >= recordSize; records = records[recordSize:] {
@@ -138,6 +138,6 @@
 }
 
 // mayHave says whether a declaration that is not remembered may have been accepted all the same, before the memory's end.
-func (a accepted) mayHave(d Declaration) bool {
+func (a accepted) mayHave(d NumberedConfig) bool {
 	return d.BasedOn < d.Number && d.Number <= a.Forgotten
 }
--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -14,7 +14,7 @@
 )
 
 // small is a declaration of one path, built on the number before.
-func small(number uint64) Declaration {
+func small(number uint64) NumberedConfig {
 	return declaration(number, number-1, number == 1, "pool/p", fmt.Sprint("path/", number%7))
 }
 
@@ -65,7 +65,7 @@
 func TestMemoryOfNumbersIsBounded(t *testing.T) {
 	is := is.New(t)
 	r := &declared{fields: register.Fields{}}
-	const room = segmentSize * segmentsKept
+	const room = segmentSize * maxSegments
 	_, first := r.takeUpTo(is, 640)
 	is.True(first/640 <= 200)
 	heaviest, _ := r.takeUpTo(is, room)
@@ -125,7 +125,7 @@
 				switch {
 				case n > last-uint64(count):
 					is.NoErr(err)
-				case count == formerKept:
+				case count == maxRemembered:
 					is.True(apierror.Is(err, apierror.Undecided)) // more may have been accepted than were remembered
 				default:
 					is.True(apierror.Is(err, apierror.Conflict)) // as many as there were are all that there ever were
@@ -147,14 +147,14 @@
 		r := &declared{fields: register.Fields{}}
 		_, err := r.take(declaration(1, 0, true, "pool/p"))
 		is.NoErr(err)
-		var sent []Declaration
+		var sent []NumberedConfig
 		verdicts := map[string]string{}
 		contents := map[uint64]string{1: declaration(1, 0, true, "pool/p").Digest}
 		operators := 2 + random.IntN(7)
 		known := make([]uint64, operators) // the number that each operator last read
 		for range 40 {
 			operator := random.IntN(operators)
-			var d Declaration
+			var d NumberedConfig
 			switch roll := random.IntN(10); {
 			case roll < 3:
 				known[operator] = Number(r.fields)
--- a/config/adapter.go
+++ b/config/adapter.go
@@ -75,25 +75,25 @@
 // Retirements are all there were, by the old base.
 type Retirements map[string]Retirement
 
-// Duty is who last took up the retirements, and under which lease: older leases' steps are refused.
-type Duty struct {
+// RoleHolder is who last took up the retirements, and under which lease: older leases' steps are refused.
+type RoleHolder struct {
 	Holder string `json:"holder"`
 	Lease  uint64 `json:"term"`
 }
 
-// DutyField of the register has the Duty; all others are retirements.
-const DutyField = "~duty"
+// RoleHolderField of the register has the Duty; all others are retirements.
+const RoleHolderField = "~duty"
 
 // ParseRetirements reads the register.
-func ParseRetirements(fields register.Fields) (Retirements, Duty, error) {
+func ParseRetirements(fields register.Fields) (Retirements, RoleHolder, error) {
 	fields = maps.Clone(fields)
-	duty, err := Load[Duty](register.Fields{DutyField: orNull(fields[DutyField])})
+	duty, err := Load[RoleHolder](register.Fields{RoleHolderField: orNull(fields[RoleHolderField])})
 	if err != nil {
-		return nil, Duty{}, err
+		return nil, RoleHolder{}, err
 	}
-	delete(fields, DutyField)
+	delete(fields, RoleHolderField)
 	all, err := Load[Retirement](fields)
-	return all, duty[DutyField], err
+	return all, duty[RoleHolderField], err
 }
 
 func orNull(raw []byte) []byte {
--- a/config/config.go
+++ b/config/config.go
@@ -18,12 +18,12 @@
 
 // Tenant is a customer of the fleet.
 type Tenant struct {
-	Name    string `json:"name"`
-	Walled  bool   `json:"walled"`
-	Weight  int    `json:"weight"`         // its part in the round robin
-	Backlog int    `json:"backlog"`        // how many requests may wait in one proxy
-	Scope   string `json:"scope"`          // "tenant" or "pool": what a hold covers
-	Born    uint64 `json:"born,omitempty"` // the configuration's version that created it: a name given anew is another tenant (§6.3)
+	Name           string `json:"name"`
+	Isolated       bool   `json:"walled"`
+	Weight         int    `json:"weight"`         // its part in the round robin
+	Backlog        int    `json:"backlog"`        // how many requests may wait in one proxy
+	Scope          string `json:"scope"`          // "tenant" or "pool": what a hold covers
+	CreatedVersion uint64 `json:"born,omitempty"` // the configuration's version that created it: a name given anew is another tenant (§6.3)
 	// Keys are hashes of access keys that are declared with the tenant; others are granted one by one (§2.1).
 	Keys    []string `json:"keys,omitempty"`
 	Urgency *int     `json:"urgency,omitempty"` // goes before the path's
@@ -58,26 +58,26 @@
 	Address    string `json:"address"` // URL path; one that ends in / covers all below
 	Model      string `json:"model"`   // the model asked for; empty matches any
 	Pool       string `json:"pool"`
-	Repeatable bool   `json:"repeatable"`
+	Idempotent bool   `json:"repeatable"`
 	DeadlineMs int    `json:"deadline_ms"` // how long a request may wait for its first piece
 	MaxBody    int    `json:"max_body"`
 	Cost       int    `json:"cost"` // in the round robin
 
-	Host      string   `json:"host,omitempty"`      // the host asked for; empty matches any
-	Targets   []Target `json:"targets,omitempty"`   // a split over pools, in place of Pool
-	Tries     int      `json:"tries,omitempty"`     // replicas that one request may be sent to; 0: no bound but the budget
-	AimMs     int      `json:"aim_ms,omitempty"`    // the first piece is wanted within it
-	GapMs     int      `json:"gap_ms,omitempty"`    // no longer pause is wanted between pieces
-	Urgency   int      `json:"urgency,omitempty"`   // 0 goes first
-	Resumable bool     `json:"resumable,omitempty"` // a stream that broke off may go on at another replica (§5.7)
-	Public    bool     `json:"public,omitempty"`    // needs no access key
-	Adapter   string   `json:"adapter,omitempty"`   // that the requests run on (§6.6)
+	Host            string   `json:"host,omitempty"`      // the host asked for; empty matches any
+	Targets         []Target `json:"targets,omitempty"`   // a split over pools, in place of Pool
+	Tries           int      `json:"tries,omitempty"`     // replicas that one request may be sent to; 0: no bound but the budget
+	LatencyTargetMs int      `json:"aim_ms,omitempty"`    // the first piece is wanted within it
+	GapMs           int      `json:"gap_ms,omitempty"`    // no longer pause is wanted between pieces
+	Urgency         int      `json:"urgency,omitempty"`   // 0 goes first
+	Resumable       bool     `json:"resumable,omitempty"` // a stream that broke off may go on at another replica (§5.7)
+	Public          bool     `json:"public,omitempty"`    // needs no access key
+	Adapter         string   `json:"adapter,omitempty"`   // that the requests run on (§6.6)
 }
 
 // Target is a pool with its share of a path's requests.
 type Target struct {
-	Pool  string `json:"pool"`
-	Share int    `json:"share"`
+	Pool   string `json:"pool"`
+	Weight int    `json:"share"`
 }
 
 // Pools are the pools that a path may lead to.
@@ -96,8 +96,8 @@
 	IdleMs      int `json:"idle_ms,omitempty"`
 }
 
-// Hold has the settings of the shared waiting rule.
-type Hold struct {
+// ThrottleRule has the settings of the shared waiting rule.
+type ThrottleRule struct {
 	BaseMs    int     `json:"base_ms"`
 	CapMs     int     `json:"cap_ms"`
 	Jitter    float64 `json:"jitter"` // 1: uniform from zero; 0: always the full step
@@ -109,19 +109,19 @@
 type Config struct {
 	Adapters map[string]Adapter
 
-	Tenants map[string]Tenant
-	Pools   map[string]Pool
-	Paths   map[string]Path
-	Hold    Hold
-	Limits  Limits
-	Open    bool // declared without tenants: nobody needs an access key
+	Tenants  map[string]Tenant
+	Pools    map[string]Pool
+	Paths    map[string]Path
+	Throttle ThrottleRule
+	Limits   Limits
+	Open     bool // declared without tenants: nobody needs an access key
 }
 
 // Empty is a configuration with the default hold.
 func Empty() *Config {
 	return &Config{
 		Tenants: map[string]Tenant{}, Pools: map[string]Pool{}, Paths: map[string]Path{}, Adapters: map[string]Adapter{},
-		Hold: Hold{BaseMs: 1000, CapMs: 64000, Jitter: 1, SlowRatio: 3},
+		Throttle: ThrottleRule{BaseMs: 1000, CapMs: 64000, Jitter: 1, SlowRatio: 3},
 	}
 }
 
@@ -141,7 +141,7 @@
 		case "adapter":
 			err = load(b.Adapters, rest, raw)
 		case "hold":
-			err = json.Unmarshal(raw, &b.Hold)
+			err = json.Unmarshal(raw, &b.Throttle)
 		case "limits":
 			err = json.Unmarshal(raw, &b.Limits)
 		case "open":
@@ -166,9 +166,9 @@
 // Inherit has the tenants that were there keep the version that created them, and gives the others this one.
 func (b *Config) Inherit(base *Config, version uint64) {
 	for name, t := range b.Tenants {
-		t.Born = version
+		t.CreatedVersion = version
 		if before, ok := base.Tenants[name]; ok {
-			t.Born = before.Born
+			t.CreatedVersion = before.CreatedVersion
 		}
 		b.Tenants[name] = t
 	}
@@ -193,7 +193,7 @@
 	for name, a := range b.Adapters {
 		put("adapter/"+name, a)
 	}
-	put("hold", b.Hold)
+	put("hold", b.Throttle)
 	if b.Limits != (Limits{}) {
 		put("limits", b.Limits)
 	}
@@ -237,10 +237,10 @@
 			if b.Pools[target.Pool].Kind == StorePool {
 				return refuse(apierror.Dangling, "pool", "pool %q is a store and serves no requests", target.Pool)
 			}
-			if target.Share < 0 {
+			if target.Weight < 0 {
 				return refuse(apierror.OutOfRange, "targets", "pool %q has a share below 0", target.Pool)
 			}
-			sum += target.Share
+			sum += target.Weight
 		}
 		if sum == 0 {
 			return refuse(apierror.OutOfRange, "targets", "the shares sum to 0")
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -39,9 +39,9 @@
 	is.NoErr(err)
 	merged, err := Parse([]byte(`{"tenants":[{"name":"a","walled":true},{"name":"b"}],"hold":{"observe":true}}`), present, true)
 	is.NoErr(err)
-	is.Equal(merged.Tenants["a"], Tenant{Name: "a", Walled: true, Weight: 3, Backlog: 256, Scope: "tenant"})
-	is.Equal(merged.Hold.CapMs, 64000)
-	is.True(merged.Hold.Observe)
+	is.Equal(merged.Tenants["a"], Tenant{Name: "a", Isolated: true, Weight: 3, Backlog: 256, Scope: "tenant"})
+	is.Equal(merged.Throttle.CapMs, 64000)
+	is.True(merged.Throttle.Observe)
 	is.Equal(len(present.Tenants), 1) // the present one is not touched
 	again, err := FromFields(merged.Fields())
 	is.NoErr(err)
--- a/config/declaration.go
+++ b/config/declaration.go
@@ -9,8 +9,8 @@
 	"asterridge/register"
 )
 
-// Declaration is a configuration under a number of the operators' own, whole or partial upon the one before (docs/design.md §2.9).
-type Declaration struct {
+// NumberedConfig is a configuration under a number of the operators' own, whole or partial upon the one before (docs/design.md §2.9).
+type NumberedConfig struct {
 	Number  uint64          `json:"number"`
 	BasedOn uint64          `json:"based_on"`
 	Full    bool            `json:"whole"`
@@ -72,10 +72,10 @@
 	return all
 }
 
-// Declare gives the change that a declaration makes; none if just this one was accepted before. Numbers only rise, so one that is built on
+// ApplyNumbered gives the change that a declaration makes; none if just this one was accepted before. Numbers only rise, so one that is built on
 // the present number is new, and of another it is known for sure that it was never accepted, unless it may be older than the memory of the
 // accepted ones: then it is answered without a verdict.
-func Declare(now register.Fields, version uint64, d Declaration) (register.Fields, error) {
+func ApplyNumbered(now register.Fields, version uint64, d NumberedConfig) (register.Fields, error) {
 	was := readAccepted(now)
 	switch {
 	case d.BasedOn != was.Number && was.has(d):
--- a/config/declaration_test.go
+++ b/config/declaration_test.go
@@ -19,8 +19,8 @@
 	version uint64
 }
 
-func (r *declared) take(d Declaration) (register.Fields, error) {
-	change, err := Declare(r.fields, r.version, d)
+func (r *declared) take(d NumberedConfig) (register.Fields, error) {
+	change, err := ApplyNumbered(r.fields, r.version, d)
 	if err == nil && len(change) > 0 {
 		r.fields.Apply(change)
 		r.version++
@@ -45,9 +45,9 @@
 }
 
 // declaration makes one of tenants, pools and paths by name, each written as its name and the number.
-func declaration(number, basedOn uint64, full bool, names ...string) Declaration {
+func declaration(number, basedOn uint64, full bool, names ...string) NumberedConfig {
 	b := Empty()
-	d := Declaration{Number: number, BasedOn: basedOn, Full: full, Digest: fmt.Sprint(number, names), Texts: register.Fields{}}
+	d := NumberedConfig{Number: number, BasedOn: basedOn, Full: full, Digest: fmt.Sprint(number, names), Texts: register.Fields{}}
 	for _, name := range names {
 		kind, rest, _ := strings.Cut(name, "/")
 		switch kind {
@@ -128,10 +128,10 @@
 // A change has just what differs; the settings of the waiting rule stay through a whole configuration.
 func TestDeclarationChangesOnlyWhatDiffers(t *testing.T) {
 	is := is.New(t)
-	r := &declared{fields: Field("hold", Hold{BaseMs: 7, CapMs: 8, Jitter: 1, SlowRatio: 3}), version: 4}
+	r := &declared{fields: Field("hold", ThrottleRule{BaseMs: 7, CapMs: 8, Jitter: 1, SlowRatio: 3}), version: 4}
 	_, err := r.take(declaration(3, 0, true, "path/a", "pool/p"))
 	is.NoErr(err)
-	is.Equal(r.config(is).Hold.BaseMs, 7)
+	is.Equal(r.config(is).Throttle.BaseMs, 7)
 	change, err := r.take(declaration(4, 3, false, "path/b"))
 	is.NoErr(err)
 	var fields []string
@@ -142,7 +142,7 @@
 	is.Equal(fields, []string{"accepted/newest/1", "number", "path/b", "text/path/b"})
 	change, err = r.take(declaration(5, 4, true, "pool/p"))
 	is.NoErr(err)
-	is.Equal(r.config(is).Hold.BaseMs, 7)
+	is.Equal(r.config(is).Throttle.BaseMs, 7)
 	is.True(register.IsDeleted(change["path/a"]) && register.IsDeleted(change["text/path/b"]))
 	_, again := change["pool/p"]
 	is.True(!again) // it has not changed; only its text was written anew
@@ -188,16 +188,16 @@
 	_, err = r.take(declaration(1, 0, true, "pool/p", "path/a", "tenant/t"))
 	is.NoErr(err)
 	before := r.texts()
-	changed := func(change func(*Declaration)) error {
+	changed := func(change func(*NumberedConfig)) error {
 		d := declaration(2, 1, false)
 		change(&d)
 		_, err := r.take(d)
 		return err
 	}
-	put := func(name string, item any) func(*Declaration) {
-		return func(d *Declaration) { d.Items = Field(name, item) }
+	put := func(name string, item any) func(*NumberedConfig) {
+		return func(d *NumberedConfig) { d.Items = Field(name, item) }
 	}
-	is.True(apierror.Is(changed(func(d *Declaration) { d.Removed = []string{"pool/p"} }), apierror.Dangling))
+	is.True(apierror.Is(changed(func(d *NumberedConfig) { d.Removed = []string{"pool/p"} }), apierror.Dangling))
 	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Address: "/a/", Pool: "p", DeadlineMs: 5})), apierror.RepeatField))
 	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Address: "/b/", Pool: "p"})), apierror.OutOfRange))
 	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Pool: "p", DeadlineMs: 5})), apierror.Missing))
@@ -206,7 +206,7 @@
 	is.True(apierror.Is(changed(put("tenant/u", Tenant{Name: "u", Keys: []string{"u-key", "t-key"}})), apierror.RepeatField)) // another tenant's key
 	is.Equal(r.texts(), before)
 	is.Equal(Number(r.fields), uint64(1))
-	is.NoErr(changed(func(d *Declaration) { // the key goes over to another tenant in one step, and one tenant may name a key twice
+	is.NoErr(changed(func(d *NumberedConfig) { // the key goes over to another tenant in one step, and one tenant may name a key twice
 		d.Removed = []string{"tenant/t"}
 		d.Items = Field("tenant/u", Tenant{Name: "u", Keys: []string{"t-key", "t-key"}})
 	}))
@@ -216,12 +216,12 @@
 func TestTenantsLifeIsKept(t *testing.T) {
 	is := is.New(t)
 	r := &declared{fields: register.Fields{}, version: 6}
-	take := func(d Declaration) {
+	take := func(d NumberedConfig) {
 		t.Helper()
 		_, err := r.take(d)
 		is.NoErr(err)
 	}
-	born := func(name string) uint64 { return r.config(is).Tenants[name].Born }
+	born := func(name string) uint64 { return r.config(is).Tenants[name].CreatedVersion }
 	take(declaration(1, 0, true, "tenant/t"))
 	is.Equal(born("t"), uint64(7))
 	take(declaration(2, 1, true, "tenant/u", "tenant/t"))
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -9,17 +9,17 @@
 
 // Whatever declaration a message brings: if it is taken, the result is a configuration, under its number, and the same again changes nothing.
 func FuzzDeclare(f *testing.F) {
-	for _, d := range []Declaration{declaration(1, 0, true, "a"), declaration(2, 1, false, "b"), {Number: 9, Removed: []string{"path/a"}}} {
+	for _, d := range []NumberedConfig{declaration(1, 0, true, "a"), declaration(2, 1, false, "b"), {Number: 9, Removed: []string{"path/a"}}} {
 		raw, _ := json.Marshal(d)
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var d Declaration
+		var d NumberedConfig
 		if json.Unmarshal(text, &d) != nil {
 			return
 		}
 		now := register.Fields{}
-		change, err := Declare(now, 0, d)
+		change, err := ApplyNumbered(now, 0, d)
 		if err != nil {
 			return
 		}
@@ -31,7 +31,7 @@
 			t.Errorf("number %d is there as %d", d.Number, Number(now))
 		}
 		Texts(now)
-		if again, err := Declare(now, 1, d); err != nil || len(again) > 0 {
+		if again, err := ApplyNumbered(now, 1, d); err != nil || len(again) > 0 {
 			t.Errorf("the same again: %v, %v", again, err)
 		}
 	})
--- a/config/parse.go
+++ b/config/parse.go
@@ -28,7 +28,7 @@
 			b.Paths[name] = p
 		}
 		maps.Copy(b.Adapters, base.Adapters)
-		b.Hold, b.Limits = base.Hold, base.Limits
+		b.Throttle, b.Limits = base.Throttle, base.Limits
 	}
 	err = doc.Object(func(name string, v Value) error {
 		switch name {
@@ -41,7 +41,7 @@
 		case "adapters":
 			return items(v, b.Adapters, Adapter{}, readAdapter)
 		case "hold":
-			return readHold(v, &b.Hold)
+			return readThrottle(v, &b.Throttle)
 		case "limits":
 			return readLimits(v, &b.Limits)
 		case "remove":
@@ -146,7 +146,7 @@
 	case "name":
 		return set(&t.Name, v.Name)
 	case "walled":
-		return set(&t.Walled, v.Flag)
+		return set(&t.Isolated, v.Flag)
 	case "weight":
 		return set(&t.Weight, between(v, 1, 100))
 	case "backlog":
@@ -198,7 +198,7 @@
 	case "pool":
 		return set(&p.Pool, v.Name)
 	case "repeatable":
-		return set(&p.Repeatable, v.Flag)
+		return set(&p.Idempotent, v.Flag)
 	case "deadline_ms":
 		return set(&p.DeadlineMs, between(v, 100, 600000))
 	case "max_body":
@@ -216,7 +216,7 @@
 				case "pool":
 					return set(&t.Pool, v.Name)
 				case "share":
-					return set(&t.Share, between(v, 0, 1000000))
+					return set(&t.Weight, between(v, 0, 1000000))
 				}
 				return v.Refuse(apierror.UnknownField, "not a field of a target")
 			})
@@ -226,7 +226,7 @@
 	case "tries":
 		return set(&p.Tries, between(v, 0, 100))
 	case "aim_ms":
-		return set(&p.AimMs, between(v, 0, 600000))
+		return set(&p.LatencyTargetMs, between(v, 0, 600000))
 	case "gap_ms":
 		return set(&p.GapMs, between(v, 0, 600000))
 	case "urgency":
@@ -241,7 +241,7 @@
 	return v.Refuse(apierror.UnknownField, "not a field of a path")
 }
 
-func readHold(v Value, h *Hold) error {
+func readThrottle(v Value, h *ThrottleRule) error {
 	return v.Object(func(field string, v Value) error {
 		switch field {
 		case "base_ms":
--- a/config/state.go
+++ b/config/state.go
@@ -52,8 +52,8 @@
 
 // Access is what is kept of an access key, under its hash.
 type Access struct {
-	Revoked bool   `json:"revoked"`
-	Born    uint64 `json:"born,omitempty"` // the tenant's life that it was granted to
+	Revoked       bool   `json:"revoked"`
+	TenantVersion uint64 `json:"born,omitempty"` // the tenant's life that it was granted to
 }
 
 // Member is a core.
--- a/controlplane/access_keys.go
+++ b/controlplane/access_keys.go
@@ -42,7 +42,7 @@
 		case key.Revoked:
 			return nil, apierror.New(apierror.Conflict, "the key was revoked: it does not come back")
 		}
-		return config.Field(order.Hash, config.Access{Born: incarnation}), nil
+		return config.Field(order.Hash, config.Access{TenantVersion: incarnation}), nil
 	})
 	c.logOutcome("access key", order.register(), revision, err)
 	return Accepted{Version: revision.Version}, err
@@ -59,5 +59,5 @@
 	if !ok {
 		return 0, apierror.New(apierror.NotFound, "no tenant %q", name)
 	}
-	return tenant.Born, nil
+	return tenant.CreatedVersion, nil
 }
--- a/controlplane/adapter_state.go
+++ b/controlplane/adapter_state.go
@@ -21,7 +21,7 @@
 	plan        *config.Config
 	retirements config.Retirements
 	// holder is the one that has taken up the retirements, and its lease.
-	holder config.Duty
+	holder config.RoleHolder
 	// desired are the placements that every replica of a pool is to have, by pool.
 	desired map[string][]config.Placement
 	// pools names the replicas that are not draining, by pool.
--- a/controlplane/config.go
+++ b/controlplane/config.go
@@ -70,9 +70,9 @@
 }
 
 // applyNumberedConfig takes a numbered configuration (docs/design.md §2.9). The same one again is answered as it was the first time.
-func (c *Core) applyNumberedConfig(ctx context.Context, d config.Declaration) (Accepted, error) {
+func (c *Core) applyNumberedConfig(ctx context.Context, d config.NumberedConfig) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.Key, func(present register.Fields, version uint64) (register.Fields, error) {
-		change, err := config.Declare(present, version, d)
+		change, err := config.ApplyNumbered(present, version, d)
 		if err == nil && len(change) > 0 && present[throttleField] == nil && c.options.Throttle != nil {
 			change.Apply(config.Field(throttleField, c.options.Throttle))
 		}
@@ -84,7 +84,7 @@
 
 // SubmitConfig takes a numbered configuration to the configuration's owner; nil means that a majority has it. The error is
 // apierror.Conflict if another configuration was accepted in its place, apierror.Undecided if it may or may not have been accepted.
-func (c *Core) SubmitConfig(ctx context.Context, d config.Declaration) error {
+func (c *Core) SubmitConfig(ctx context.Context, d config.NumberedConfig) error {
 	_, err := c.operations.numberedConfig.submit(ctx, d)
 	return err
 }
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -48,7 +48,7 @@
 	// WatchWait is how long a watch request of another core is held open; 0: protocol.DefaultWatchWait.
 	WatchWait time.Duration
 	// Throttle is the waiting rule of a fleet with numbered configurations that do not set it; nil: the rule of an empty configuration.
-	Throttle *config.Hold
+	Throttle *config.ThrottleRule
 	// Endpoints adds endpoints of another interface; nil: none.
 	Endpoints func(*Core, *http.ServeMux)
 }
--- a/controlplane/messages_test.go
+++ b/controlplane/messages_test.go
@@ -45,7 +45,7 @@
 		{Name: "POST /op/members", Type: membership.Change{}},
 		{Name: "POST /op/settle", Type: CommitRequest{}},
 		{Name: "POST /op/settle: answer", Type: CommitResponse{}},
-		{Name: "POST /op/declaration", Type: config.Declaration{}},
+		{Name: "POST /op/declaration", Type: config.NumberedConfig{}},
 		{Name: "POST /op/models", Type: ModelVersionChange{}},
 		{Name: "POST /op/retirement", Type: RetirementChange{}},
 		{Name: "POST /op/advance", Type: RetirementStep{}},
@@ -68,10 +68,10 @@
 		{Name: "stored: a pool", Type: config.Pool{}},
 		{Name: "stored: a path", Type: config.Path{}},
 		{Name: "stored: limits", Type: config.Limits{}},
-		{Name: "stored: the hold", Type: config.Hold{}},
+		{Name: "stored: the hold", Type: config.ThrottleRule{}},
 		{Name: "stored: an adapter", Type: config.Adapter{}},
 		{Name: "stored: a retirement", Type: config.Retirement{}},
-		{Name: "stored: the duty within a retirement", Type: config.Duty{}},
+		{Name: "stored: the duty within a retirement", Type: config.RoleHolder{}},
 	})
 }
 
--- a/controlplane/operation.go
+++ b/controlplane/operation.go
@@ -29,7 +29,7 @@
 // operations are the changes of registers that a core takes from operators, agents and other cores.
 type operations struct {
 	config         operation[ConfigChange, Accepted]
-	numberedConfig operation[config.Declaration, Accepted]
+	numberedConfig operation[config.NumberedConfig, Accepted]
 	accessKey      operation[AccessKeyChange, Accepted]
 	replicas       operation[ReplicasChange, Accepted]
 	modelVersion   operation[ModelVersionChange, Accepted]
@@ -46,7 +46,7 @@
 func newOperations(c *Core) operations {
 	return operations{
 		config:         operation[ConfigChange, Accepted]{core: c, name: config.Key, key: always[ConfigChange](config.Key), apply: c.applyConfig},
-		numberedConfig: operation[config.Declaration, Accepted]{core: c, name: "declaration", key: always[config.Declaration](config.Key), apply: c.applyNumberedConfig, idempotent: true},
+		numberedConfig: operation[config.NumberedConfig, Accepted]{core: c, name: "declaration", key: always[config.NumberedConfig](config.Key), apply: c.applyNumberedConfig, idempotent: true},
 		accessKey:      operation[AccessKeyChange, Accepted]{core: c, name: "keys", key: AccessKeyChange.register, apply: c.applyAccessKey, idempotent: true},
 		replicas:       operation[ReplicasChange, Accepted]{core: c, name: "replicas", key: always[ReplicasChange](config.ReplicasKey), apply: c.applyReplicas, idempotent: true},
 		modelVersion:   operation[ModelVersionChange, Accepted]{core: c, name: "models", key: always[ModelVersionChange](config.ModelsKey), apply: c.applyModelVersion, idempotent: true},
@@ -138,7 +138,7 @@
 // may have been done there, so it is undecided.
 func (o operation[Request, Response]) applyAgain(ctx context.Context, owner string, request Request, cause error) (Response, error) {
 	response, err := o.apply(ctx, request)
-	if err != nil && apierror.Of(err).Code.Ran == apierror.NotRun {
+	if err != nil && apierror.Of(err).Code.Executed == apierror.NotRun {
 		err = apierror.New(apierror.Undecided, "the owner %s did not answer: %v; then here: %v", owner, cause, err)
 	}
 	return response, err
--- a/controlplane/retirement.go
+++ b/controlplane/retirement.go
@@ -142,7 +142,7 @@
 	// Next is the retirement's next state; nil: it ends without a trace.
 	Next            *config.Retirement `json:"to,omitempty"`
 	ExpectedVersion uint64             `json:"expect"`
-	Holder          config.Duty        `json:"duty"`
+	Holder          config.RoleHolder  `json:"duty"`
 }
 
 func (c *Core) applyRetirementStep(ctx context.Context, step RetirementStep) (Accepted, error) {
@@ -156,7 +156,7 @@
 		case step.ExpectedVersion != version:
 			return nil, apierror.New(apierror.Conflict, "expected version %d, present is %d", step.ExpectedVersion, version)
 		}
-		change := config.Field(config.DutyField, step.Holder)
+		change := config.Field(config.RoleHolderField, step.Holder)
 		if _, ok := all[step.Old]; ok {
 			change[step.Old] = nil
 			if step.Next != nil {
--- a/controlplane/retirement_controller.go
+++ b/controlplane/retirement_controller.go
@@ -127,7 +127,7 @@
 	if !held {
 		return
 	}
-	step.ExpectedVersion, step.Holder = state.version, config.Duty{Holder: r.candidate.Holder(), Lease: number}
+	step.ExpectedVersion, step.Holder = state.version, config.RoleHolder{Holder: r.candidate.Holder(), Lease: number}
 	accepted, err := rpc.Call[Accepted](ctx, r.core.rpc, r.core.host.Address, "/op/advance", step)
 	if err == nil {
 		r.minVersion = accepted.Version
--- a/linearizability/config.go
+++ b/linearizability/config.go
@@ -8,7 +8,7 @@
 )
 
 // Of gives a declaration as the checker sees it: its items are the texts that a read shows.
-func Of(d config.Declaration) Declaration {
+func Of(d config.NumberedConfig) Declaration {
 	items := map[string]string{}
 	for _, name := range d.Order {
 		items[name] = string(d.Texts[name])
@@ -32,7 +32,7 @@
 		return Acknowledged
 	case apierror.Is(err, apierror.Conflict), apierror.Is(err, apierror.OutOfRange):
 		return Refused
-	case apierror.Of(err).Code.Ran == apierror.NotRun:
+	case apierror.Of(err).Code.Executed == apierror.NotRun:
 		return Rejected
 	}
 	return Unclear
--- a/prefixindex/prompt.go
+++ b/prefixindex/prompt.go
@@ -19,7 +19,7 @@
 	Fine       = 256
 	Coarse     = 2048
 	FineBlocks = 64
-	MostBlocks = 1024 // about 2 MB; what comes after is not looked at
+	MaxBlocks  = 1024 // about 2 MB; what comes after is not looked at
 )
 
 // Covered is how many bytes of a prompt so many blocks stand for.
@@ -28,9 +28,9 @@
 }
 
 // Domain is the cache domain of a request: its wall, which is one life of a tenant's name, and the weights.
-func Domain(tenant string, born uint64, walled bool, weights string) string {
-	if walled {
-		return "tenant:" + tenant + "." + strconv.FormatUint(born, 10) + "@" + weights
+func Domain(tenant string, tenantVersion uint64, isolated bool, weights string) string {
+	if isolated {
+		return "tenant:" + tenant + "." + strconv.FormatUint(tenantVersion, 10) + "@" + weights
 	}
 	return "common@" + weights
 }
@@ -39,7 +39,7 @@
 func Blocks(domain, text string) []string {
 	var chain []string
 	sum := sha256.Sum256([]byte(domain))
-	for i := 0; i < MostBlocks && Covered(i+1) <= len(text); i++ {
+	for i := 0; i < MaxBlocks && Covered(i+1) <= len(text); i++ {
 		h := sha256.New()
 		h.Write(sum[:])
 		h.Write([]byte(text[Covered(i):Covered(i+1)]))
@@ -92,15 +92,15 @@
 	})}
 }
 
-// Learn notes that a replica keeps these blocks whole.
-func (x *Index) Learn(replica string, blocks []Block) {
+// Add notes that a replica keeps these blocks whole.
+func (x *Index) Add(replica string, blocks []Block) {
 	for _, block := range blocks {
-		x.Note(replica, block.Key, Whole)
+		x.Update(replica, block.Key, Whole)
 	}
 }
 
-// Note notes how much of a block a replica keeps.
-func (x *Index) Note(replica, key string, kept int) {
+// Update notes how much of a block a replica keeps.
+func (x *Index) Update(replica, key string, kept int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	it := &item{key, replica, kept, time.Now()}
@@ -137,8 +137,8 @@
 	}
 }
 
-// Kept gives, by replica, how much of the chain's beginning is thought to be kept: what follows a gap does not count.
-func (x *Index) Kept(chain []Block) map[string]int {
+// Cached gives, by replica, how much of the chain's beginning is thought to be kept: what follows a gap does not count.
+func (x *Index) Cached(chain []Block) map[string]int {
 	kept := map[string]int{}
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/prefixindex/prompt_test.go
+++ b/prefixindex/prompt_test.go
@@ -26,7 +26,7 @@
 	blocks := Blocks("d", long)
 	is.True(len(blocks) < 600) // fine ones, then coarse ones
 	is.True(Covered(len(blocks)) > len(long)-Coarse && Covered(len(blocks)) <= len(long))
-	is.Equal(len(Blocks("d", strings.Repeat("l", 9<<20))), MostBlocks)
+	is.Equal(len(Blocks("d", strings.Repeat("l", 9<<20))), MaxBlocks)
 }
 
 func blocks(keys ...string) (all []Block) {
@@ -41,23 +41,23 @@
 	is := is.New(t)
 	x := NewIndex(100)
 	chain := blocks("a", "b", "c", "d")
-	x.Learn("r1", chain)
-	x.Learn("r2", chain[:2])
-	x.Learn("r3", blocks("b", "c")) // without the first it is no prefix
-	is.Equal(x.Kept(chain), map[string]int{"r1": 4, "r2": 2})
+	x.Add("r1", chain)
+	x.Add("r2", chain[:2])
+	x.Add("r3", blocks("b", "c")) // without the first it is no prefix
+	is.Equal(x.Cached(chain), map[string]int{"r1": 4, "r2": 2})
 	x.Forget("r1", []string{"b"}) // late or lost news: what follows a gap does not count
-	is.Equal(x.Kept(chain), map[string]int{"r1": 1, "r2": 2})
+	is.Equal(x.Cached(chain), map[string]int{"r1": 1, "r2": 2})
 	x.Forget("r2", nil)
-	is.Equal(x.Kept(chain), map[string]int{"r1": 1})
+	is.Equal(x.Cached(chain), map[string]int{"r1": 1})
 	for i := range 1000 {
-		x.Learn("r4", blocks(fmt.Sprint(i)))
-		x.Learn("r4", blocks("kept")) // renewed again and again
+		x.Add("r4", blocks(fmt.Sprint(i)))
+		x.Add("r4", blocks("kept")) // renewed again and again
 	}
 	is.True(x.Len() <= 100)
-	is.Equal(x.Kept(blocks("kept"))["r4"], 1) // what is renewed outlives what is old
-	is.Equal(x.Kept(blocks("a"))["r1"], 0)
+	is.Equal(x.Cached(blocks("kept"))["r4"], 1) // what is renewed outlives what is old
+	is.Equal(x.Cached(blocks("a"))["r1"], 0)
 	none := NewIndex(0)
-	none.Learn("r1", chain)
+	none.Add("r1", chain)
 	is.Equal(none.Len(), 0)
 }
 
@@ -66,13 +66,13 @@
 	is := is.New(t)
 	x := NewIndex(100)
 	chain := []Block{{"s/a", 800}, {"s/b", 410}, {"s/c", 250}}
-	x.Learn("r1", chain)
-	x.Note("r2", "s/a", 800)
-	x.Note("r2", "s/b", 128)
-	x.Learn("r2", chain[2:])
-	x.Note("r3", "s/a", 16)
-	is.Equal(x.Kept(chain), map[string]int{"r1": 1460, "r2": 928, "r3": 16})
-	x.Note("r1", "s/b", 0) // Whole
+	x.Add("r1", chain)
+	x.Update("r2", "s/a", 800)
+	x.Update("r2", "s/b", 128)
+	x.Add("r2", chain[2:])
+	x.Update("r3", "s/a", 16)
+	is.Equal(x.Cached(chain), map[string]int{"r1": 1460, "r2": 928, "r3": 16})
+	x.Update("r1", "s/b", 0) // Whole
 	x.Forget("r1", []string{"s/a"})
-	is.Equal(x.Kept(chain), map[string]int{"r2": 928, "r3": 16})
+	is.Equal(x.Cached(chain), map[string]int{"r2": 928, "r3": 16})
 }
--- a/protocol/throttles.go
+++ b/protocol/throttles.go
@@ -11,7 +11,7 @@
 func MergeThrottles(table *throttle.Table, response watch.Response) {
 	for _, update := range response.Updates {
 		if update.Key == router.ThrottleKey {
-			table.Learn(update.Fields, update.AgesMs)
+			table.Apply(update.Fields, update.AgesMs)
 		}
 	}
 }
--- a/register/model_test.go
+++ b/register/model_test.go
@@ -23,7 +23,7 @@
 // call is one request of an operator at one node; a read if it has no declaration.
 type call struct {
 	node        int
-	declaration *config.Declaration
+	declaration *config.NumberedConfig
 }
 
 // declare is an order that adds one path, named by its number and label, on top of a base.
@@ -32,7 +32,7 @@
 	b := config.Empty()
 	b.Pools["web"] = config.Pool{Name: "web", Kind: "web"}
 	b.Paths[name] = config.Path{Name: name, Address: "/" + name + "/", Pool: "web", DeadlineMs: 1000, Public: true, MaxBody: 1000, Cost: 1}
-	d := &config.Declaration{Number: number, BasedOn: base, Digest: fmt.Sprint(number, base, label), Items: b.Fields(),
+	d := &config.NumberedConfig{Number: number, BasedOn: base, Digest: fmt.Sprint(number, base, label), Items: b.Fields(),
 		Texts: register.Fields{"path/" + name: json.RawMessage(`{}`)}, Order: []string{"path/" + name}}
 	delete(d.Items, "hold")
 	return call{node, d}
@@ -449,7 +449,7 @@
 	done := c.history.Declare(linearizability.Of(*o.declaration))
 	go func() {
 		_, err := owner.Change(context.Background(), modelKey, func(now register.Fields, version uint64) (register.Fields, error) {
-			return config.Declare(now, version, *o.declaration)
+			return config.ApplyNumbered(now, version, *o.declaration)
 		})
 		if !c.ends(o, life) {
 			return
--- a/register/orders_test.go
+++ b/register/orders_test.go
@@ -26,7 +26,7 @@
 
 // order is a configuration as one of the operators sends it, as often as it takes.
 type order struct {
-	config.Declaration
+	config.NumberedConfig
 	verdicts []string // in order of their coming, also of copies that came late
 }
 
@@ -37,7 +37,7 @@
 // send has a core take an order, and notes the verdict if the answer is not lost on its way.
 func (w *world) send(core int, o *order) string {
 	_, err := w.at(core).owner.Change(context.Background(), config.Key, func(now register.Fields, version uint64) (register.Fields, error) {
-		return config.Declare(now, version, o.Declaration)
+		return config.ApplyNumbered(now, version, o.NumberedConfig)
 	})
 	verdict := "unclear"
 	switch {
@@ -71,7 +71,7 @@
 	}
 	items := b.Fields()
 	delete(items, "hold")
-	return &order{Declaration: config.Declaration{Number: number, BasedOn: basedOn, Full: basedOn == 0, Digest: digest, Items: items}}
+	return &order{NumberedConfig: config.NumberedConfig{Number: number, BasedOn: basedOn, Full: basedOn == 0, Digest: digest, Items: items}}
 }
 
 // Two to eight operators send configurations to any core, again while the first is under way, and again much later; messages and answers
--- a/router/claim.go
+++ b/router/claim.go
@@ -39,7 +39,7 @@
 // releaseClaim gives the key back if the request is rejected as not run, or else notes that its outcome is unknown.
 func (r *Router) releaseClaim(x *Exchange, err error) {
 	state := "free"
-	if apierror.Of(err).Code.Ran != apierror.NotRun {
+	if apierror.Of(err).Code.Executed != apierror.NotRun {
 		state = "unknown"
 	}
 	r.reportClaim(x, state)
--- a/router/cost.go
+++ b/router/cost.go
@@ -120,7 +120,7 @@
 func (r *Router) observePrefillRate(x *Exchange, delay time.Duration) {
 	rep := x.replica
 	work := x.prefill.work
-	if aim := time.Duration(x.Path.AimMs) * time.Millisecond; aim > 0 {
+	if aim := time.Duration(x.Path.LatencyTargetMs) * time.Millisecond; aim > 0 {
 		x.prefill.pool.window.observe(delay-readBase-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), aim)
 	}
 	if work < leastSample || x.source != "" || rep.pending.Load() > work || delay <= readBase {
--- a/router/filters.go
+++ b/router/filters.go
@@ -150,8 +150,8 @@
 		wait = min(wait, given)
 	}
 	x.Deadline = x.Received.Add(wait)
-	if x.Path.AimMs > 0 {
-		x.Pool.window.arrived(time.Duration(x.Path.AimMs) * time.Millisecond)
+	if x.Path.LatencyTargetMs > 0 {
+		x.Pool.window.arrived(time.Duration(x.Path.LatencyTargetMs) * time.Millisecond)
 	}
 	x.item.Deadline, x.item.Body = x.Deadline, x
 	return onward(ctx, x)
@@ -160,7 +160,7 @@
 // lead takes a view's word for what becomes of the request: its tenant, path, pool and place among others. A request that waited is led anew.
 func (x *Exchange) lead(v *View) error {
 	t := v.tenantOf(x)
-	if t == nil || x.Tenant != nil && (t.Name != x.Tenant.Name || t.Born != x.Tenant.Born) {
+	if t == nil || x.Tenant != nil && (t.Name != x.Tenant.Name || t.CreatedVersion != x.Tenant.CreatedVersion) {
 		return apierror.New(apierror.BadKey, "the key was revoked while the request waited")
 	}
 	p := v.find(x.Request.Host, x.Request.URL.Path, x.Prompt.Model)
@@ -170,7 +170,7 @@
 	if err := v.mayUse(t, p); err != nil {
 		return err
 	}
-	x.View, x.Tenant, x.Path, x.Pool, x.Idempotent = v, t, p, p.pick(x.ID), p.Repeatable || p.Resumable
+	x.View, x.Tenant, x.Path, x.Pool, x.Idempotent = v, t, p, p.pick(x.ID), p.Idempotent || p.Resumable
 	switch x.connection.header.Idempotent {
 	case "yes":
 		x.Idempotent = true
@@ -179,8 +179,8 @@
 	}
 	x.item.Tenant, x.item.Pool, x.item.Cost = t.index, x.Pool.index, p.Cost
 	x.item.Weight, x.item.Limit = t.Weight, t.Backlog
-	if p.AimMs > 0 {
-		x.item.Due = x.Received.Add(time.Duration(dueShare * float64(p.AimMs) * float64(time.Millisecond)))
+	if p.LatencyTargetMs > 0 {
+		x.item.Due = x.Received.Add(time.Duration(dueShare * float64(p.LatencyTargetMs) * float64(time.Millisecond)))
 	}
 	x.item.Scope = throttle.Scope(t.Name, x.Pool.Name, t.Scope == "pool")
 	return nil
@@ -202,7 +202,7 @@
 	defer stop()
 	r.step(x, Eligible, "")
 	err := r.attempt(waiting, x, onward)
-	if err != nil && x.mayHaveExecuted && apierror.Of(err).Code.Ran == apierror.NotRun {
+	if err != nil && x.mayHaveExecuted && apierror.Of(err).Code.Executed == apierror.NotRun {
 		err = apierror.New(apierror.OutcomeLost, "an earlier attempt was sent; then: %v", err)
 	}
 	if err != nil {
@@ -302,7 +302,7 @@
 func (f queueFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	r := f.r
 	waiting, stop := context.WithCancel(ctx)
-	if x.Path.AimMs > 0 && x.Answer == nil { // a stream that goes on is not given up for having begun long ago
+	if x.Path.LatencyTargetMs > 0 && x.Answer == nil { // a stream that goes on is not given up for having begun long ago
 		waiting, stop = context.WithDeadline(ctx, x.Received.Add(time.Duration(waitShare*float64(x.Deadline.Sub(x.Received)))))
 	}
 	defer stop()
--- a/router/news.go
+++ b/router/news.go
@@ -16,7 +16,7 @@
 	for _, e := range answer.Updates {
 		switch {
 		case e.Key == ThrottleKey:
-			r.throttles.Learn(e.Fields, e.AgesMs)
+			r.throttles.Apply(e.Fields, e.AgesMs)
 		case e.Key == OccupancyKey:
 			r.applyOccupancy(e.Fields, e.AgesMs)
 		case e.Key == ModelVersionsKey:
@@ -107,7 +107,7 @@
 			continue
 		}
 		if kept, err := strconv.Atoi(string(raw)); err == nil {
-			r.index.Note(replica, block, kept)
+			r.index.Update(replica, block, kept)
 		}
 	}
 	if gone != nil {
--- a/router/pool.go
+++ b/router/pool.go
@@ -94,7 +94,7 @@
 		if !isFit || !ready || !r.hasCapacity(rep, now) || now.Before(*rep.coolUntil.Load()) {
 			continue
 		}
-		domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.Walled, domainOf(weights, on))
+		domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.CreatedVersion, x.Tenant.Isolated, domainOf(weights, on))
 		if domains[domain] == nil {
 			domains[domain] = r.cacheStateOf(x, p, domain)
 		}
@@ -115,7 +115,7 @@
 		if r.options.Protocol.ReportPath() != "" && f.weights != p.Weights {
 			cost += oldCost
 		}
-		if r.signals.HasRefused(rep.index, x.Tenant.index) {
+		if r.signals.HasRejected(rep.index, x.Tenant.index) {
 			cost += oldCost // another replica's answer tells more
 		}
 		if cost < least || best.replica == nil || cost == least && rendezvous.Weight(d.anchor, rep.Name) > rendezvous.Weight(d.anchor, best.replica.Name) {
@@ -126,10 +126,10 @@
 			}
 		}
 	}
-	if best.replica == nil || x.Path.AimMs > 0 && !p.window.enter() {
+	if best.replica == nil || x.Path.LatencyTargetMs > 0 && !p.window.enter() {
 		return credit{}, false
 	}
-	best.windowed = x.Path.AimMs > 0
+	best.windowed = x.Path.LatencyTargetMs > 0
 	best.pool = p
 	best.replica.running.Add(1)
 	best.replica.sent.Add(1)
@@ -160,7 +160,7 @@
 	if p.Kind != config.ModelPool {
 		return d
 	}
-	d.cached = r.index.Kept(x.chain(domain))
+	d.cached = r.index.Cached(x.chain(domain))
 	for _, kept := range d.cached {
 		d.maxCached = max(d.maxCached, kept)
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -113,7 +113,7 @@
 	r  *mathrand.Rand
 }
 
-func (l *lockedRandom) backoff(rule config.Hold, attempt int) time.Duration {
+func (l *lockedRandom) backoff(rule config.ThrottleRule, attempt int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return throttle.Backoff(rule, attempt, l.r)
@@ -386,7 +386,7 @@
 	if f.Again > 0 {
 		w.Header().Set("Retry-After", r.options.Protocol.RetryAfter(f.Again))
 	}
-	w.Header().Set("X-Ran", string(f.Code.Ran))
+	w.Header().Set("X-Ran", string(f.Code.Executed))
 	w.Header().Set("X-Result-Code", fmt.Sprint(f.Code.Number))
 	rpc.EncodeError(ctx, err, w)
 }
--- a/router/send.go
+++ b/router/send.go
@@ -49,7 +49,7 @@
 // Handle sends the request to its replica and waits for the first piece of the answer.
 func (f sendFilter) Handle(_ context.Context, x *Exchange, _ func(context.Context, *Exchange) error) error {
 	r, rep := f.r, x.replica
-	domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.Born, x.Tenant.Walled, domainOf(x.weights, x.placement))
+	domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.CreatedVersion, x.Tenant.Isolated, domainOf(x.weights, x.placement))
 	x.remaining = 0 // nothing was told yet
 	v, err := r.recheck(x)
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 	r.observeFirstChunk(x, time.Since(x.Sent))
 	if answer.StatusCode == http.StatusOK {
-		r.index.Learn(rep.Name, x.chain(domain))
+		r.index.Add(rep.Name, x.chain(domain))
 	}
 	return nil
 }
@@ -279,7 +279,7 @@
 		r.counts.add("refusals_pushed", 1)
 		rule := r.view.Load().hold
 		values := answer.Header.Values("Retry-After")
-		own := v.NamesTenant || r.signals.Refused(x.replica.index, x.Tenant.index)
+		own := v.NamesTenant || r.signals.Rejected(x.replica.index, x.Tenant.index)
 		if !own {
 			r.coolDown(x.replica)
 		}
--- a/router/view.go
+++ b/router/view.go
@@ -26,7 +26,7 @@
 	models   map[string]config.Model
 	public   *tenant // of those who need no key
 	open     bool    // a fleet declared by numbers without tenants: nobody needs a key
-	hold     config.Hold
+	hold     config.ThrottleRule
 	limits   config.Limits
 	proxies  []string
 	adapters map[string]adapter // by name (§6.6)
@@ -47,11 +47,11 @@
 func (p *path) pick(request string) *pool {
 	targets, sum := p.Path.Pools(), 0
 	for _, t := range targets {
-		sum += t.Share
+		sum += t.Weight
 	}
 	at := int(rendezvous.Weight(p.Name, request) % uint64(max(1, sum)))
 	for i, t := range targets {
-		if at -= t.Share; at < 0 {
+		if at -= t.Weight; at < 0 {
 			return p.pools[i]
 		}
 	}
@@ -167,7 +167,7 @@
 	}
 	_, peers := read(ProxiesKey)
 	v := &View{
-		Version: revision, hold: plan.Hold, limits: plan.Limits, tenants: map[string]*tenant{}, access: map[string]*tenant{}, pools: map[string]*pool{},
+		Version: revision, hold: plan.Throttle, limits: plan.Limits, tenants: map[string]*tenant{}, access: map[string]*tenant{}, pools: map[string]*pool{},
 		replicas: map[string]*replica{}, paths: map[string][]*path{},
 		public: &tenant{config.Tenant{Weight: 1, Backlog: publicBacklog, Scope: "pool"}, r.names.of("public")},
 	}
@@ -204,7 +204,7 @@
 				return nil, err
 			}
 			for hash, access := range all {
-				if !access.Revoked && access.Born == t.Born {
+				if !access.Revoked && access.TenantVersion == t.CreatedVersion {
 					v.access[hash] = t
 				}
 			}
--- a/sim/backend_test.go
+++ b/sim/backend_test.go
@@ -289,7 +289,7 @@
 }
 
 // pools is a whole configuration of these pools.
-func pools(number uint64, all ...config.Pool) config.Declaration {
+func pools(number uint64, all ...config.Pool) config.NumberedConfig {
 	d := numbered(number, number-1, true)
 	delete(d.Items, "pool/web")
 	for _, p := range all {
--- a/sim/catchup_test.go
+++ b/sim/catchup_test.go
@@ -22,9 +22,9 @@
 )
 
 // routesOf is a configuration in which the given routes are new or differ from those of the number before.
-func routesOf(number, basedOn uint64, full bool, first, count int) config.Declaration {
+func routesOf(number, basedOn uint64, full bool, first, count int) config.NumberedConfig {
 	b := config.Empty()
-	d := config.Declaration{Number: number, BasedOn: basedOn, Full: full, Digest: fmt.Sprint(number), Texts: register.Fields{}}
+	d := config.NumberedConfig{Number: number, BasedOn: basedOn, Full: full, Digest: fmt.Sprint(number), Texts: register.Fields{}}
 	if full {
 		b.Pools["web"] = config.Pool{Name: "web", Kind: "web"}
 	}
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -49,7 +49,7 @@
 }
 
 // untilRefused has a core refuse a configuration that lost its race; until it does, it says nothing clear, and never yes.
-func (f *Fleet) untilRefused(is *is.I, core int, d config.Declaration) {
+func (f *Fleet) untilRefused(is *is.I, core int, d config.NumberedConfig) {
 	is.Helper()
 	f.Until(6*time.Second, fmt.Sprintf("%d is refused", d.Number), func() bool {
 		err := f.core(core).SubmitConfig(context.Background(), d)
@@ -152,7 +152,7 @@
 	inNumbered(t, numberedOptions(720, 4), func(is *is.I, f *Fleet) {
 		f.untilMembership(10*time.Second, allFour)
 		random := rand.New(rand.NewPCG(720, 1))
-		var taken, lost []config.Declaration
+		var taken, lost []config.NumberedConfig
 		for n := uint64(1); n <= 100; n++ {
 			one, other := numbered(n, n-1, n == 1, "a", fmt.Sprint("p", n%5)), numbered(n, n-1, n == 1, "b")
 			f.declare(random.IntN(4), one)
--- a/sim/declare_test.go
+++ b/sim/declare_test.go
@@ -89,7 +89,7 @@
 	t.Parallel()
 	inNumbered(t, numberedOptions(251, 4), func(is *is.I, f *Fleet) {
 		f.untilMembership(10*time.Second, allFour)
-		tenant := func(d *config.Declaration, name string, keys ...string) {
+		tenant := func(d *config.NumberedConfig, name string, keys ...string) {
 			made := config.Tenant{Name: name, Weight: 1, Backlog: 5, Scope: "pool"}
 			for _, key := range keys {
 				made.Keys = append(made.Keys, config.HashKey(key+"-key"))
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -303,7 +303,7 @@
 	ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 	defer stop()
 	a, err := rpc.Call[controlplane.Accepted](ctx, f.Wire, At(CoreIP(core)), "/op/"+name, q)
-	if err == nil || apierror.Of(err).Code.Ran != apierror.NotRun {
+	if err == nil || apierror.Of(err).Code.Executed != apierror.NotRun {
 		f.FactLog.Order(name, q, a.Version, err != nil)
 	}
 	return a, err
--- a/sim/loading_test.go
+++ b/sim/loading_test.go
@@ -19,7 +19,7 @@
 const loadLease = 20 * time.Second
 
 // rollout has a fleet with back ends, founded and declared, and a watcher of the reservations at each core.
-func rollout(t *testing.T, seed uint64, b *backends, d config.Declaration, play func(is *is.I, f *Fleet, watcher *watch.Client)) {
+func rollout(t *testing.T, seed uint64, b *backends, d config.NumberedConfig, play func(is *is.I, f *Fleet, watcher *watch.Client)) {
 	t.Helper()
 	o := b.options(seed)
 	o.Core.Lease = loadLease
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -97,9 +97,9 @@
 const allFour = "core-1 core-2 core-3 core-4"
 
 // numbered is a configuration with one path for each name, as operators' tools would write it.
-func numbered(number, basedOn uint64, full bool, paths ...string) config.Declaration {
+func numbered(number, basedOn uint64, full bool, paths ...string) config.NumberedConfig {
 	b := config.Empty()
-	d := config.Declaration{Number: number, BasedOn: basedOn, Full: full, Digest: fmt.Sprint(number, full, paths), Texts: register.Fields{}}
+	d := config.NumberedConfig{Number: number, BasedOn: basedOn, Full: full, Digest: fmt.Sprint(number, full, paths), Texts: register.Fields{}}
 	if full {
 		b.Pools["web"] = config.Pool{Name: "web", Kind: "web"}
 	}
@@ -121,7 +121,7 @@
 }
 
 // declare has a core take a configuration, as often as operators' tools would ask.
-func (f *Fleet) declare(core int, d config.Declaration) {
+func (f *Fleet) declare(core int, d config.NumberedConfig) {
 	f.Until(6*time.Second, fmt.Sprintf("%d is taken", d.Number), func() bool {
 		short, stop := context.WithTimeout(context.Background(), 2*time.Second)
 		defer stop()
@@ -387,7 +387,7 @@
 		f.declare(0, numbered(1, 0, true, "a"))
 		for round := range uint64(10) {
 			base := 1 + 10*round
-			calls := []config.Declaration{numbered(base+10, base, true, "one"), numbered(base+10, base, true, "other")}
+			calls := []config.NumberedConfig{numbered(base+10, base, true, "one"), numbered(base+10, base, true, "other")}
 			var said [2]error
 			var both sync.WaitGroup
 			for n := range calls {
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -33,7 +33,7 @@
 	mu      sync.Mutex
 	random  *rand.Rand
 	newest  uint64 // the highest number that was acknowledged or read
-	sent    []config.Declaration
+	sent    []config.NumberedConfig
 	calls   sync.WaitGroup
 }
 
@@ -58,7 +58,7 @@
 }
 
 // declare sends a declaration to a core and waits for its answer for a while; then the answer is lost.
-func (o *operators) declare(i int, d config.Declaration, patience time.Duration) error {
+func (o *operators) declare(i int, d config.NumberedConfig, patience time.Duration) error {
 	core, serving := o.serving(i)
 	if !serving {
 		return errDead
@@ -97,7 +97,7 @@
 }
 
 // made is a declaration of its sender's own, on top of the newest number that is known, seldom on one before it.
-func (o *operators) made() config.Declaration {
+func (o *operators) made() config.NumberedConfig {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	base := o.newest
--- a/sim/retire_test.go
+++ b/sim/retire_test.go
@@ -110,7 +110,7 @@
 // order has a change taken by whichever core takes it.
 func (f *Fleet) retirement(o controlplane.RetirementChange) (a controlplane.Accepted, err error) {
 	for _, core := range f.cores() {
-		if a, err = f.Order(core, "retirement", o); err == nil || apierror.Of(err).Code.Ran == apierror.NotRun && apierror.Of(err).Code.Number >= 300 && !apierror.Is(err, apierror.NoMajority) {
+		if a, err = f.Order(core, "retirement", o); err == nil || apierror.Of(err).Code.Executed == apierror.NotRun && apierror.Of(err).Code.Number >= 300 && !apierror.Is(err, apierror.NoMajority) {
 			return a, err
 		}
 	}
@@ -511,7 +511,7 @@
 		is.True(strings.Contains(fmt.Sprint(f.retired()["replica pool-1"]["bases"]), "ridge-1"))
 		dropped := config.Retirement{Number: 1, Old: "ridge-1", New: "ridge-2", Phase: config.Dropping}
 		for version := range uint64(40) { // whatever version it saw
-			_, err := f.Order(0, "advance", controlplane.RetirementStep{Old: "ridge-1", Next: &dropped, ExpectedVersion: version, Holder: config.Duty{Holder: "core-9", Lease: 0}})
+			_, err := f.Order(0, "advance", controlplane.RetirementStep{Old: "ridge-1", Next: &dropped, ExpectedVersion: version, Holder: config.RoleHolder{Holder: "core-9", Lease: 0}})
 			is.True(apierror.Is(err, apierror.Superseded))
 		}
 		is.Equal(f.phase("ridge-1"), "moving")
--- a/throttle/delay.go
+++ b/throttle/delay.go
@@ -35,7 +35,7 @@
 }
 
 // Backoff draws the fallback delay for an attempt, counted from 0.
-func Backoff(rule config.Hold, attempt int, random *rand.Rand) time.Duration {
+func Backoff(rule config.ThrottleRule, attempt int, random *rand.Rand) time.Duration {
 	step := time.Duration(rule.BaseMs) * time.Millisecond << min(attempt, 6)
 	step = min(step, time.Duration(rule.CapMs)*time.Millisecond)
 	least := time.Duration(float64(step) * (1 - rule.Jitter))
--- a/throttle/hold_test.go
+++ b/throttle/hold_test.go
@@ -56,7 +56,7 @@
 func TestBackoffStaysWithinItsStepAndCap(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
-	rule := config.Empty().Hold
+	rule := config.Empty().Throttle
 	var longest [12]time.Duration
 	for attempt := range longest {
 		for range 2000 {
--- a/throttle/signals.go
+++ b/throttle/signals.go
@@ -55,10 +55,10 @@
 		baseline: map[[2]int]*baseline{}, tenants: map[int]*slowness{}}
 }
 
-// Refused takes a refusal that does not name its ground, and says whether the tenant is it. Refused twice and not served since, it is, if a
+// Rejected takes a refusal that does not name its ground, and says whether the tenant is it. Refused twice and not served since, it is, if a
 // replica that refused it serves another tenant; or if two different replicas refused it and nobody else has lately been served at all:
 // while others are served, but not by those who refuse, those may be sick.
-func (s *Signals) Refused(replica, tenant int) bool {
+func (s *Signals) Rejected(replica, tenant int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -87,8 +87,8 @@
 	return len(r.first) > 1 && !anotherServed
 }
 
-// HasRefused says whether a replica refused the tenant, which was not served since.
-func (s *Signals) HasRefused(replica, tenant int) bool {
+// HasRejected says whether a replica refused the tenant, which was not served since.
+func (s *Signals) HasRejected(replica, tenant int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.refusals[tenant]
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -39,14 +39,14 @@
 
 // Table is scope → moment. Merging takes the maximum, and each id once (§4.1).
 type Table struct {
-	mu     sync.Mutex
-	scopes map[string]*Entry
-	news   func(Entry)
+	mu       sync.Mutex
+	scopes   map[string]*Entry
+	onChange func(Entry)
 }
 
 // NewTable makes a table; news (may be nil) is told of each extension, outside the lock.
 func NewTable(news func(Entry)) *Table {
-	return &Table{scopes: map[string]*Entry{}, news: news}
+	return &Table{scopes: map[string]*Entry{}, onChange: news}
 }
 
 // Merge takes a notice; it says whether the scope's moment moved.
@@ -80,14 +80,14 @@
 	e.Notice, e.Until = n, until
 	told := *e
 	t.mu.Unlock()
-	if t.news != nil {
-		t.news(told)
+	if t.onChange != nil {
+		t.onChange(told)
 	}
 	return true
 }
 
-// Learn merges the notices of a link's entry: by scope, each with its age at the source.
-func (t *Table) Learn(fields register.Fields, agesMs map[string]int64) {
+// Apply merges the notices of a link's entry: by scope, each with its age at the source.
+func (t *Table) Apply(fields register.Fields, agesMs map[string]int64) {
 	for scope, raw := range fields {
 		var n Notice
 		if register.IsDeleted(raw) || json.Unmarshal(raw, &n) != nil {
