--- a/cmd/shell/main.go
+++ b/cmd/asterridgectl/main.go
@@ -1,4 +1,4 @@
-// Command shell is the operators' language: queries on the fleet's state, and orders.
+// Command asterridgectl is the operators' language: queries on the fleet's state, and orders.
 package main
 
 import (
@@ -23,12 +23,12 @@
 	"asterridge/rpc"
 )
 
-const usage = `shell: asks a fleet for its state and orders changes
+const usage = `asterridgectl: asks a fleet for its state and orders changes
 
-  shell -cores IP:PORT,… COMMAND     one command
-  shell -cores IP:PORT,…             commands line by line from standard input
+  asterridgectl -cores IP:PORT,… COMMAND     one command
+  asterridgectl -cores IP:PORT,…             commands line by line from standard input
 
-Commands (docs/shell.md has the grammar):
+Commands (docs/asterridgectl.md has the grammar):
   show THING [where FIELD = VALUE [and …]]   THING: ` + "%s" + `
   why request ID | why hold SCOPE
   create|set tenant|pool|path|adapter NAME FIELD = VALUE, …      set hold FIELD = VALUE, …
@@ -46,7 +46,7 @@
 `
 
 func main() {
-	set := flag.NewFlagSet("shell", flag.ExitOnError)
+	set := flag.NewFlagSet("asterridgectl", flag.ExitOnError)
 	cores := set.String("cores", os.Getenv("ASTERRIDGE_CORES"), "`ip:port`s of cores, with commas; also from ASTERRIDGE_CORES")
 	fleet := set.String("fleet", "asterridge", "the fleet's `name`")
 	format := set.String("format", "table", "table or json")
--- a/cmd/shell/parse.go
+++ b/cmd/asterridgectl/parse.go
@@ -122,7 +122,7 @@
 // things are what show knows.
 var things = []string{"tenants", "pools", "paths", "hold", "holds", "proxyholds", "fields", "proxyfields", "backlog", "replicas", "requests", "counts", "acks", "members", "owners", "daemons", "adapters", "retirement"}
 
-// parse reads one line (grammar: docs/shell.md).
+// parse reads one line (grammar: docs/asterridgectl.md).
 func parse(line string) (command, error) {
 	all, err := tokens(line)
 	if err != nil {
--- a/cmd/standin/main.go
+++ b/cmd/fakebackend/main.go
@@ -1,4 +1,4 @@
-// Command standin plays a system outside the fleet: a replica or web back end, or the callers.
+// Command fakebackend plays a system outside the fleet: a replica or web back end, or the callers.
 package main
 
 import (
@@ -22,11 +22,11 @@
 	"asterridge/rpc"
 )
 
-const help = `standin plays a system outside the fleet.
+const help = `fakebackend plays a system outside the fleet.
 
-  standin replica FLAGS   a model replica or web back end
-  standin callers FLAGS   callers of the three kinds and of the web back end
-  standin platform FLAGS  tells the cores which replicas there are, from a file, whenever the file changes
+  fakebackend replica FLAGS   a model replica or web back end
+  fakebackend callers FLAGS   callers of the three kinds and of the web back end
+  fakebackend platform FLAGS  tells the cores which replicas there are, from a file, whenever the file changes
 
 Each role lists its flags with -h.
 `
@@ -73,7 +73,7 @@
 }
 
 func replica() {
-	s := daemon.NewSettings("standin replica", "a model replica or web back end")
+	s := daemon.NewSettings("fakebackend replica", "a model replica or web back end")
 	kind := s.Text("kind", "model", "model, web or store")
 	fetch := s.Integer("link", 400, 1, 1000000, "bytes of a prefix fetched per ms")
 	store := s.Address("store", "`ip:port` of a store that new blocks are put into")
@@ -106,7 +106,7 @@
 }
 
 func callers() {
-	s := daemon.NewSettings("standin callers", "callers of the three kinds and of the web back end")
+	s := daemon.NewSettings("fakebackend callers", "callers of the three kinds and of the web back end")
 	proxies := s.Text("proxies", "", "`ip:port`s of the proxies, with commas")
 	keys := s.Text("keys", "", "tenant=key=weight, with commas")
 	count := s.Integer("count", 500, 1, 1000000, "requests in all")
@@ -153,7 +153,7 @@
 
 // platform posts the file's text (as in docs/operators.md) to the first core that takes it, at once and after each change of the file.
 func platform() {
-	s := daemon.NewSettings("standin platform", "tells the cores which replicas there are")
+	s := daemon.NewSettings("fakebackend platform", "tells the cores which replicas there are")
 	cores := s.Text("cores", "", "`ip:port`s of cores, with commas")
 	file := s.Text("file", "", "`file` with {\"replicas\":[…]}")
 	s.Require("cores", "file")
--- a/cmd/fleet/fleet.go
+++ b/cmd/localfleet/fleet.go
@@ -127,7 +127,7 @@
 		return err
 	}
 	f.replicas["store-1"] = store
-	if err := f.run("store-1", "standin", "replica", "-name", "store-1", "-address", store, "-kind", "store", "-blocks", "20000"); err != nil {
+	if err := f.run("store-1", "fakebackend", "replica", "-name", "store-1", "-address", store, "-kind", "store", "-blocks", "20000"); err != nil {
 		return err
 	}
 	for i := range o.replicas + 1 {
@@ -154,7 +154,7 @@
 	if f.replicas[name], err = f.relays.open(machine, listen); err != nil {
 		return err
 	}
-	return f.run(name, "standin", "replica", "-name", name, "-address", listen, "-kind", kind, "-store", f.replicas["store-1"], "-ledger", f.path(name+".ledger"))
+	return f.run(name, "fakebackend", "replica", "-name", name, "-address", listen, "-kind", kind, "-store", f.replicas["store-1"], "-ledger", f.path(name+".ledger"))
 }
 
 // startPair starts a machine's agent and proxy.
@@ -218,7 +218,7 @@
 	if err := os.WriteFile(f.path("replicas.json"), raw, 0o644); err != nil {
 		return err
 	}
-	err = f.run("platform", "standin", "platform", "-name", "platform", "-fleet", fleetName, "-cores", strings.Join(f.cores, ","), "-file", f.path("replicas.json"))
+	err = f.run("platform", "fakebackend", "platform", "-name", "platform", "-fleet", fleetName, "-cores", strings.Join(f.cores, ","), "-file", f.path("replicas.json"))
 	if err != nil {
 		return err
 	}
@@ -245,7 +245,7 @@
 	for _, c := range f.keys {
 		keys = append(keys, fmt.Sprintf("%s=%s=%d", c.Tenant, c.Access, c.Weight))
 	}
-	err := f.run("callers", "standin", "callers", "-name", "callers", "-proxies", strings.Join(f.proxies, ","), "-keys", strings.Join(keys, ","),
+	err := f.run("callers", "fakebackend", "callers", "-name", "callers", "-proxies", strings.Join(f.proxies, ","), "-keys", strings.Join(keys, ","),
 		"-count", strconv.Itoa(f.options.count), "-rate", strconv.Itoa(f.options.rate), "-seed", strconv.FormatUint(f.options.seed, 10),
 		"-ledger", f.path("callers.ledger"))
 	if err != nil {
--- a/cmd/fleet/main.go
+++ b/cmd/localfleet/main.go
@@ -1,4 +1,4 @@
-// Command fleet runs a whole fleet as processes on this machine's loopback, with fakes around it, and checks the ledgers afterwards.
+// Command localfleet runs a whole fleet as processes on this machine's loopback, with fakes around it, and checks the ledgers afterwards.
 package main
 
 import (
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	set := flag.NewFlagSet("fleet", flag.ExitOnError)
+	set := flag.NewFlagSet("localfleet", flag.ExitOnError)
 	set.Usage = func() {
 		fmt.Fprintln(set.Output(), "fleet: runs a whole fleet on this machine and checks the never-rules\n\nScripts:")
 		for _, s := range scripts {
--- a/cmd/fleet/process.go
+++ b/cmd/localfleet/process.go
@@ -27,7 +27,7 @@
 	defer log.Close()
 	p := &process{name: name, program: program, args: args, ended: make(chan struct{})}
 	folder := f.options.bin
-	if n := name[len(name)-1]; f.options.other != "" && program != "standin" && (n-'0')%2 == 0 {
+	if n := name[len(name)-1]; f.options.other != "" && program != "fakebackend" && (n-'0')%2 == 0 {
 		folder = f.options.other
 	}
 	p.cmd = exec.Command(filepath.Join(folder, program), args...)
--- a/cmd/fleet/scripts.go
+++ b/cmd/localfleet/scripts.go
@@ -69,7 +69,7 @@
 
 // stay leaves the fleet to the user.
 func stay(ctx context.Context, f *fleet) error {
-	fmt.Printf("ask it: %s -fleet %s -cores %s show acks\n", filepath.Join(f.options.bin, "shell"), fleetName, strings.Join(f.cores, ","))
+	fmt.Printf("ask it: %s -fleet %s -cores %s show acks\n", filepath.Join(f.options.bin, "asterridgectl"), fleetName, strings.Join(f.cores, ","))
 	fmt.Printf("a proxy: http://%s/v1/chat/completions with key %s\n", f.proxies[0], f.keys[0].Access)
 	<-ctx.Done()
 	return nil
--- a/cmd/hollow/main.go
+++ b/cmd/scalebench/main.go
@@ -1,4 +1,4 @@
-// Command hollow measures how the control's costs grow: it runs real cores, agents and routers, many in one process, without callers and
+// Command scalebench measures how the control's costs grow: it runs real cores, agents and routers, many in one process, without callers and
 // replicas, at several sizes, and prints what each costs and whether that grows in a line (docs/CAPACITY.md).
 package main
 
@@ -31,30 +31,30 @@
 func main() {
 	if len(os.Args) == 2 && os.Args[1] == "-child" {
 		if err := serveChild(os.Stdin, os.Stdout, onLoopback); err != nil {
-			fmt.Fprintln(os.Stderr, "hollow child:", err)
+			fmt.Fprintln(os.Stderr, "scalebench child:", err)
 			os.Exit(1)
 		}
 		return
 	}
 	o, err := readFlags(os.Args[1:], os.Stderr)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "hollow:", err)
+		fmt.Fprintln(os.Stderr, "scalebench:", err)
 		os.Exit(2)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	o.start, o.hosts = startProcess, onLoopback
 	if err := run(ctx, o, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "hollow:", err)
+		fmt.Fprintln(os.Stderr, "scalebench:", err)
 		os.Exit(1)
 	}
 }
 
 func readFlags(args []string, out io.Writer) (o options, err error) {
-	set := flag.NewFlagSet("hollow", flag.ContinueOnError)
+	set := flag.NewFlagSet("scalebench", flag.ContinueOnError)
 	set.SetOutput(out)
 	set.Usage = func() {
-		fmt.Fprintln(out, "hollow: measures how costs grow, on loopback\n\nSlopes:")
+		fmt.Fprintln(out, "scalebench: measures how costs grow, on loopback\n\nSlopes:")
 		for _, m := range measurements {
 			fmt.Fprintf(out, "  %-9s by %s; with %s; sizes %v\n", m.name, m.grows, m.rest, m.sizes)
 		}
--- a/cmd/hollow/hollow_test.go
+++ b/cmd/scalebench/scalebench_test.go
@@ -117,7 +117,7 @@
 	raw, err := os.ReadFile("../../docs/CAPACITY.md")
 	is.NoErr(err)
 	var named []string
-	for _, command := range regexp.MustCompile("`bin/hollow ([^`]+)`").FindAllStringSubmatch(string(raw), -1) {
+	for _, command := range regexp.MustCompile("`bin/scalebench ([^`]+)`").FindAllStringSubmatch(string(raw), -1) {
 		o, err := readFlags(strings.Fields(command[1]), io.Discard)
 		if err != nil {
 			t.Errorf("%s: %v", command[0], err)
--- a/golden/docs_test.go
+++ b/golden/docs_test.go
@@ -45,7 +45,7 @@
 		if strings.HasSuffix(path, "_test.go") {
 			tests.WriteString(text)
 		}
-		if strings.HasPrefix(path, "../cmd/fleet/") {
+		if strings.HasPrefix(path, "../cmd/localfleet/") {
 			scripts.WriteString(text)
 		}
 	}
@@ -56,7 +56,7 @@
 			t.Errorf("there is no test %s", name[1])
 		}
 	}
-	for _, list := range regexp.MustCompile("fleet ((?:`[a-z-]+`(?:, )?)+)").FindAllStringSubmatch(proof, -1) {
+	for _, list := range regexp.MustCompile("localfleet ((?:`[a-z-]+`(?:, )?)+)").FindAllStringSubmatch(proof, -1) {
 		for _, name := range regexp.MustCompile("`([a-z-]+)`").FindAllStringSubmatch(list[1], -1) {
 			if !strings.Contains(scripts.String(), `{"`+name[1]+`", "`) {
 				t.Errorf("fleet has no script %s", name[1])
