--- a/apierror/apierror.go
+++ b/apierror/apierror.go
@@ -31,8 +31,8 @@
 
 var table = map[int]Code{}
 
-func code(number int, name string, status int, ran Execution, text string) Code {
-	c := Code{Number: number, Name: name, Status: status, Executed: ran, Text: text}
+func code(number int, name string, status int, executed Execution, text string) Code {
+	c := Code{Number: number, Name: name, Status: status, Executed: executed, Text: text}
 	table[number] = c
 	return c
 }
@@ -48,28 +48,28 @@
 	Oversize     = code(106, "oversize", 413, NotRun, "more bytes than allowed")
 	Missing      = code(107, "missing_field", 400, NotRun, "a needed field is missing")
 
-	BadKey         = code(200, "bad_key", 401, NotRun, "unknown or revoked access key")
-	NoPath         = code(201, "no_path", 404, NotRun, "no path serves this address or model")
-	Held           = code(210, "held", 429, NotRun, "the tenant is held for longer than the request may wait")
-	QueueFull      = code(211, "backlog_full", 429, NotRun, "the tenant's backlog is full")
-	Stale          = code(212, "stale", 503, NotRun, "the request's deadline came before its turn")
-	NoReplica      = code(213, "no_replica", 503, NotRun, "no replica may serve this now")
-	NotCurrent     = code(214, "not_current", 503, NotRun, "this proxy cannot prove that its configuration is current")
-	SpentAttempts  = code(215, "spent_shots", 503, NotRun, "refused, and no retry is left in the budget")
-	Stopping       = code(216, "stopping", 503, NotRun, "this proxy is stopping")
-	ReplicaSaid    = code(217, "replica_refused", 502, NotRun, "the replica refused the request as not run")
-	NoRoom         = code(218, "no_room", 503, NotRun, "this proxy holds as many bytes of requests as it may, or as the tenant may have")
-	TooSlow        = code(219, "too_slow", 408, NotRun, "the request's body came too slowly")
-	OutcomeLost    = code(220, "outcome_unknown", 502, Unknown, "sent, and no whole answer came back")
-	StreamCut      = code(221, "stream_cut", 502, Unknown, "the replica's answer broke off; the connection is aborted")
-	InProgress     = code(222, "key_in_progress", 409, Unknown, "a request with this key is in progress; this copy was not sent")
-	KeyUnknown     = code(223, "key_outcome_unknown", 409, Unknown, "a request with this key was sent and its outcome is unknown; this copy was not sent")
-	KeyRan         = code(224, "key_ran", 409, DidRun, "a request with this key ran; this copy was not sent")
-	NoClaim        = code(225, "no_claim", 503, NotRun, "the key could not be claimed on a majority of disks")
-	ForeignAnswer  = code(226, "foreign_answer", 502, Unknown, "the answer bears another request's id")
-	CallerGone     = code(227, "caller_gone", 499, NotRun, "the caller left while waiting")
-	HeaderOversize = code(228, "header_oversize", 431, NotRun, "the request's header is larger than allowed")
-	NoAdapter      = code(230, "no_adapter", 403, NotRun, "the adapter is not for this tenant")
+	BadKey          = code(200, "bad_key", 401, NotRun, "unknown or revoked access key")
+	NoPath          = code(201, "no_path", 404, NotRun, "no path serves this address or model")
+	Throttled       = code(210, "held", 429, NotRun, "the tenant is held for longer than the request may wait")
+	QueueFull       = code(211, "backlog_full", 429, NotRun, "the tenant's backlog is full")
+	Stale           = code(212, "stale", 503, NotRun, "the request's deadline came before its turn")
+	NoReplica       = code(213, "no_replica", 503, NotRun, "no replica may serve this now")
+	NotCurrent      = code(214, "not_current", 503, NotRun, "this proxy cannot prove that its configuration is current")
+	SpentAttempts   = code(215, "spent_shots", 503, NotRun, "refused, and no retry is left in the budget")
+	Stopping        = code(216, "stopping", 503, NotRun, "this proxy is stopping")
+	ReplicaRejected = code(217, "replica_refused", 502, NotRun, "the replica refused the request as not run")
+	NoMemory        = code(218, "no_room", 503, NotRun, "this proxy holds as many bytes of requests as it may, or as the tenant may have")
+	TooSlow         = code(219, "too_slow", 408, NotRun, "the request's body came too slowly")
+	OutcomeLost     = code(220, "outcome_unknown", 502, Unknown, "sent, and no whole answer came back")
+	StreamBroken    = code(221, "stream_cut", 502, Unknown, "the replica's answer broke off; the connection is aborted")
+	InProgress      = code(222, "key_in_progress", 409, Unknown, "a request with this key is in progress; this copy was not sent")
+	KeyUnknown      = code(223, "key_outcome_unknown", 409, Unknown, "a request with this key was sent and its outcome is unknown; this copy was not sent")
+	KeyExecuted     = code(224, "key_ran", 409, DidRun, "a request with this key ran; this copy was not sent")
+	NoClaim         = code(225, "no_claim", 503, NotRun, "the key could not be claimed on a majority of disks")
+	ForeignAnswer   = code(226, "foreign_answer", 502, Unknown, "the answer bears another request's id")
+	ClientGone      = code(227, "caller_gone", 499, NotRun, "the caller left while waiting")
+	HeaderOversize  = code(228, "header_oversize", 431, NotRun, "the request's header is larger than allowed")
+	NoAdapter       = code(230, "no_adapter", 403, NotRun, "the adapter is not for this tenant")
 
 	Conflict     = code(300, "conflict", 409, NotRun, "the expected version is not the present one")
 	NoMajority   = code(301, "no_majority", 503, NotRun, "no majority of cores answered; nothing was changed")
--- a/config/adapter.go
+++ b/config/adapter.go
@@ -87,13 +87,13 @@
 // ParseRetirements reads the register.
 func ParseRetirements(fields register.Fields) (Retirements, RoleHolder, error) {
 	fields = maps.Clone(fields)
-	duty, err := Load[RoleHolder](register.Fields{RoleHolderField: orNull(fields[RoleHolderField])})
+	holder, err := Load[RoleHolder](register.Fields{RoleHolderField: orNull(fields[RoleHolderField])})
 	if err != nil {
 		return nil, RoleHolder{}, err
 	}
 	delete(fields, RoleHolderField)
 	all, err := Load[Retirement](fields)
-	return all, duty[RoleHolderField], err
+	return all, holder[RoleHolderField], err
 }
 
 func orNull(raw []byte) []byte {
@@ -174,12 +174,12 @@
 			return err
 		})
 	}
-	return v.Refuse(apierror.UnknownField, "not a field of an adapter")
+	return v.Reject(apierror.UnknownField, "not a field of an adapter")
 }
 
 // checkAdapters looks for dangling references of adapters and to them.
 func (b *Config) checkAdapters() error {
-	refuse := func(c apierror.Code, field, format string, args ...any) error {
+	reject := func(c apierror.Code, field, format string, args ...any) error {
 		f := apierror.New(c, format, args...)
 		f.Field = field
 		return f
@@ -187,11 +187,11 @@
 	for _, name := range slices.Sorted(maps.Keys(b.Adapters)) {
 		a := b.Adapters[name]
 		if a.Base == "" {
-			return refuse(apierror.Missing, "adapters."+name+".base", "an adapter needs a base model")
+			return reject(apierror.Missing, "adapters."+name+".base", "an adapter needs a base model")
 		}
 		for _, tenant := range a.Tenants {
 			if _, ok := b.Tenants[tenant]; !ok {
-				return refuse(apierror.Dangling, "adapters."+name+".tenants", "there is no tenant %q", tenant)
+				return reject(apierror.Dangling, "adapters."+name+".tenants", "there is no tenant %q", tenant)
 			}
 		}
 	}
@@ -201,11 +201,11 @@
 			continue
 		}
 		if _, ok := b.Adapters[p.Adapter]; !ok {
-			return refuse(apierror.Dangling, "paths."+name+".adapter", "there is no adapter %q", p.Adapter)
+			return reject(apierror.Dangling, "paths."+name+".adapter", "there is no adapter %q", p.Adapter)
 		}
 		for _, target := range p.Pools() {
 			if kind := b.Pools[target.Pool].Kind; kind != ModelPool {
-				return refuse(apierror.Dangling, "paths."+name+".adapter", "pool %q has no model for an adapter", target.Pool)
+				return reject(apierror.Dangling, "paths."+name+".adapter", "pool %q has no model for an adapter", target.Pool)
 			}
 		}
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -212,7 +212,7 @@
 		}
 	}
 	for name := range old {
-		if _, kept := now[name]; !kept {
+		if _, others := now[name]; !others {
 			change[name] = nil
 		}
 	}
@@ -224,7 +224,7 @@
 	met := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(b.Paths)) {
 		p := b.Paths[name]
-		refuse := func(c apierror.Code, field, format string, args ...any) error {
+		reject := func(c apierror.Code, field, format string, args ...any) error {
 			f := apierror.New(c, format, args...)
 			f.Field = "paths." + name + "." + field
 			return f
@@ -232,28 +232,28 @@
 		sum := 0
 		for _, target := range p.Pools() {
 			if _, ok := b.Pools[target.Pool]; !ok {
-				return refuse(apierror.Dangling, "pool", "there is no pool %q", target.Pool)
+				return reject(apierror.Dangling, "pool", "there is no pool %q", target.Pool)
 			}
 			if b.Pools[target.Pool].Kind == StorePool {
-				return refuse(apierror.Dangling, "pool", "pool %q is a store and serves no requests", target.Pool)
+				return reject(apierror.Dangling, "pool", "pool %q is a store and serves no requests", target.Pool)
 			}
 			if target.Weight < 0 {
-				return refuse(apierror.OutOfRange, "targets", "pool %q has a share below 0", target.Pool)
+				return reject(apierror.OutOfRange, "targets", "pool %q has a share below 0", target.Pool)
 			}
 			sum += target.Weight
 		}
 		if sum == 0 {
-			return refuse(apierror.OutOfRange, "targets", "the shares sum to 0")
+			return reject(apierror.OutOfRange, "targets", "the shares sum to 0")
 		}
 		if p.DeadlineMs <= 0 {
-			return refuse(apierror.OutOfRange, "deadline_ms", "%d ms are no deadline", p.DeadlineMs)
+			return reject(apierror.OutOfRange, "deadline_ms", "%d ms are no deadline", p.DeadlineMs)
 		}
 		if p.Address == "" {
-			return refuse(apierror.Missing, "address", "a path needs an address")
+			return reject(apierror.Missing, "address", "a path needs an address")
 		}
 		at := p.Host + " " + p.Address + " " + p.Model
 		if other, taken := met[at]; taken {
-			return refuse(apierror.RepeatField, "address", "path %q has the same host, address and model", other)
+			return reject(apierror.RepeatField, "address", "path %q has the same host, address and model", other)
 		}
 		met[at] = name
 	}
--- a/config/parse.go
+++ b/config/parse.go
@@ -49,7 +49,7 @@
 				return remove(v, b)
 			}
 		}
-		return v.Refuse(apierror.UnknownField, "not a field of a configuration")
+		return v.Reject(apierror.UnknownField, "not a field of a configuration")
 	})
 	if err == nil {
 		err = b.Check()
@@ -69,7 +69,7 @@
 			if field == "name" {
 				name, err = v.Name()
 				if err == nil && met[name] {
-					err = v.Refuse(apierror.RepeatField, "%q stands twice in the list", name)
+					err = v.Reject(apierror.RepeatField, "%q stands twice in the list", name)
 				}
 			}
 			return err
@@ -78,7 +78,7 @@
 			return err
 		}
 		if name == "" {
-			return entry.Refuse(apierror.Missing, "needs a name")
+			return entry.Reject(apierror.Missing, "needs a name")
 		}
 		met[name] = true
 		item, ok := into[name]
@@ -115,10 +115,10 @@
 				_, ok = b.Adapters[name]
 				delete(b.Adapters, name)
 			default:
-				return list.Refuse(apierror.UnknownField, "nothing of this kind can be removed")
+				return list.Reject(apierror.UnknownField, "nothing of this kind can be removed")
 			}
 			if !ok {
-				return item.Refuse(apierror.Dangling, "there is no %q to remove", name)
+				return item.Reject(apierror.Dangling, "there is no %q to remove", name)
 			}
 			return nil
 		})
@@ -137,7 +137,7 @@
 	return func() (int, error) { return v.Integer(least, most) }
 }
 
-func word(v Value, words ...string) func() (string, error) {
+func oneOf(v Value, words ...string) func() (string, error) {
 	return func() (string, error) { return v.OneOf(words...) }
 }
 
@@ -152,12 +152,12 @@
 	case "backlog":
 		return set(&t.Backlog, between(v, 0, 100000))
 	case "scope":
-		return set(&t.Scope, word(v, "tenant", "pool"))
+		return set(&t.Scope, oneOf(v, "tenant", "pool"))
 	case "urgency":
 		t.Urgency = new(int)
 		return set(t.Urgency, between(v, 0, 9))
 	}
-	return v.Refuse(apierror.UnknownField, "not a field of a tenant")
+	return v.Reject(apierror.UnknownField, "not a field of a tenant")
 }
 
 func readPool(p *Pool, field string, v Value) error {
@@ -165,7 +165,7 @@
 	case "name":
 		return set(&p.Name, v.Name)
 	case "kind":
-		return set(&p.Kind, word(v, "model", "web", "store"))
+		return set(&p.Kind, oneOf(v, "model", "web", "store"))
 	case "weights":
 		return set(&p.Weights, v.Name)
 	case "models":
@@ -178,7 +178,7 @@
 	case "max_conns":
 		return set(&p.MaxConns, between(v, 0, 1000000))
 	}
-	return v.Refuse(apierror.UnknownField, "not a field of a pool")
+	return v.Reject(apierror.UnknownField, "not a field of a pool")
 }
 
 func readPath(p *Path, field string, v Value) error {
@@ -190,7 +190,7 @@
 			return err
 		}
 		if !strings.HasPrefix(p.Address, "/") || len(p.Address) > 256 {
-			return v.Refuse(apierror.OutOfRange, "an address starts with / and has at most 256 bytes")
+			return v.Reject(apierror.OutOfRange, "an address starts with / and has at most 256 bytes")
 		}
 		return nil
 	case "model":
@@ -218,7 +218,7 @@
 				case "share":
 					return set(&t.Weight, between(v, 0, 1000000))
 				}
-				return v.Refuse(apierror.UnknownField, "not a field of a target")
+				return v.Reject(apierror.UnknownField, "not a field of a target")
 			})
 			p.Targets = append(p.Targets, t)
 			return err
@@ -238,7 +238,7 @@
 	case "adapter":
 		return set(&p.Adapter, v.Name)
 	}
-	return v.Refuse(apierror.UnknownField, "not a field of a path")
+	return v.Reject(apierror.UnknownField, "not a field of a path")
 }
 
 func readThrottle(v Value, h *ThrottleRule) error {
@@ -255,7 +255,7 @@
 		case "slow_ratio":
 			return set(&h.SlowRatio, func() (float64, error) { return v.Figure(1.5, 100) })
 		}
-		return v.Refuse(apierror.UnknownField, "not a field of the hold")
+		return v.Reject(apierror.UnknownField, "not a field of the hold")
 	})
 }
 
@@ -271,6 +271,6 @@
 		case "idle_ms":
 			return set(&l.IdleMs, between(v, 0, 3600000))
 		}
-		return v.Refuse(apierror.UnknownField, "not a field of the limits")
+		return v.Reject(apierror.UnknownField, "not a field of the limits")
 	})
 }
--- a/config/state.go
+++ b/config/state.go
@@ -97,7 +97,7 @@
 	var all []Replica
 	err = doc.Object(func(field string, v Value) error {
 		if field != "replicas" {
-			return v.Refuse(apierror.UnknownField, "not a field of the platform's news")
+			return v.Reject(apierror.UnknownField, "not a field of the platform's news")
 		}
 		return v.List(func(item Value) error {
 			r := Replica{State: ReplicaPresent, Limit: 4}
@@ -112,17 +112,17 @@
 				case "zone":
 					return set(&r.Zone, v.Name)
 				case "state":
-					return set(&r.State, word(v, ReplicaPresent, ReplicaDraining, ReplicaWarming, ReplicaGone))
+					return set(&r.State, oneOf(v, ReplicaPresent, ReplicaDraining, ReplicaWarming, ReplicaGone))
 				case "limit":
 					return set(&r.Limit, between(v, 1, 10000))
 				}
-				return v.Refuse(apierror.UnknownField, "not a field of a replica")
+				return v.Reject(apierror.UnknownField, "not a field of a replica")
 			})
 			if err == nil && r.Name == "" {
-				err = item.Refuse(apierror.Missing, "needs a name")
+				err = item.Reject(apierror.Missing, "needs a name")
 			}
 			if err == nil && r.State != ReplicaGone && r.State != ReplicaDraining && (r.Address == "" || r.Pool == "") {
-				err = item.Refuse(apierror.Missing, "needs address and pool")
+				err = item.Reject(apierror.Missing, "needs address and pool")
 			}
 			all = append(all, r)
 			return err
--- a/config/value.go
+++ b/config/value.go
@@ -17,7 +17,7 @@
 	at   int // byte position, from 1
 }
 
-func (v Value) Refuse(c apierror.Code, format string, args ...any) error {
+func (v Value) Reject(c apierror.Code, format string, args ...any) error {
 	f := apierror.New(c, format, args...)
 	f.Field, f.At = v.path, v.at
 	return f
@@ -46,7 +46,7 @@
 
 func (v Value) need(t jx.Type, name string) error {
 	if v.raw.Type() != t {
-		return v.Refuse(apierror.WrongType, "needs %s, has %s", name, v.raw.Type())
+		return v.Reject(apierror.WrongType, "needs %s, has %s", name, v.raw.Type())
 	}
 	return nil
 }
@@ -62,7 +62,7 @@
 			return err
 		}
 		if met[name] {
-			return field.Refuse(apierror.RepeatField, "given twice")
+			return field.Reject(apierror.RepeatField, "given twice")
 		}
 		met[name] = true
 		return read(name, field)
@@ -105,7 +105,7 @@
 func (v Value) Name() (string, error) {
 	s, err := v.Text()
 	if err == nil && !plainName.MatchString(s) {
-		err = v.Refuse(apierror.OutOfRange, "%q is no name: letters, digits, dot, dash, underscore; at most 64", s)
+		err = v.Reject(apierror.OutOfRange, "%q is no name: letters, digits, dot, dash, underscore; at most 64", s)
 	}
 	return s, err
 }
@@ -120,7 +120,7 @@
 			return s, nil
 		}
 	}
-	return "", v.Refuse(apierror.OutOfRange, "%q is not one of %v", s, words)
+	return "", v.Reject(apierror.OutOfRange, "%q is not one of %v", s, words)
 }
 
 func (v Value) Flag() (bool, error) {
@@ -137,10 +137,10 @@
 	}
 	n, err := jx.DecodeBytes(v.raw).Int()
 	if err != nil {
-		return 0, v.Refuse(apierror.WrongType, "%s is not a whole number", v.raw)
+		return 0, v.Reject(apierror.WrongType, "%s is not a whole number", v.raw)
 	}
 	if n < least || n > most {
-		return 0, v.Refuse(apierror.OutOfRange, "%d is not within %d to %d", n, least, most)
+		return 0, v.Reject(apierror.OutOfRange, "%d is not within %d to %d", n, least, most)
 	}
 	return n, nil
 }
@@ -151,7 +151,7 @@
 	}
 	n, err := jx.DecodeBytes(v.raw).Float64()
 	if err != nil || n < least || n > most {
-		return 0, v.Refuse(apierror.OutOfRange, "%s is not within %g to %g", v.raw, least, most)
+		return 0, v.Reject(apierror.OutOfRange, "%s is not within %g to %g", v.raw, least, most)
 	}
 	return n, nil
 }
--- a/prefixindex/index.go
+++ b/prefixindex/index.go
@@ -83,8 +83,8 @@
 }
 
 // NewIndex keeps at most most entries.
-func NewIndex(most int) *Index {
-	return &Index{most: most, tree: btree.NewG(16, func(a, b *item) bool {
+func NewIndex(limit int) *Index {
+	return &Index{most: limit, tree: btree.NewG(16, func(a, b *item) bool {
 		if a.block != b.block {
 			return a.block < b.block
 		}
@@ -100,10 +100,10 @@
 }
 
 // Update notes how much of a block a replica keeps.
-func (x *Index) Update(replica, key string, kept int) {
+func (x *Index) Update(replica, key string, cached int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	it := &item{key, replica, kept, time.Now()}
+	it := &item{key, replica, cached, time.Now()}
 	x.tree.ReplaceOrInsert(it)
 	x.line = append(x.line, it)
 	for len(x.line) > 0 && (x.tree.Len() > x.most || len(x.line) > 4*x.most) {
@@ -125,21 +125,21 @@
 		}
 		return
 	}
-	var gone []*item
+	var removed []*item
 	x.tree.Ascend(func(it *item) bool {
 		if it.replica == replica {
-			gone = append(gone, it)
+			removed = append(removed, it)
 		}
 		return true
 	})
-	for _, it := range gone {
+	for _, it := range removed {
 		x.tree.Delete(it)
 	}
 }
 
 // Cached gives, by replica, how much of the chain's beginning is thought to be kept: what follows a gap does not count.
 func (x *Index) Cached(chain []Block) map[string]int {
-	kept := map[string]int{}
+	cached := map[string]int{}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	before := 0 // what a replica has that keeps all blocks up to here
@@ -149,7 +149,7 @@
 			if it.block != block.Key {
 				return false
 			}
-			if kept[it.replica] != before {
+			if cached[it.replica] != before {
 				return true
 			}
 			size := block.Size
@@ -157,7 +157,7 @@
 				size = min(size, it.kept)
 			}
 			if size > 0 {
-				kept[it.replica] = before + size
+				cached[it.replica] = before + size
 			}
 			isAny = isAny || size == block.Size
 			return true
@@ -167,7 +167,7 @@
 		}
 		before += block.Size
 	}
-	return kept
+	return cached
 }
 
 // Len is the number of entries.
--- a/queue/due_test.go
+++ b/queue/due_test.go
@@ -99,7 +99,7 @@
 		}
 		again.Due = time.Now().Add(time.Hour)
 		b := d.queue()
-		b.places = 10 // they come after it
+		b.nextPosition = 10 // they come after it
 		var granted []string
 		var waiting sync.WaitGroup
 		var mu sync.Mutex
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -23,10 +23,10 @@
 	Due          time.Time // after it, those that are not due yet go first; zero: never
 	Body         any       // what Pick needs to know
 
-	place   uint64
-	entered time.Time
-	granted chan struct{}
-	heldFor time.Duration // the wait was ended: its hold outlasts the deadline by being so long yet
+	position     uint64
+	entered      time.Time
+	granted      chan struct{}
+	throttledFor time.Duration // the wait was ended: its hold outlasts the deadline by being so long yet
 }
 
 // Options of a queue whose credits are of type G.
@@ -35,40 +35,40 @@
 	Pick func(item *Item) (G, bool)
 	// Return gives back a credit whose item left in the moment of the grant.
 	Return func(credit G)
-	// HeldUntil gives the scope's latest not-before moment, passed or not; zero if there was none.
-	HeldUntil func(scope string) time.Time
+	// NotBefore gives the scope's latest not-before moment, passed or not; zero if there was none.
+	NotBefore func(scope string) time.Time
 	// ReleaseDelay is how long after that moment this process may begin to release; others go before it.
 	ReleaseDelay func(scope string) time.Duration
 }
 
 // Queue holds all waiting requests of one proxy.
 type Queue[G any] struct {
-	options Options[G]
-	mu      sync.Mutex
-	places  uint64
-	rings   map[int]*ring
-	flows   map[[2]int]*flow
-	grants  map[*Item]G
-	wake    *time.Timer
-	wakeAt  time.Time
+	options      Options[G]
+	mu           sync.Mutex
+	nextPosition uint64
+	pools        map[int]*tenantRing
+	flows        map[[2]int]*flow
+	grants       map[*Item]G
+	wake         *time.Timer
+	wakeAt       time.Time
 }
 
-type ring struct {
+type tenantRing struct {
 	flows  []*flow
 	cursor int
 	new    bool // the cursor has just come to its flow
 }
 
 type flow struct {
-	tenant, pool int
-	items        []*Item // by place
-	weight       int
-	deficit      int
-	heldUntil    time.Time
-	released     int           // grants since the hold ended
-	granted      time.Time     // the last time
-	gap          time.Duration // between two grants while others waited, smoothed
-	wasWaiting   bool          // somebody waited at the last grant
+	tenant, pool   int
+	items          []*Item // by place
+	weight         int
+	deficit        int
+	throttledUntil time.Time
+	released       int           // grants since the hold ended
+	granted        time.Time     // the last time
+	gap            time.Duration // between two grants while others waited, smoothed
+	wasWaiting     bool          // somebody waited at the last grant
 }
 
 // drain tells when, at the pace of late, so many that wait now will have gone, after any hold.
@@ -77,7 +77,7 @@
 	if idle := time.Since(f.granted); !f.granted.IsZero() && idle > gap && !time.Now().Before(until) {
 		gap = idle // it has slowed
 	}
-	return min(max(time.Duration(waiting)*gap, time.Second), drainMost) + max(0, time.Until(until))
+	return min(max(time.Duration(waiting)*gap, time.Second), maxDrain) + max(0, time.Until(until))
 }
 
 // grant notes a grant's time.
@@ -94,13 +94,13 @@
 	quantum   = 4
 	paceStep  = 100 * time.Millisecond
 	paceSteps = 8
-	drainMost = time.Minute
-	paceMost  = 5 * time.Second // a hold longer past than this is forgotten
+	maxDrain  = time.Minute
+	maxPace   = 5 * time.Second // a hold longer past than this is forgotten
 )
 
 // New makes an empty queue.
 func New[G any](options Options[G]) *Queue[G] {
-	return &Queue[G]{options: options, rings: map[int]*ring{}, flows: map[[2]int]*flow{}, grants: map[*Item]G{}}
+	return &Queue[G]{options: options, pools: map[int]*tenantRing{}, flows: map[[2]int]*flow{}, grants: map[*Item]G{}}
 }
 
 // Take waits for the item's turn and gives its credit. An item that comes again keeps its place and is never rejected for a full queue.
@@ -108,19 +108,19 @@
 	var none G
 	b.mu.Lock()
 	f := b.flow(item)
-	again := item.place != 0
+	again := item.position != 0
 	if !again {
 		if waiting := len(f.items); waiting >= item.Limit {
 			full := apierror.New(apierror.QueueFull, "%d requests wait", waiting)
-			full.Again = f.drain(waiting, b.options.HeldUntil(item.Scope))
+			full.Again = f.drain(waiting, b.options.NotBefore(item.Scope))
 			b.mu.Unlock()
 			return none, full
 		}
-		b.places++
-		item.place, item.entered = b.places, time.Now()
+		b.nextPosition++
+		item.position, item.entered = b.nextPosition, time.Now()
 	}
 	item.granted = make(chan struct{})
-	i := sort.Search(len(f.items), func(i int) bool { return f.items[i].place > item.place })
+	i := sort.Search(len(f.items), func(i int) bool { return f.items[i].position > item.position })
 	f.items = append(f.items, nil)
 	copy(f.items[i+1:], f.items[i:])
 	f.items[i] = item
@@ -141,9 +141,9 @@
 		b.pump(item.Pool)
 		return none, apierror.Wrap(ctx.Err(), apierror.Stale, "left in the moment of its turn")
 	}
-	if item.heldFor > 0 {
-		f := apierror.New(apierror.Held, "%s is held for longer than the request may wait", item.Scope)
-		f.Again, item.heldFor = item.heldFor, 0
+	if item.throttledFor > 0 {
+		f := apierror.New(apierror.Throttled, "%s is held for longer than the request may wait", item.Scope)
+		f.Again, item.throttledFor = item.throttledFor, 0
 		return none, f
 	}
 	b.remove(item)
@@ -156,10 +156,10 @@
 	if f == nil {
 		f = &flow{tenant: item.Tenant, pool: item.Pool}
 		b.flows[at] = f
-		r := b.rings[item.Pool]
+		r := b.pools[item.Pool]
 		if r == nil {
-			r = &ring{new: true}
-			b.rings[item.Pool] = r
+			r = &tenantRing{new: true}
+			b.pools[item.Pool] = r
 		}
 		r.flows = append(r.flows, f)
 	}
@@ -192,20 +192,20 @@
 }
 
 func (b *Queue[G]) pumpAll() {
-	for pool := range b.rings {
+	for pool := range b.pools {
 		b.pump(pool)
 	}
 }
 
 // pump grants what can be granted now, in turn, and sets the timer for what a hold keeps back. Those that can still be in time go first.
 func (b *Queue[G]) pump(pool int) {
-	if r := b.rings[pool]; r != nil && b.grant(r, false) {
+	if r := b.pools[pool]; r != nil && b.grant(r, false) {
 		b.grant(r, true)
 	}
 }
 
 // grant goes round the flows until nothing is left to grant, or no credit; then it says no.
-func (b *Queue[G]) grant(r *ring, late bool) bool {
+func (b *Queue[G]) grant(r *tenantRing, overdue bool) bool {
 	now := time.Now()
 	for idle := 0; idle < len(r.flows); {
 		f := r.flows[r.cursor]
@@ -215,7 +215,7 @@
 		}
 		at := -1
 		if len(f.items) > 0 && b.isReleased(f) {
-			at = f.next(now, late)
+			at = f.next(now, overdue)
 		}
 		if at < 0 {
 			f.deficit = 0
@@ -244,14 +244,14 @@
 }
 
 // next finds the first item that can still be in time, or the first of all.
-func (f *flow) next(now time.Time, late bool) int {
-	if late && len(f.items) > 0 {
+func (f *flow) next(now time.Time, overdue bool) int {
+	if overdue && len(f.items) > 0 {
 		return 0
 	}
 	return slices.IndexFunc(f.items, func(item *Item) bool { return item.Due.IsZero() || now.Before(item.Due) })
 }
 
-func (r *ring) advance() {
+func (r *tenantRing) advance() {
 	r.cursor = (r.cursor + 1) % len(r.flows)
 	r.new = true
 }
@@ -259,12 +259,12 @@
 // isReleased looks at the flow's hold and at its pacer (§4.4).
 func (b *Queue[G]) isReleased(f *flow) bool {
 	now, scope := time.Now(), f.items[0].Scope
-	until := b.options.HeldUntil(scope)
-	if until.IsZero() || now.Sub(until) > paceMost {
+	until := b.options.NotBefore(scope)
+	if until.IsZero() || now.Sub(until) > maxPace {
 		return true
 	}
-	if !until.Equal(f.heldUntil) {
-		f.heldUntil, f.released = until, 0
+	if !until.Equal(f.throttledUntil) {
+		f.throttledUntil, f.released = until, 0
 	}
 	if now.Before(until) {
 		f.giveUp(until)
@@ -289,7 +289,7 @@
 	f.items = slices.DeleteFunc(f.items, func(item *Item) bool {
 		over := !item.Deadline.IsZero() && !item.Deadline.After(until)
 		if over {
-			item.heldFor = time.Until(until)
+			item.throttledFor = time.Until(until)
 			close(item.granted)
 		}
 		return over
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -34,7 +34,7 @@
 			return 1, true
 		},
 		Return: func(int) { d.back() },
-		HeldUntil: func(scope string) time.Time {
+		NotBefore: func(scope string) time.Time {
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			if scope == "held" {
@@ -149,8 +149,8 @@
 			synctest.Wait()
 		}
 		first := item(1, 1, 1, "held")
-		first.place = 1 // it was here before, and comes again after the others
-		b.places = 1
+		first.position = 1 // it was here before, and comes again after the others
+		b.nextPosition = 1
 		for n := 2; n <= 8; n++ {
 			take(n, item(1, 1, 1, "held"))
 		}
@@ -186,7 +186,7 @@
 					is.NoErr(err)
 					return
 				}
-				is.True(apierror.Is(err, apierror.Held))
+				is.True(apierror.Is(err, apierror.Throttled))
 				is.Equal(time.Since(began), time.Second) // when the hold grew, not at the deadline
 				is.Equal(apierror.Of(err).Again, 9*time.Second)
 			})
@@ -208,7 +208,7 @@
 		credits, heldUntil := 1, time.Time{}
 		b := New(Options[int]{
 			Pick:   func(*Item) (int, bool) { credits--; return 0, credits >= 0 },
-			Return: func(int) {}, HeldUntil: func(string) time.Time { return heldUntil }, ReleaseDelay: func(string) time.Duration { return 0 },
+			Return: func(int) {}, NotBefore: func(string) time.Time { return heldUntil }, ReleaseDelay: func(string) time.Duration { return 0 },
 		})
 		ctx, stop := context.WithCancel(context.Background())
 		for range 60 {
--- a/router/adapter.go
+++ b/router/adapter.go
@@ -73,22 +73,22 @@
 		return on, true
 	}
 	on = v.adapters[p.Adapter].placement
-	said := rep.report.Load()
-	if said == nil || x.resumedPlacement.Adapter != "" && x.resumedPlacement != on {
+	report := rep.report.Load()
+	if report == nil || x.resumedPlacement.Adapter != "" && x.resumedPlacement != on {
 		return on, false
 	}
-	has := said.Adapters[on.Key()]
+	has := report.Adapters[on.Key()]
 	return on, on.Build != "" && has.Build == on.Build && has.State == AdapterTried
 }
 
-// isPlacementGone says whether a refusal's ground is a base or adapter that the replica has not.
-func isPlacementGone(reason string) bool { return reason == "base_gone" || reason == "adapter_gone" }
+// isPlacementMissing says whether a refusal's ground is a base or adapter that the replica has not.
+func isPlacementMissing(reason string) bool { return reason == "base_gone" || reason == "adapter_gone" }
 
 // forgetPlacement takes a replica at its word, until its next report, that it has not what a request was to run on.
 func (x *Exchange) forgetPlacement() {
-	if said := x.replica.report.Load(); said != nil {
-		less := *said
-		less.Adapters = maps.Clone(said.Adapters)
+	if report := x.replica.report.Load(); report != nil {
+		less := *report
+		less.Adapters = maps.Clone(report.Adapters)
 		delete(less.Adapters, x.placement.Key())
 		x.replica.report.Store(&less)
 	}
--- a/router/answer_time.go
+++ b/router/answer_time.go
@@ -16,8 +16,8 @@
 	mean float64
 }
 
-// learn takes the time of a whole answer.
-func (a *answerTime) learn(took time.Duration) {
+// observe takes the time of a whole answer.
+func (a *answerTime) observe(took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.mean == 0 {
@@ -28,8 +28,8 @@
 }
 
 // expected is how long an answer is likely to take, within bounds.
-func (a *answerTime) expected(most time.Duration) time.Duration {
+func (a *answerTime) expected(limit time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return min(max(answerTimeLeast, time.Duration(a.mean)), most)
+	return min(max(answerTimeLeast, time.Duration(a.mean)), limit)
 }
--- a/router/body_memory.go
+++ b/router/body_memory.go
@@ -66,15 +66,15 @@
 
 // readBody takes a body within bounds of size, room and time.
 func (r *Router) readBody(x *Exchange) ([]byte, error) {
-	q, most := x.Request, max(defaultBodyBytes, x.View.limits.BodyBytes)
-	if q.ContentLength > int64(most) {
+	q, limit := x.Request, max(defaultBodyBytes, x.View.limits.BodyBytes)
+	if q.ContentLength > int64(limit) {
 		return nil, apierror.New(apierror.Oversize, "a body of %d bytes", q.ContentLength)
 	}
 	taken, tenant := int64(0), x.Tenant.index
 	x.connection.onDone = append(x.connection.onDone, func() { r.bodyMemory.give(tenant, taken) })
 	grow := func(n int64) error {
 		if !r.bodyMemory.take(tenant, n) {
-			return again(apierror.New(apierror.NoRoom, "no room for %d more bytes", n), time.Second)
+			return again(apierror.New(apierror.NoMemory, "no room for %d more bytes", n), time.Second)
 		}
 		taken += n
 		return nil
@@ -95,8 +95,8 @@
 		}
 		n, err := io.CopyN(&body, q.Body, memoryStep)
 		switch {
-		case body.Len() > most:
-			return nil, apierror.New(apierror.Oversize, "a body of over %d bytes", most)
+		case body.Len() > limit:
+			return nil, apierror.New(apierror.Oversize, "a body of over %d bytes", limit)
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, apierror.New(apierror.TooSlow, "%d bytes came in time", body.Len())
 		case err == io.EOF || err == nil && n == 0:
--- a/router/claims.go
+++ b/router/claims.go
@@ -29,7 +29,7 @@
 	case err == nil:
 		x.claimed = true
 		return onward(ctx, x)
-	case apierror.Is(err, apierror.InProgress), apierror.Is(err, apierror.KeyUnknown), apierror.Is(err, apierror.KeyRan):
+	case apierror.Is(err, apierror.InProgress), apierror.Is(err, apierror.KeyUnknown), apierror.Is(err, apierror.KeyExecuted):
 		return err
 	}
 	x.claimed = true // it may stand: give it back
--- a/router/concurrency_window.go
+++ b/router/concurrency_window.go
@@ -34,13 +34,13 @@
 
 // arrived counts a request. The least size follows what arrives here: a proxy with more callers has a larger part of what the replicas read,
 // and replicas that have nothing to read stand idle.
-func (w *concurrencyWindow) arrived(aim time.Duration) {
+func (w *concurrencyWindow) arrived(target time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
 	w.arrivals *= math.Exp(-float64(now.Sub(w.lastArrival)) / float64(rateTime))
 	w.arrivals, w.lastArrival = w.arrivals+1, now
-	w.minSize = max(minWindow, windowTargets*float64(aim)*w.arrivals/float64(rateTime))
+	w.minSize = max(minWindow, windowTargets*float64(target)*w.arrivals/float64(rateTime))
 }
 
 // enter takes a place if there is one.
@@ -64,15 +64,15 @@
 }
 
 // observe takes how long a request has waited at its replica beyond what it had to read.
-func (w *concurrencyWindow) observe(waited, aim time.Duration) {
+func (w *concurrencyWindow) observe(waited, target time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch now := time.Now(); {
-	case float64(waited) > slowShare*float64(aim):
+	case float64(waited) > slowShare*float64(target):
 		if now.Sub(w.lastCut) >= windowCutInterval {
 			w.size, w.lastCut = max(minWindow, w.minSize, min(w.size, float64(w.inFlight+1))*windowCutFactor), now
 		}
-	case float64(waited) < quickShare*float64(aim) && float64(w.inFlight)+1 >= w.size/2:
+	case float64(waited) < quickShare*float64(target) && float64(w.inFlight)+1 >= w.size/2:
 		w.size = min(maxWindow, w.size+1/w.size)
 	}
 }
--- a/router/cost.go
+++ b/router/cost.go
@@ -9,11 +9,11 @@
 
 // work estimates the milliseconds until the replica has the whole prompt: what it lacks is read anew, or fetched from a peer or store
 // that is thought to keep more of it, if that was measured to be quicker (§6.1).
-func (r *Router) work(x *Exchange, v *View, p *pool, rep *replica, kept map[string]int) (ms float64, source string) {
-	has, size, rate := kept[rep.Name], x.Prompt.Size(), rep.rate()
+func (r *Router) work(x *Exchange, v *View, p *pool, rep *replica, cached map[string]int) (ms float64, source string) {
+	has, size, rate := cached[rep.Name], x.Prompt.Size(), rep.rate()
 	ms = float64(size-has) / rate
 	consider := func(other *replica) {
-		theirs := kept[other.Name]
+		theirs := cached[other.Name]
 		more := theirs - has
 		if other.Name == rep.Name || more <= 0 || other.State == config.ReplicaDraining {
 			return
@@ -34,9 +34,9 @@
 
 // backUp names a store that keeps as much of the prompt as the replica is thought to: should the replica have dropped it, it need not read
 // it again.
-func (r *Router) backUp(v *View, rep *replica, kept map[string]int) string {
+func (r *Router) backUp(v *View, rep *replica, cached map[string]int) string {
 	for _, store := range v.stores {
-		if theirs := kept[store.Name]; theirs > 0 && theirs >= kept[rep.Name]/2 {
+		if theirs := cached[store.Name]; theirs > 0 && theirs >= cached[rep.Name]/2 {
 			return store.Address
 		}
 	}
@@ -55,8 +55,8 @@
 
 // fetchRate is how much of a prompt a replica gets from a source per ms: as it has measured, or as the pool's links are declared.
 func (r *Router) fetchRate(v *View, p *pool, rep, other *replica) float64 {
-	if said := rep.report.Load(); said != nil {
-		if rate, tried := said.Fetch[other.Name]; tried {
+	if report := rep.report.Load(); report != nil {
+		if rate, tried := report.Fetch[other.Name]; tried {
 			return rate
 		}
 	}
@@ -77,8 +77,8 @@
 // cost adds the replica's load and warm-up to the work.
 func (r *Router) cost(rep *replica, size int, work float64, now time.Time) float64 {
 	busy, warm := float64(rep.running.Load()), rep.State != config.ReplicaWarming
-	if said := rep.report.Load(); said != nil {
-		busy, warm = float64(said.Running)+float64(rep.sent.Load()), said.Warm
+	if report := rep.report.Load(); report != nil {
+		busy, warm = float64(report.Running)+float64(rep.sent.Load()), report.Warm
 	} else {
 		work += float64(rep.pending.Load()) / rep.rate()
 		if seen := rep.seen.Load(); seen != nil && now.Sub(seen.at) < seenAge {
@@ -106,8 +106,8 @@
 
 // rate is how fast the replica reads a prompt anew, in its units per ms: as it tells, or as was learned.
 func (rep *replica) rate() float64 {
-	if said := rep.report.Load(); said != nil {
-		return said.rate()
+	if report := rep.report.Load(); report != nil {
+		return report.rate()
 	}
 	if learned := math.Float64frombits(rep.rateBits.Load()); learned > 0 {
 		return learned
@@ -120,24 +120,24 @@
 func (r *Router) observePrefillRate(x *Exchange, delay time.Duration) {
 	rep := x.replica
 	work := x.prefill.work
-	if aim := time.Duration(x.Path.LatencyTargetMs) * time.Millisecond; aim > 0 {
-		x.prefill.pool.window.observe(delay-readBase-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), aim)
+	if target := time.Duration(x.Path.LatencyTargetMs) * time.Millisecond; target > 0 {
+		x.prefill.pool.window.observe(delay-readBase-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), target)
 	}
 	if work < leastSample || x.source != "" || rep.pending.Load() > work || delay <= readBase {
 		return
 	}
 	sample, before := float64(work)/float64((delay-readBase).Milliseconds()+1), rep.rate()
-	part := 0.05
+	element := 0.05
 	if sample > before {
-		part = 0.3
+		element = 0.3
 	}
-	rep.rateBits.Store(math.Float64bits(before + part*(min(sample, 4*before)-before)))
+	rep.rateBits.Store(math.Float64bits(before + element*(min(sample, 4*before)-before)))
 }
 
 // rate is how fast the replica reads a prompt anew, in bytes per ms.
-func (said *report) rate() float64 {
-	if said.Rate <= 0 {
+func (report *report) rate() float64 {
+	if report.Rate <= 0 {
 		return defaultRate
 	}
-	return said.Rate
+	return report.Rate
 }
--- a/router/counts.go
+++ b/router/counts.go
@@ -49,15 +49,15 @@
 func (b *budget) first() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	most := b.limit
-	if most == 0 {
-		most = maxRetryTokens
+	limit := b.limit
+	if limit == 0 {
+		limit = maxRetryTokens
 	}
-	part := b.ratio
-	if part == 0 {
-		part = defaultRetryRatio
+	element := b.ratio
+	if element == 0 {
+		element = defaultRetryRatio
 	}
-	b.tokens = min(b.tokens+part, most)
+	b.tokens = min(b.tokens+element, limit)
 }
 
 // ratioOf is what each first attempt pays for where retries are bound to a ratio of them: half of it, as the rest is for how unevenly
--- a/router/deadline_test.go
+++ b/router/deadline_test.go
@@ -24,7 +24,7 @@
 
 // stalled asks for a stream whose replica sends one event after each pause, and is silent from then on until it is left. It gives how long
 // the caller had the connection, what came, and how many retries there were.
-func stalled(t *testing.T, dialect router.Protocol, p config.Path, pauses ...time.Duration) (held time.Duration, text string, secondAttempts int64) {
+func stalled(t *testing.T, dialect router.Protocol, p config.Path, pauses ...time.Duration) (state time.Duration, text string, secondAttempts int64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -54,21 +54,21 @@
 		is.NoErr(err)
 		raw, err := io.ReadAll(answer.Body)
 		is.True(err != nil) // it does not look complete
-		held, text = time.Since(began), string(raw)
+		state, text = time.Since(began), string(raw)
 		rows, err := stand.Router.Rows(context.Background(), router.Query{What: "counts"})
 		is.NoErr(err)
 		secondAttempts, _ = rows[0]["second_shots"].(int64)
 	})
-	return held, text, secondAttempts
+	return state, text, secondAttempts
 }
 
 // An answer is held for no more than a quarter of a second past its deadline, whatever its replica does; what came by then is passed on.
 func TestStreamEndsWithTheDeadlineThatItsReplicaWasTold(t *testing.T) {
 	is := is.New(t)
 	for _, path := range []config.Path{{DeadlineMs: 8000}, {DeadlineMs: 8000, Resumable: true}} {
-		held, text, secondAttempts := stalled(t, tellingDialect{}, path, time.Second, 3*time.Second, 4050*time.Millisecond, time.Minute)
+		state, text, secondAttempts := stalled(t, tellingDialect{}, path, time.Second, 3*time.Second, 4050*time.Millisecond, time.Minute)
 		is.Equal(text, eventsFrom(1, 3))
-		is.True(held >= 8*time.Second && held < 8250*time.Millisecond)
+		is.True(state >= 8*time.Second && state < 8250*time.Millisecond)
 		is.Equal(secondAttempts, int64(0)) // nothing is spent on an answer whose time is over
 	}
 }
@@ -76,15 +76,15 @@
 // Until the deadline, a replica's silence is no reason to end its answer.
 func TestSilenceBeforeTheDeadlineEndsNoStream(t *testing.T) {
 	is := is.New(t)
-	held, text, _ := stalled(t, tellingDialect{}, config.Path{DeadlineMs: 300000}, time.Second, 200*time.Second)
+	state, text, _ := stalled(t, tellingDialect{}, config.Path{DeadlineMs: 300000}, time.Second, 200*time.Second)
 	is.Equal(text, eventsFrom(1, 2))
-	is.True(held >= 300*time.Second && held < 300250*time.Millisecond)
+	is.True(state >= 300*time.Second && state < 300250*time.Millisecond)
 }
 
 // Where replicas are not told the deadline, it is the first piece's alone.
 func TestStreamOutlivesADeadlineThatItsReplicaWasNotTold(t *testing.T) {
 	is := is.New(t)
-	held, text, _ := stalled(t, plainDialect{}, config.Path{DeadlineMs: 2000}, time.Second, 50*time.Second, 50*time.Second)
+	state, text, _ := stalled(t, plainDialect{}, config.Path{DeadlineMs: 2000}, time.Second, 50*time.Second, 50*time.Second)
 	is.Equal(text, eventsFrom(1, 3))
-	is.True(held >= 161*time.Second && held < 162*time.Second)
+	is.True(state >= 161*time.Second && state < 162*time.Second)
 }
--- a/router/draw_test.go
+++ b/router/draw_test.go
@@ -24,16 +24,16 @@
 	}
 	peer, store := made("peer", nil), made("store", nil)
 	v := &View{stores: []*replica{store}}
-	kept := map[string]int{"peer": 20 * prefixindex.Fine, "store": 40 * prefixindex.Fine} // in bytes, as the index counts now
+	cached := map[string]int{"peer": 20 * prefixindex.Fine, "store": 40 * prefixindex.Fine} // in bytes, as the index counts now
 	for _, c := range []struct {
 		name   string
 		fetch  map[string]float64
 		kept   map[string]int
 		source string
 	}{
-		{"nothing measured: the one that keeps most is tried", nil, kept, "store:1"},
-		{"the store is slow: the peer's half", map[string]float64{"store": 30, "peer": 900}, kept, "peer:1"},
-		{"all links are slow: read anew", map[string]float64{"store": 30, "peer": 30}, kept, ""},
+		{"nothing measured: the one that keeps most is tried", nil, cached, "store:1"},
+		{"the store is slow: the peer's half", map[string]float64{"store": 30, "peer": 900}, cached, "peer:1"},
+		{"all links are slow: read anew", map[string]float64{"store": 30, "peer": 30}, cached, ""},
 		{"the store came back empty", map[string]float64{"store": 900, "peer": 900}, map[string]int{"peer": 20 * prefixindex.Fine}, "peer:1"},
 		{"no news of anybody", nil, nil, ""},
 		{"it keeps as much itself", nil, map[string]int{"own": 40 * prefixindex.Fine, "store": 40 * prefixindex.Fine}, ""},
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -69,13 +69,13 @@
 func (a *audit) find(fits func(Event) bool) []Event {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var found []Event
+	var events []Event
 	for i := range a.events {
 		if e := a.events[(a.at+i)%len(a.events)]; fits(e) {
-			found = append(found, e)
+			events = append(events, e)
 		}
 	}
-	return found
+	return events
 }
 
 // Exchange is one request on its way through the chain.
@@ -165,7 +165,7 @@
 // end closes a request that was not answered.
 func (r *Router) end(x *Exchange, err error) {
 	to := Failed
-	if apierror.Is(err, apierror.Stale) || apierror.Is(err, apierror.Held) {
+	if apierror.Is(err, apierror.Stale) || apierror.Is(err, apierror.Throttled) {
 		to = Stale
 	}
 	if x.State == Submitted {
--- a/router/filters.go
+++ b/router/filters.go
@@ -49,12 +49,12 @@
 
 // checkHeader holds a request's header to the configuration's bound.
 func (v *View) checkHeader(q *http.Request) error {
-	most := defaultHeaderBytes
+	limit := defaultHeaderBytes
 	if v.limits.HeaderBytes > 0 {
-		most = v.limits.HeaderBytes
+		limit = v.limits.HeaderBytes
 	}
-	if size := headerSize(q); size > most {
-		return apierror.New(apierror.HeaderOversize, "a header of %d bytes, at most %d", size, most)
+	if size := headerSize(q); size > limit {
+		return apierror.New(apierror.HeaderOversize, "a header of %d bytes, at most %d", size, limit)
 	}
 	return nil
 }
@@ -134,12 +134,12 @@
 	if err := x.lead(x.View); err != nil {
 		return err
 	}
-	most := x.Path.MaxBody
+	limit := x.Path.MaxBody
 	if bound := x.View.limits.BodyBytes; bound > 0 {
-		most = bound
+		limit = bound
 	}
-	if len(body) > most {
-		return apierror.New(apierror.Oversize, "%d bytes, at most %d", len(body), most)
+	if len(body) > limit {
+		return apierror.New(apierror.Oversize, "%d bytes, at most %d", len(body), limit)
 	}
 	x.Key = x.connection.header.Key
 	if len(x.Key) > 256 {
@@ -235,7 +235,7 @@
 		}
 		var unsent errUnsent
 		if errors.As(err, &unsent) { // nothing arrived anywhere: it is not paid for
-			if x.unsentAttempts++; x.unsentAttempts > unsentMost {
+			if x.unsentAttempts++; x.unsentAttempts > maxUnsent {
 				return r.givenUp(x, unsent.cause)
 			}
 			if x.State == Submitted {
@@ -254,7 +254,7 @@
 	}
 }
 
-const unsentMost = 6
+const maxUnsent = 6
 
 // errUnsent is an attempt of which no byte was written.
 type errUnsent struct{ cause error }
@@ -284,7 +284,7 @@
 	if until.IsZero() || until.Before(x.Deadline) {
 		return nil
 	}
-	return again(apierror.New(apierror.Held, "%s is held", x.item.Scope), time.Until(until))
+	return again(apierror.New(apierror.Throttled, "%s is held", x.item.Scope), time.Until(until))
 }
 
 // givenUp is the final answer of a request that has no attempt left; it says when to come back.
@@ -318,18 +318,18 @@
 		switch {
 		case r.stopping.Load():
 			return again(apierror.New(apierror.Stopping, "stopped while waiting"), time.Second)
-		case apierror.Is(err, apierror.Held), apierror.Is(err, apierror.QueueFull):
+		case apierror.Is(err, apierror.Throttled), apierror.Is(err, apierror.QueueFull):
 			return err
 		case ctx.Err() == context.Canceled:
-			return apierror.New(apierror.CallerGone, "left while waiting")
+			return apierror.New(apierror.ClientGone, "left while waiting")
 		}
 		return again(apierror.Of(err), time.Second)
 	}
 	x.replica, x.weights, x.source, x.sink, x.prefill = c.replica, c.weights, c.source, c.sink, c
 	x.placement = c.placement
-	kept := false
+	cached := false
 	defer func() {
-		if !kept {
+		if !cached {
 			r.endPrefill(x)
 			r.release(c)
 			r.queue.Wake(x.item.Pool)
@@ -338,7 +338,7 @@
 	if err := onward(ctx, x); err != nil {
 		return err
 	}
-	kept = true
+	cached = true
 	finish := x.Answer.finish
 	x.Answer.finish = func(err error) {
 		r.release(c)
--- a/router/framing.go
+++ b/router/framing.go
@@ -26,18 +26,18 @@
 // Read counts in passing. A line may be cut anywhere.
 func (c *watched) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	for rest := b[:n]; len(rest) > 0; {
+	for remaining := b[:n]; len(remaining) > 0; {
 		if c.matched == 0 {
-			at := bytes.IndexByte(rest, lengthHeader[0])
+			at := bytes.IndexByte(remaining, lengthHeader[0])
 			if at < 0 {
 				break
 			}
-			rest, c.matched = rest[at+1:], 1
+			remaining, c.matched = remaining[at+1:], 1
 			continue
 		}
-		switch char := rest[0]; {
+		switch char := remaining[0]; {
 		case char|0x20 == lengthHeader[c.matched] || char == lengthHeader[c.matched]:
-			rest = rest[1:]
+			remaining = remaining[1:]
 			if c.matched++; c.matched == len(lengthHeader) {
 				c.lengths.Add(1)
 				c.matched = 0
--- a/router/model_test.go
+++ b/router/model_test.go
@@ -93,19 +93,19 @@
 		p := &pool{answers: &answerTime{}}
 		is.Equal(sentUntil(p), 9*time.Second)
 		for range 100 {
-			p.answers.learn(3 * time.Second)
+			p.answers.observe(3 * time.Second)
 		}
 		is.Equal(sentUntil(p), 7*time.Second)
 		for n := range 200 {
-			p.answers.learn(time.Duration(3+2*(n%2)) * time.Second)
+			p.answers.observe(time.Duration(3+2*(n%2)) * time.Second)
 		}
 		is.True(sentUntil(p) <= 6100*time.Millisecond && sentUntil(p) >= 5900*time.Millisecond)
 		for range 100 {
-			p.answers.learn(time.Minute)
+			p.answers.observe(time.Minute)
 		}
 		is.Equal(sentUntil(p), 5*time.Second)
 		for range 100 {
-			p.answers.learn(time.Millisecond)
+			p.answers.observe(time.Millisecond)
 		}
 		is.Equal(sentUntil(p), 9*time.Second)
 		is.True(r.mayStart(v, p, "m", 2, now.Add(time.Hour)))
--- a/router/pool.go
+++ b/router/pool.go
@@ -161,8 +161,8 @@
 		return d
 	}
 	d.cached = r.index.Cached(x.chain(domain))
-	for _, kept := range d.cached {
-		d.maxCached = max(d.maxCached, kept)
+	for _, cached := range d.cached {
+		d.maxCached = max(d.maxCached, cached)
 	}
 	if n := len(x.Prompt.Segments); n > 1 {
 		d.shared = x.Prompt.Size() - x.Prompt.Segments[n-1].Size
@@ -262,8 +262,8 @@
 		if x.Prompt.Segments == nil {
 			chain = prefixindex.TextBlocks(domain, x.Prompt.Text)
 		}
-		for _, part := range x.Prompt.Segments {
-			chain = append(chain, prefixindex.Block{Key: domain + "/" + part.ID, Size: part.Size})
+		for _, element := range x.Prompt.Segments {
+			chain = append(chain, prefixindex.Block{Key: domain + "/" + element.ID, Size: element.Size})
 		}
 		x.blocks[domain] = chain
 	}
--- a/router/protocol.go
+++ b/router/protocol.go
@@ -44,8 +44,8 @@
 		return len(p.Text)
 	}
 	sum := 0
-	for _, part := range p.Segments {
-		sum += part.Size
+	for _, element := range p.Segments {
+		sum += element.Size
 	}
 	return sum
 }
@@ -117,11 +117,11 @@
 
 // ReadHeader reads the headers.
 func (ChatProtocol) ReadHeader(q *http.Request) (o ClientHeader, err error) {
-	word, bearer := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
+	text, bearer := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
 	if !bearer {
 		return o, apierror.New(apierror.BadKey, "no bearer key")
 	}
-	o = ClientHeader{Secret: word, Key: q.Header.Get("Idempotency-Key"), Idempotent: q.Header.Get("X-Repeatable")}
+	o = ClientHeader{Secret: text, Key: q.Header.Get("Idempotency-Key"), Idempotent: q.Header.Get("X-Repeatable")}
 	if text := q.Header.Get("X-Deadline-Ms"); text != "" {
 		ms, err := strconv.Atoi(text)
 		if err != nil || ms < 1 {
@@ -205,7 +205,7 @@
 	switch {
 	case r.StatusCode == 429:
 		v.NotExecuted, v.Throttled, v.NamesTenant = true, true, body.Error.Type == "tenant_throttled"
-	case r.StatusCode == 412 && (body.Error.Type == "weights_mismatch" || isPlacementGone(body.Error.Type)):
+	case r.StatusCode == 412 && (body.Error.Type == "weights_mismatch" || isPlacementMissing(body.Error.Type)):
 		v.NotExecuted, v.PickAgain = true, true
 	case r.StatusCode == 503 && (body.Error.Type == "overloaded" || body.Error.Type == "leaving" || body.Error.Type == "warming"):
 		v.NotExecuted, v.PickAgain, v.NoSlot = true, true, body.Error.Type == "overloaded"
--- a/router/query.go
+++ b/router/query.go
@@ -128,9 +128,9 @@
 		for name, rep := range v.replicas {
 			row := Row{"proxy": r.options.Name, "replica": name, "pool": rep.Pool, "zone": rep.Zone, "state": rep.State,
 				"own_running": rep.running.Load(), "share": rep.share, "fit": false}
-			if said := rep.report.Load(); said != nil {
-				row["weights"], row["running"], row["warm"] = said.Weights, said.Running, said.Warm
-				row["report_ms"] = time.Since(said.at).Milliseconds()
+			if report := rep.report.Load(); report != nil {
+				row["weights"], row["running"], row["warm"] = report.Weights, report.Running, report.Warm
+				row["report_ms"] = time.Since(report.at).Milliseconds()
 			}
 			if p := v.pools[rep.Pool]; p != nil {
 				fit := len(p.Models) == 0
@@ -145,8 +145,8 @@
 	case "fields":
 		for _, key := range r.agent.Keys() {
 			if key == config.Key || key == config.ReplicasKey || strings.HasPrefix(key, config.KeysPrefix) {
-				held := r.agent.Read(key)
-				rows = append(rows, FieldRows(r.options.Name, key, held.Revision, held.Fields)...)
+				state := r.agent.Read(key)
+				rows = append(rows, FieldRows(r.options.Name, key, state.Revision, state.Fields)...)
 			}
 		}
 	case "counts":
--- a/router/relay.go
+++ b/router/relay.go
@@ -42,15 +42,15 @@
 	err := r.relayBody(w, x)
 	x.Answer.end(err)
 	if err == nil {
-		x.Pool.answers.learn(time.Since(x.Sent))
+		x.Pool.answers.observe(time.Since(x.Sent))
 		r.step(x, Done, "")
 		r.reportClaim(x, "ran")
 		return nil
 	}
 	if x.Request.Context().Err() != nil {
-		err = apierror.New(apierror.CallerGone, "left during the answer")
+		err = apierror.New(apierror.ClientGone, "left during the answer")
 	} else {
-		err = apierror.Wrap(err, apierror.StreamCut, "relay")
+		err = apierror.Wrap(err, apierror.StreamBroken, "relay")
 		r.log.Warn().Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("stream broke off at a replica")
 	}
 	r.counts.reject(apierror.Of(err).Code)
@@ -88,7 +88,7 @@
 		x.LastEventID = stream.lastID
 		stream.dropPartial()
 		if failure := r.resume(x, err); failure != nil {
-			return apierror.Wrap(err, apierror.StreamCut, failure.Error())
+			return apierror.Wrap(err, apierror.StreamBroken, failure.Error())
 		}
 	}
 }
@@ -108,7 +108,7 @@
 		return err
 	}
 	if x.Answer.Status != http.StatusOK || x.Answer.buffer == nil {
-		return apierror.New(apierror.StreamCut, "the other replica answered %d", x.Answer.Status)
+		return apierror.New(apierror.StreamBroken, "the other replica answered %d", x.Answer.Status)
 	}
 	return nil
 }
@@ -163,7 +163,7 @@
 		}
 		if errors.Is(err, io.EOF) {
 			if a.AtEnd != nil && !a.AtEnd(tail) {
-				return errBroken{apierror.New(apierror.StreamCut, "no end mark")}
+				return errBroken{apierror.New(apierror.StreamBroken, "no end mark")}
 			}
 			if unfinished := stream.dropPartial(); len(unfinished) > 0 {
 				_, err := w.Write(unfinished)
--- a/router/router.go
+++ b/router/router.go
@@ -161,7 +161,7 @@
 		r.queue.WakeAll()
 	})
 	r.queue = queue.New(queue.Options[credit]{
-		Pick: r.pick, Return: r.returnUnused, HeldUntil: r.throttles.Last, ReleaseDelay: r.releaseDelay,
+		Pick: r.pick, Return: r.returnUnused, NotBefore: r.throttles.Last, ReleaseDelay: r.releaseDelay,
 	})
 	r.agent = watch.NewClient(watch.ClientOptions{
 		RPC: r.rpc, Address: options.Agent, Path: "/agent/pull", Wait: options.AgentWatchWait,
--- a/router/send.go
+++ b/router/send.go
@@ -102,7 +102,7 @@
 // matchResponse refuses an answer that is none, or another request's: whatever it says, it says nothing of this request, which may have run.
 func (r *Router) matchResponse(x *Exchange, answer *http.Response) error {
 	if answer.StatusCode < http.StatusOK || answer.StatusCode > highestStatus {
-		return r.handleLostAttempt(x, apierror.New(apierror.ReplicaSaid, "status %d", answer.StatusCode))
+		return r.handleLostAttempt(x, apierror.New(apierror.ReplicaRejected, "status %d", answer.StatusCode))
 	}
 	if id := r.options.Protocol.AnswerID(answer); id != x.ID {
 		r.log.Error().Str("request", x.ID).Str("answer", id).Str("replica", x.replica.Name).Msg("answer bears the ID of another request")
@@ -119,7 +119,7 @@
 
 // observeResponse takes what an answer tells of its replica.
 func (r *Router) observeResponse(x *Exchange, answer *http.Response) {
-	if seen, told := r.options.Protocol.Occupancy(answer); told {
+	if seen, reported := r.options.Protocol.Occupancy(answer); reported {
 		seen.at = time.Now()
 		if before := x.replica.seen.Load(); before != nil {
 			seen.Free = before.Free
@@ -195,7 +195,7 @@
 		case failure != errUnwritten:
 			return nil, failure
 		case x.Request.Context().Err() != nil:
-			return nil, apierror.New(apierror.CallerGone, "left before the request was written")
+			return nil, apierror.New(apierror.ClientGone, "left before the request was written")
 		}
 		r.coolDown(x.replica)
 		return nil, errUnsent{unwritten(answer, err)}
@@ -215,9 +215,9 @@
 func unwritten(answer *http.Response, err error) error {
 	if answer != nil {
 		_ = answer.Body.Close()
-		return apierror.New(apierror.ReplicaSaid, "an answer came before the request was written")
+		return apierror.New(apierror.ReplicaRejected, "an answer came before the request was written")
 	}
-	return apierror.Wrap(err, apierror.ReplicaSaid, "no connection, or none that was written to")
+	return apierror.Wrap(err, apierror.ReplicaRejected, "no connection, or none that was written to")
 }
 
 // readFirstChunk reads the first piece of a stream, or a short answer whole.
@@ -254,7 +254,7 @@
 const maxBufferedBody = 1 << 20
 
 // errUnframed is an answer that only the connection's end would end: one that was cut off looks just like it.
-var errUnframed = apierror.New(apierror.StreamCut, "an answer without an end of its own")
+var errUnframed = apierror.New(apierror.StreamBroken, "an answer without an end of its own")
 
 // handleLostAttempt ends an attempt that may have run.
 func (r *Router) handleLostAttempt(x *Exchange, err error) error {
@@ -274,7 +274,7 @@
 // handleRejection reads a refusal: a throttle holds the tenant's scope; all that the dialect defines as not run may be tried again.
 func (r *Router) handleRejection(x *Exchange, answer *http.Response, v Outcome) error {
 	r.counts.add("refusals", 1)
-	cause := apierror.New(apierror.ReplicaSaid, "%s refused: %s", x.replica.Name, v.Reason)
+	cause := apierror.New(apierror.ReplicaRejected, "%s refused: %s", x.replica.Name, v.Reason)
 	if v.Throttled {
 		r.counts.add("refusals_pushed", 1)
 		rule := r.view.Load().hold
@@ -294,7 +294,7 @@
 	if v.PickAgain {
 		r.coolDown(x.replica)
 	}
-	if isPlacementGone(v.Reason) {
+	if isPlacementMissing(v.Reason) {
 		x.forgetPlacement()
 	}
 	if v.NoSlot {
--- a/router/updates.go
+++ b/router/updates.go
@@ -34,8 +34,8 @@
 	}
 	if view {
 		v, err := r.compile(func(key string) (register.Revision, register.Fields) {
-			held := f.Read(key)
-			return held.Revision, held.Fields
+			state := f.Read(key)
+			return state.Revision, state.Fields
 		}, f.Keys(), r.IsCurrent())
 		if err != nil {
 			r.log.Error().Err(err).Msg("configuration not compiled")
@@ -55,12 +55,12 @@
 		return
 	}
 	for name, raw := range fields {
-		var told []int
+		var reported []int
 		rep := v.replicas[name]
-		if rep == nil || json.Unmarshal(raw, &told) != nil || len(told) != 3 {
+		if rep == nil || json.Unmarshal(raw, &reported) != nil || len(reported) != 3 {
 			continue
 		}
-		rep.occupied(&Occupancy{Running: told[0], Waiting: told[1], Free: told[2], Slots: rep.Limit,
+		rep.occupied(&Occupancy{Running: reported[0], Waiting: reported[1], Free: reported[2], Slots: rep.Limit,
 			at: time.Now().Add(-time.Duration(agesMs[name]) * time.Millisecond)})
 	}
 }
@@ -72,18 +72,18 @@
 	}
 	for name, raw := range fields {
 		rep := v.replicas[name]
-		var said Report
-		if rep == nil || json.Unmarshal(raw, &said) != nil {
+		var latest Report
+		if rep == nil || json.Unmarshal(raw, &latest) != nil {
 			continue
 		}
 		before := rep.report.Load()
-		if before != nil && before.Number == said.Number && before.Run == said.Run {
+		if before != nil && before.Number == latest.Number && before.Run == latest.Run {
 			continue
 		}
-		if before != nil && before.Run != said.Run {
+		if before != nil && before.Run != latest.Run {
 			r.index.Forget(name, nil)
 		}
-		rep.report.Store(&report{Report: said, at: time.Now()})
+		rep.report.Store(&report{Report: latest, at: time.Now()})
 		rep.sent.Store(0)
 	}
 }
@@ -93,10 +93,10 @@
 		r.index.Forget(replica, nil)
 		r.sources.Delete(replica)
 	}
-	var gone []string
+	var removed []string
 	for block, raw := range fields {
 		if register.IsDeleted(raw) {
-			gone = append(gone, block)
+			removed = append(removed, block)
 			if block == CacheUp {
 				r.sources.Delete(replica)
 			}
@@ -106,12 +106,12 @@
 			r.sources.Store(replica, true)
 			continue
 		}
-		if kept, err := strconv.Atoi(string(raw)); err == nil {
-			r.index.Update(replica, block, kept)
+		if cached, err := strconv.Atoi(string(raw)); err == nil {
+			r.index.Update(replica, block, cached)
 		}
 	}
-	if gone != nil {
-		r.index.Forget(replica, gone)
+	if removed != nil {
+		r.index.Forget(replica, removed)
 	}
 }
 
--- a/router/view.go
+++ b/router/view.go
@@ -178,8 +178,8 @@
 	if err := v.compileAdapters(plan, read); err != nil {
 		return nil, err
 	}
-	_, told := read(config.LoadsKey)
-	orders, err := config.Load[config.LoadOrder](told)
+	_, reported := read(config.LoadsKey)
+	orders, err := config.Load[config.LoadOrder](reported)
 	if err != nil {
 		return nil, err
 	}
@@ -212,8 +212,8 @@
 	}
 	for name, p := range plan.Pools {
 		made := &pool{Pool: p, index: r.names.of("pool/" + name)}
-		kept, _ := r.windows.LoadOrStore(name, &concurrencyWindow{})
-		made.window, made.answers = kept.(*concurrencyWindow), &answerTime{}
+		cached, _ := r.windows.LoadOrStore(name, &concurrencyWindow{})
+		made.window, made.answers = cached.(*concurrencyWindow), &answerTime{}
 		if old != nil && old.pools[name] != nil {
 			made.answers = old.pools[name].answers
 		}
@@ -251,16 +251,16 @@
 			v.stores = append(v.stores, &replica{Replica: config.Replica{Name: StoreName(name), Address: p.Address, Pool: name, Zone: p.Zone, State: config.ReplicaPresent}, load: newLoad()})
 		}
 	}
-	for name, told := range replicas {
-		made := &replica{Replica: told, load: newLoad(), index: r.names.of("replica/" + name)}
+	for name, reported := range replicas {
+		made := &replica{Replica: reported, load: newLoad(), index: r.names.of("replica/" + name)}
 		if order, ok := orders[name]; ok {
 			made.order = &order
 		}
-		if old != nil && old.replicas[name] != nil && old.replicas[name].Address == told.Address {
+		if old != nil && old.replicas[name] != nil && old.replicas[name].Address == reported.Address {
 			made.load = old.replicas[name].load
 		}
-		made.share = share(told.Limit, v.proxies, r.options.Name, name)
-		if p := v.pools[told.Pool]; p != nil {
+		made.share = share(reported.Limit, v.proxies, r.options.Name, name)
+		if p := v.pools[reported.Pool]; p != nil {
 			p.replicas = append(p.replicas, made)
 			if p.Kind == config.StorePool {
 				v.stores = append(v.stores, made)
@@ -284,9 +284,9 @@
 	if len(proxies) == 0 {
 		return limit
 	}
-	part, rest := limit/len(proxies), limit%len(proxies)
-	if rest == 0 || !slices.Contains(proxies, own) {
-		return part
+	element, remaining := limit/len(proxies), limit%len(proxies)
+	if remaining == 0 || !slices.Contains(proxies, own) {
+		return element
 	}
 	rank, weight := 0, rendezvous.Weight(replica, own)
 	for _, name := range proxies {
@@ -294,10 +294,10 @@
 			rank++
 		}
 	}
-	if rank < rest {
-		part++
+	if rank < remaining {
+		element++
 	}
-	return part
+	return element
 }
 
 const (
--- a/sim/codes_test.go
+++ b/sim/codes_test.go
@@ -58,7 +58,7 @@
 		f.behave(fake.Behaviour{Tenant: "c", CutAfter: 1})
 		_, _, text := f.Ask(0, "c", "", chat("light"))
 		is.True(strings.Contains(text, "broken off"))
-		is.Equal(f.sum("bounce_"+apierror.StreamCut.Name), int64(1))
+		is.Equal(f.sum("bounce_"+apierror.StreamBroken.Name), int64(1))
 
 		// A caller that leaves while it waits did not run.
 		f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryAfter: "8"})
@@ -74,7 +74,7 @@
 		leave()
 		asking.Wait()
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(f.sum("bounce_"+apierror.CallerGone.Name), int64(1))
+		is.Equal(f.sum("bounce_"+apierror.ClientGone.Name), int64(1))
 
 		// Refused with nothing left for a retry: the answer names the refusal.
 		f.behave(fake.Behaviour{Refusing: true})
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -304,7 +304,7 @@
 		is.NoErr(claim("n2", "running"))
 		is.NoErr(claim("n2", "ran"))
 		time.Sleep(15 * time.Second) // n1's age is over, n2's is not
-		is.True(apierror.Is(claim("n3", "running"), apierror.KeyRan))
+		is.True(apierror.Is(claim("n3", "running"), apierror.KeyExecuted))
 		time.Sleep(10 * time.Second)
 		is.NoErr(claim("n4", "running")) // now it is
 	})
--- a/throttle/signals.go
+++ b/throttle/signals.go
@@ -11,7 +11,7 @@
 	mu       sync.Mutex
 	refusals map[int]*refusals    // by tenant
 	served   map[[2]int]time.Time // replica and tenant → when the last request that was served was sent
-	refused  map[[2]int]time.Time // replica and tenant → last refusal
+	rejected map[[2]int]time.Time // replica and tenant → last refusal
 	baseline map[[2]int]*baseline // replica and kind
 	tenants  map[int]*slowness
 }
@@ -51,7 +51,7 @@
 
 // NewSignals makes an empty observer.
 func NewSignals() *Signals {
-	return &Signals{refusals: map[int]*refusals{}, served: map[[2]int]time.Time{}, refused: map[[2]int]time.Time{},
+	return &Signals{refusals: map[int]*refusals{}, served: map[[2]int]time.Time{}, rejected: map[[2]int]time.Time{},
 		baseline: map[[2]int]*baseline{}, tenants: map[int]*slowness{}}
 }
 
@@ -72,14 +72,14 @@
 	if r.first[replica].IsZero() {
 		r.first[replica] = now
 	}
-	s.refused[[2]int{replica, tenant}] = now
+	s.rejected[[2]int{replica, tenant}] = now
 	if r.count < 2 {
 		return false
 	}
 	anotherServed := false
 	for at, sent := range s.served {
 		first, refuser := r.first[at[0]]
-		if at[1] != tenant && refuser && sent.After(first) && now.Sub(s.refused[at]) > window {
+		if at[1] != tenant && refuser && sent.After(first) && now.Sub(s.rejected[at]) > window {
 			return true
 		}
 		anotherServed = anotherServed || at[1] != tenant && now.Sub(sent) < lately
@@ -97,7 +97,7 @@
 
 // Began takes the delay to the first piece of a request. cold is how long reading the whole prompt anew may take: a delay that this explains
 // is no signal. It says whether the tenant has just shown as slowed.
-func (s *Signals) Began(replica, kind, tenant int, delay, cold time.Duration, slowRatio float64) bool {
+func (s *Signals) Began(replica, kind, tenant int, delay, prefill time.Duration, slowRatio float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -128,7 +128,7 @@
 		return false
 	}
 	slices.Sort(others)
-	base := max(others[(len(others)-1)/2], cold.Seconds(), 0.001)
+	base := max(others[(len(others)-1)/2], prefill.Seconds(), 0.001)
 	t := s.tenants[tenant]
 	if t == nil || now.Sub(t.ratio.at) > memory {
 		t = &slowness{}
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -45,8 +45,8 @@
 }
 
 // NewTable makes a table; news (may be nil) is told of each extension, outside the lock.
-func NewTable(news func(Entry)) *Table {
-	return &Table{scopes: map[string]*Entry{}, onChange: news}
+func NewTable(onChange func(Entry)) *Table {
+	return &Table{scopes: map[string]*Entry{}, onChange: onChange}
 }
 
 // Merge takes a notice; it says whether the scope's moment moved.
@@ -78,10 +78,10 @@
 		return false
 	}
 	e.Notice, e.Until = n, until
-	told := *e
+	published := *e
 	t.mu.Unlock()
 	if t.onChange != nil {
-		t.onChange(told)
+		t.onChange(published)
 	}
 	return true
 }
