--- a/golden/words_test.go
+++ b/golden/words_test.go
@@ -16,10 +16,10 @@
 	words        = regexp.MustCompile("[A-Za-z]+")
 )
 
-// withdrawnWords reads the table of docs/style.md.
+// withdrawnWords reads the table of docs/glossary.md.
 func withdrawnWords(t *testing.T) map[string]bool {
 	withdrawn := map[string]bool{}
-	for _, row := range withdrawnRow.FindAllStringSubmatch(sources(t, "style.md")["../docs/style.md"], -1) {
+	for _, row := range withdrawnRow.FindAllStringSubmatch(sources(t, "glossary.md")["../docs/glossary.md"], -1) {
 		for _, word := range quoted.FindAllStringSubmatch(row[1], -1) {
 			withdrawn[word[1]] = true
 		}
@@ -28,9 +28,9 @@
 	return withdrawn
 }
 
-// staying reads what a line of docs/style.md lets stay.
+// staying reads what a line of docs/glossary.md lets stay.
 func staying(t *testing.T, beginning string) (all []string) {
-	_, line, _ := strings.Cut(sources(t, "style.md")["../docs/style.md"], "\n"+beginning)
+	_, line, _ := strings.Cut(sources(t, "glossary.md")["../docs/glossary.md"], "\n"+beginning)
 	line, _, _ = strings.Cut(line, "\n")
 	for _, name := range quoted.FindAllStringSubmatch(line, -1) {
 		all = append(all, name[1])
@@ -80,7 +80,7 @@
 		}
 		read++
 		for _, word := range withdrawnIn(text, withdrawn, inSources) {
-			t.Errorf("%s, %s is withdrawn; docs/style.md has its standard term", path, word)
+			t.Errorf("%s, %s is withdrawn; docs/glossary.md has its standard term", path, word)
 		}
 	}
 	is.New(t).True(read > 100)
@@ -92,11 +92,11 @@
 		inPages = append(inPages, kept)
 	}
 	for path, text := range sources(t, ".md") {
-		if path == "../docs/style.md" {
+		if path == "../docs/glossary.md" {
 			continue
 		}
 		for _, word := range withdrawnIn(text, withdrawn, inPages) {
-			t.Errorf("%s, %s is withdrawn; docs/style.md has its standard term", path, word)
+			t.Errorf("%s, %s is withdrawn; docs/glossary.md has its standard term", path, word)
 		}
 	}
 }
--- a/router/wire.go
+++ b/router/wire.go
@@ -1,6 +1,6 @@
 package router
 
-// Names on the wire that keep their first words, so that callers and operators read what they always read (docs/style.md).
+// Names on the wire that keep their first words, so that callers and operators read what they always read (docs/glossary.md).
 const (
 	// VersionHeader has the version of the configuration under which a request was sent.
 	VersionHeader = "X-Blueprint-Version"
