--- a/router/query.go
+++ b/router/query.go
@@ -2,8 +2,9 @@
 
 import (
 	"context"
+	"maps"
 	"net/http"
-	"sort"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -102,66 +103,95 @@
 	return rows
 }
 
-// Rows answers a query on this router's own state.
+// Rows answers a query on this router's own state. The error is apierror.NotFound for a kind that there is not.
 func (r *Router) Rows(_ context.Context, q Query) ([]Row, error) {
-	v := r.view.Load()
-	var rows []Row
 	switch q.What {
 	case "requests":
-		for _, e := range r.audit.find(func(e Event) bool { return q.Name == "" || e.Request == q.Name }) {
-			rows = append(rows, Row{"proxy": r.options.Name, "request": e.Request, "tenant": e.Tenant, "prior": e.Prior,
-				"new": e.New, AttemptColumn: e.Attempt, "at": e.At.UTC().Format(time.RFC3339Nano), "reason": e.Reason, "replica": e.Replica})
-		}
+		return r.requestRows(q.Name), nil
 	case "backlog":
-		for _, d := range r.depths() {
-			rows = append(rows, Row{"proxy": r.options.Name, "tenant": d.tenant, "pool": d.pool, "waiting": d.Count, "oldest_ms": d.Oldest.Milliseconds()})
-		}
+		return r.backlogRows(), nil
 	case "holds":
-		for _, n := range r.throttles.All() {
-			rows = append(rows, Row{"where": r.options.Name, "scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason,
-				AttemptColumn: n.Attempt, "mark": n.ID, "raw": n.Raw, "observed": n.Observed})
-		}
+		return r.throttleRows(), nil
 	case "replicas":
-		if v == nil {
-			return nil, nil
-		}
-		for name, rep := range v.replicas {
-			row := Row{"proxy": r.options.Name, "replica": name, "pool": rep.Pool, "zone": rep.Zone, "state": rep.State,
-				"own_running": rep.running.Load(), "share": rep.share, "fit": false}
-			if report := rep.report.Load(); report != nil {
-				row["weights"], row["running"], row["warm"] = report.Weights, report.Running, report.Warm
-				row["report_ms"] = time.Since(report.at).Milliseconds()
-			}
-			if p := v.pools[rep.Pool]; p != nil {
-				fit := len(p.Models) == 0
-				for _, model := range append([]string{""}, p.Models...) {
-					_, serving := r.canServe(v, p, rep, model, time.Now())
-					fit = fit || serving
-				}
-				row["fit"] = fit
-			}
-			rows = append(rows, row)
-		}
+		return r.replicaRows(), nil
 	case "fields":
-		for _, key := range r.agent.Keys() {
-			if key == config.Key || key == config.ReplicasKey || strings.HasPrefix(key, config.KeysPrefix) {
-				state := r.agent.Read(key)
-				rows = append(rows, FieldRows(r.options.Name, key, state.Revision, state.Fields)...)
-			}
-		}
+		return r.registerRows(), nil
 	case "counts":
-		row := Row{"proxy": r.options.Name, "index": r.index.Len(), "room_used": r.bodyMemory.inUse()}
-		for name, n := range r.counts.all() {
-			row[name] = n
+		return r.countRows(), nil
+	}
+	return nil, apierror.New(apierror.NotFound, "no query %q", q.What)
+}
+
+// requestRows shows the steps of one request, or of all that the audit has.
+func (r *Router) requestRows(id string) (rows []Row) {
+	for _, e := range r.audit.find(func(e Event) bool { return id == "" || e.Request == id }) {
+		rows = append(rows, Row{"proxy": r.options.Name, "request": e.Request, "tenant": e.Tenant, "prior": e.Prior,
+			"new": e.New, AttemptColumn: e.Attempt, "at": e.At.UTC().Format(time.RFC3339Nano), "reason": e.Reason, "replica": e.Replica})
+	}
+	return rows
+}
+
+func (r *Router) backlogRows() (rows []Row) {
+	for _, d := range r.depths() {
+		rows = append(rows, Row{"proxy": r.options.Name, "tenant": d.tenant, "pool": d.pool, "waiting": d.Count, "oldest_ms": d.Oldest.Milliseconds()})
+	}
+	return rows
+}
+
+func (r *Router) throttleRows() (rows []Row) {
+	for _, n := range r.throttles.All() {
+		rows = append(rows, Row{"where": r.options.Name, "scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason,
+			AttemptColumn: n.Attempt, "mark": n.ID, "raw": n.Raw, "observed": n.Observed})
+	}
+	return rows
+}
+
+// replicaRows shows the replicas as this router sees them, in the order of their names.
+func (r *Router) replicaRows() (rows []Row) {
+	v := r.view.Load()
+	if v == nil {
+		return nil
+	}
+	for _, name := range slices.Sorted(maps.Keys(v.replicas)) {
+		rep := v.replicas[name]
+		row := Row{"proxy": r.options.Name, "replica": name, "pool": rep.Pool, "zone": rep.Zone, "state": rep.State,
+			"own_running": rep.running.Load(), "share": rep.share, "fit": false}
+		if report := rep.report.Load(); report != nil {
+			row["weights"], row["running"], row["warm"] = report.Weights, report.Running, report.Warm
+			row["report_ms"] = time.Since(report.at).Milliseconds()
+		}
+		if p := v.pools[rep.Pool]; p != nil {
+			row["fit"] = r.servesAny(v, p, rep)
 		}
 		rows = append(rows, row)
-	default:
-		return nil, apierror.New(apierror.NotFound, "no query %q", q.What)
-	}
-	sort.SliceStable(rows, func(i, j int) bool {
-		a, _ := rows[i]["replica"].(string)
-		b, _ := rows[j]["replica"].(string)
-		return q.What == "replicas" && a < b
-	})
-	return rows, nil
+	}
+	return rows
+}
+
+// servesAny reports whether a replica can serve some model of its pool now; one of a pool without models always can.
+func (r *Router) servesAny(v *View, p *pool, rep *replica) bool {
+	serves := len(p.Models) == 0
+	for _, model := range append([]string{""}, p.Models...) {
+		_, can := r.canServe(v, p, rep, model, time.Now())
+		serves = serves || can
+	}
+	return serves
+}
+
+func (r *Router) registerRows() (rows []Row) {
+	for _, key := range r.agent.Keys() {
+		if key == config.Key || key == config.ReplicasKey || strings.HasPrefix(key, config.KeysPrefix) {
+			state := r.agent.Read(key)
+			rows = append(rows, FieldRows(r.options.Name, key, state.Revision, state.Fields)...)
+		}
+	}
+	return rows
+}
+
+func (r *Router) countRows() []Row {
+	row := Row{"proxy": r.options.Name, "index": r.index.Len(), "room_used": r.bodyMemory.inUse()}
+	for name, n := range r.counts.all() {
+		row[name] = n
+	}
+	return []Row{row}
 }
