--- a/router/relay.go
+++ b/router/relay.go
@@ -113,63 +113,62 @@
 	return nil
 }
 
-// relayReplica passes on what one replica sends.
+// replicaRelay passes one replica's answer on to the client.
+type replicaRelay struct {
+	router *Router
+	w      http.ResponseWriter
+	flush  *http.ResponseController
+	x      *Exchange
+	stream *eventStream
+	// resumable: the client gets complete events only, so that the stream can go on at another replica.
+	resumable bool
+	// tail is the end of what was passed on, where the stream's own end marker is looked for.
+	tail []byte
+}
+
+// relayReplica passes on what one replica sends. The error is errBroken if the replica broke the answer off.
 func (r *Router) relayReplica(w http.ResponseWriter, flush *http.ResponseController, x *Exchange, stream *eventStream) error {
 	a := x.Answer
-	// A caller that stops reading is not waited for without end; a writer that knows no deadlines has its own bounds.
+	// A client that stops reading is not waited for without end; a writer that knows no deadlines has its own bounds.
 	_ = flush.SetWriteDeadline(time.Now().Add(r.chunkTimeout(x)))
 	if a.Complete {
 		_, err := w.Write(a.firstChunk)
 		return err
 	}
-	isEvents := a.buffer != nil
-	if !isEvents {
+	events := a.buffer != nil
+	if !events {
 		a.buffer = chunkBuffers.Get().(*[chunkSize]byte)
 	}
 	defer func() {
-		chunkBuffers.Put(a.buffer) // First, which lies in it, is written by then
-		if !isEvents {
+		chunkBuffers.Put(a.buffer) // the first chunk, which lies in it, is written by then
+		if !events {
 			a.buffer = nil
 		}
 	}()
-	pass := func(b []byte) error {
-		if isEvents && x.Path.Resumable {
-			if b = stream.complete(b); len(b) == 0 {
-				return nil
-			}
-		}
-		if _, err := w.Write(b); err != nil {
-			return err
-		}
-		return flush.Flush()
-	}
-	tail := append([]byte(nil), a.firstChunk[max(0, len(a.firstChunk)-tailSize):]...)
-	if err := pass(a.firstChunk); err != nil {
+	relay := &replicaRelay{router: r, w: w, flush: flush, x: x, stream: stream, resumable: events && x.Path.Resumable}
+	return relay.run()
+}
+
+// run passes on the first chunk, and then each as it comes. A replica that sends none for the chunk's time-out is cut off.
+func (p *replicaRelay) run() error {
+	a := p.x.Answer
+	if err := p.pass(a.firstChunk); err != nil {
 		return err
 	}
-	timer := time.AfterFunc(r.chunkTimeout(x), func() { _ = a.Body.Close() })
+	timer := time.AfterFunc(p.router.chunkTimeout(p.x), func() { _ = a.Body.Close() })
 	defer timer.Stop()
 	for {
 		n, err := a.Body.Read(a.buffer[:])
 		if n > 0 {
-			wait := r.chunkTimeout(x)
-			timer.Reset(wait)
-			_ = flush.SetWriteDeadline(time.Now().Add(wait))
-			tail = append(tail, a.buffer[:n]...)
-			tail = append(tail[:0], tail[max(0, len(tail)-tailSize):]...)
-			if err := pass(a.buffer[:n]); err != nil {
+			timeout := p.router.chunkTimeout(p.x)
+			timer.Reset(timeout)
+			_ = p.flush.SetWriteDeadline(time.Now().Add(timeout)) // as above
+			if err := p.pass(a.buffer[:n]); err != nil {
 				return err
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if a.AtEnd != nil && !a.AtEnd(tail) {
-				return errBroken{apierror.New(apierror.StreamBroken, "no end mark")}
-			}
-			if unfinished := stream.dropPartial(); len(unfinished) > 0 {
-				_, err := w.Write(unfinished)
-				return err
-			}
-			return nil
+			return p.end()
 		}
 		if err != nil {
 			return errBroken{err}
@@ -177,6 +176,34 @@
 	}
 }
 
+// pass writes a chunk at once; of a resumable stream, the events that are complete.
+func (p *replicaRelay) pass(chunk []byte) error {
+	p.tail = append(p.tail, chunk[max(0, len(chunk)-tailSize):]...)
+	p.tail = append(p.tail[:0], p.tail[max(0, len(p.tail)-tailSize):]...)
+	if p.resumable {
+		if chunk = p.stream.complete(chunk); len(chunk) == 0 {
+			return nil
+		}
+	}
+	if _, err := p.w.Write(chunk); err != nil {
+		return err
+	}
+	return p.flush.Flush()
+}
+
+// end makes sure that the answer is complete, and writes what follows its last complete event.
+func (p *replicaRelay) end() error {
+	if a := p.x.Answer; a.AtEnd != nil && !a.AtEnd(p.tail) {
+		return errBroken{apierror.New(apierror.StreamBroken, "no end mark")}
+	}
+	unfinished := p.stream.dropPartial()
+	if len(unfinished) == 0 {
+		return nil
+	}
+	_, err := p.w.Write(unfinished)
+	return err
+}
+
 // eventStream cuts a stream into whole events, and knows the last one's id.
 type eventStream struct {
 	lastID  uint64
--- a/router/router.go
+++ b/router/router.go
@@ -46,31 +46,6 @@
 // StoreName is a declared store's name in the index of kept prompts.
 func StoreName(pool string) string { return storeName + pool }
 
-// Options of a router.
-type Options struct {
-	Name            string // unique in the fleet
-	Zone            string
-	Fleet           string
-	Agent           string // the agent's address on loopback
-	Net             rpc.Network
-	Log             zerolog.Logger
-	Seed            uint64
-	Protocol        Protocol
-	Filters         []Filter // policies of one's own, after identity and path are known
-	Audit           int      // events kept; 0: 4096
-	PrefixIndexSize int      // entries of the index of kept prompts; 0: no index, the choice goes by load and by the prompt's opening
-	Admin           string   // where the agent reaches this router's queries
-	BodyMemory      int64    // bytes of callers' bodies held at a time; 0: 256 MiB
-	// OldWeightsLimit is how long work may begin on old weights after the new ones were learned; 0: 12 s (§6.2).
-	OldWeightsLimit time.Duration
-	// RetrySlack is how many retries all routers together may send beyond their part; 0: five each (§5.4).
-	RetrySlack     float64
-	RetryRatio     float64          // of retries to first ones that is allowed; 0: not told (§5.4)
-	AgentWatchWait time.Duration    // how long an ask is held by the agent; 0: 100 ms
-	KeepAlive      time.Duration    // how long an idle connection to a replica is kept; 0: 5 s
-	Clock          func() time.Time // the wall clock, for audit events and dates that a replica does not date itself; nil: the machine's
-}
-
 // Router is one data plane process's state.
 type Router struct {
 	options         Options
@@ -119,47 +94,43 @@
 	return throttle.Backoff(rule, attempt, l.r)
 }
 
+const (
+	// idleReplicaConnections bounds the idle connections that are kept to each replica.
+	idleReplicaConnections = 64
+	// throttleReportQueue is how many throttles may wait to be reported to the agent.
+	throttleReportQueue = 256
+	runIDLength         = 8
+)
+
 // New makes a router; Run has it follow its agent.
 func New(options Options) *Router {
-	if options.Audit == 0 {
-		options.Audit = 4096
-	}
-	if options.BodyMemory == 0 {
-		options.BodyMemory = defaultBodyMemory
-	}
-	if options.Clock == nil {
-		options.Clock = time.Now
-	}
-	if options.OldWeightsLimit == 0 {
-		options.OldWeightsLimit = oldWeightsTime
-	}
-	if options.AgentWatchWait == 0 {
-		options.AgentWatchWait = 100 * time.Millisecond
-	}
-	if options.KeepAlive == 0 {
-		options.KeepAlive = 5 * time.Second
-	}
-	if options.Protocol == nil {
-		options.Protocol = ChatProtocol{}
-	}
-	h := fnv.New64a()
-	_, _ = h.Write([]byte(options.Name))
+	options = options.withDefaults()
+	nameHash := fnv.New64a()
+	_, _ = nameHash.Write([]byte(options.Name)) // a hash never fails
 	r := &Router{
-		options: options, log: options.Log, rpc: rpc.NewClient(options.Fleet, options.Net),
-		upstream: &http.Transport{
-			MaxIdleConnsPerHost: 64, IdleConnTimeout: options.KeepAlive, DisableCompression: true,
-		},
-		names: indices{map[string]int{}}, signals: throttle.NewSignals(), index: prefixindex.NewIndex(options.PrefixIndexSize),
-		audit: newAudit(options.Audit), counts: newCounts(), budget: budget{tokens: retryAllowance, ratio: ratioOf(options.RetryRatio)}, bodyMemory: memoryBudget{limit: options.BodyMemory, byTenant: map[int]int64{}},
-		runID: rand.Text()[:8], streaks: streaks{byScope: map[string]int{}},
-		random:          &lockedRandom{r: mathrand.New(mathrand.NewPCG(options.Seed, h.Sum64()))},
-		throttleReports: make(chan throttle.Notice, 256), stopped: make(chan struct{}),
+		options:         options,
+		log:             options.Log,
+		rpc:             rpc.NewClient(options.Fleet, options.Net),
+		names:           indices{map[string]int{}},
+		signals:         throttle.NewSignals(),
+		index:           prefixindex.NewIndex(options.PrefixIndexSize),
+		audit:           newAudit(options.Audit),
+		counts:          newCounts(),
+		budget:          budget{tokens: retryAllowance, ratio: ratioOf(options.RetryRatio)},
+		bodyMemory:      memoryBudget{limit: options.BodyMemory, byTenant: map[int]int64{}},
+		runID:           rand.Text()[:runIDLength],
+		streaks:         streaks{byScope: map[string]int{}},
+		random:          &lockedRandom{r: mathrand.New(mathrand.NewPCG(options.Seed, nameHash.Sum64()))},
+		throttleReports: make(chan throttle.Notice, throttleReportQueue),
+		stopped:         make(chan struct{}),
 	}
-	r.upstream.DialContext = r.dialGuarded
-	r.throttles = throttle.NewTable(func(e throttle.Entry) {
-		r.log.Info().Str("scope", e.Scope).Str("id", e.ID).Int64("remaining_ms", e.RemainingMs).Str("reason", e.Reason).Msg("throttle extended")
-		r.queue.WakeAll()
-	})
+	r.upstream = &http.Transport{
+		DialContext:         r.dialGuarded,
+		MaxIdleConnsPerHost: idleReplicaConnections,
+		IdleConnTimeout:     options.KeepAlive,
+		DisableCompression:  true,
+	}
+	r.throttles = throttle.NewTable(r.throttleExtended)
 	r.queue = queue.New(queue.Options[credit]{
 		Pick: r.pick, Return: r.returnUnused, NotBefore: r.throttles.Last, ReleaseDelay: r.releaseDelay,
 	})
@@ -167,10 +138,20 @@
 		RPC: r.rpc, Address: options.Agent, Path: "/agent/pull", Wait: options.AgentWatchWait,
 		Request: r.watchRequest, OnUpdate: r.applyUpdates, OnResponse: r.fresh,
 	})
-	filters := []Filter{
-		currencyFilter{r}, identityFilter{r}, pathFilter{r},
-	}
-	filters = append(filters, options.Filters...)
+	r.linkFilters()
+	return r
+}
+
+// throttleExtended wakes the queue when a throttle here was extended.
+func (r *Router) throttleExtended(e throttle.Entry) {
+	r.log.Info().Str("scope", e.Scope).Str("id", e.ID).Int64("remaining_ms", e.RemainingMs).Str("reason", e.Reason).Msg("throttle extended")
+	r.queue.WakeAll()
+}
+
+// linkFilters makes the chain that each request goes through, the last filter first. What comes after the attempts is a chain of its own.
+func (r *Router) linkFilters() {
+	filters := []Filter{currencyFilter{r}, identityFilter{r}, pathFilter{r}}
+	filters = append(filters, r.options.Filters...)
 	filters = append(filters, attemptsFilter{r}, queueFilter{r}, claimFilter{r}, sendFilter{r})
 	r.chain = func(context.Context, *Exchange) error {
 		return apierror.New(apierror.Internal, "no filter answered")
@@ -182,7 +163,6 @@
 		}
 		r.chain = func(ctx context.Context, x *Exchange) error { return filter.Handle(ctx, x, onward) }
 	}
-	return r
 }
 
 // Run follows the agent and reports holds until the context ends.
