--- a/apierror/apierror.go
+++ b/apierror/apierror.go
@@ -14,10 +14,11 @@
 // Execution says what is known of a request when an error ends it.
 type Execution string
 
+// What is known, as the header X-Ran spells it.
 const (
-	NotRun  Execution = "no"
-	DidRun  Execution = "yes"
-	Unknown Execution = "unknown"
+	NotRun  Execution = "no"      // a promise: no replica has begun it
+	DidRun  Execution = "yes"     // it was executed, at least in part
+	Unknown Execution = "unknown" // it may have been executed
 )
 
 // Code is one row of the table of result codes.
@@ -115,6 +116,7 @@
 	err   error
 }
 
+// Error gives the code, the place, and what each layer said, the outermost first.
 func (f *Error) Error() string {
 	text := fmt.Sprintf("%d %s", f.Code.Number, f.Code.Name)
 	if f.Field != "" {
@@ -129,6 +131,7 @@
 	return text
 }
 
+// Unwrap gives what the error was made of.
 func (f *Error) Unwrap() error { return f.err }
 
 // StatusCode lets go-kit's transports answer with the code's status.
--- a/cmd/asterridgectl/main.go
+++ b/cmd/asterridgectl/main.go
@@ -56,7 +56,7 @@
 		set.PrintDefaults()
 	}
 	set.Usage = func() { explain(os.Stderr) }
-	_ = set.Parse(os.Args[1:])
+	_ = set.Parse(os.Args[1:]) // ExitOnError
 	s := &shell{wire: rpc.NewClient(*fleet, &rpc.TCP{}), out: os.Stdout, jSON: *format == "json", explain: explain}
 	for _, core := range strings.Split(*cores, ",") {
 		if core = strings.TrimSpace(core); core != "" {
@@ -125,7 +125,7 @@
 		return s.failed(err)
 	}
 	if s.jSON {
-		_ = json.NewEncoder(s.out).Encode(a)
+		_ = json.NewEncoder(s.out).Encode(a) // a terminal that is gone has nobody to tell
 	} else {
 		fmt.Fprintf(s.out, "accepted as version %d\n", a.Version)
 	}
@@ -146,7 +146,7 @@
 
 func (s *shell) failed(err error) int {
 	if s.jSON {
-		_ = json.NewEncoder(s.out).Encode(apierror.ToBody(err))
+		_ = json.NewEncoder(s.out).Encode(apierror.ToBody(err)) // a terminal that is gone has nobody to tell
 	}
 	fmt.Fprintln(os.Stderr, err)
 	if apierror.Is(err, apierror.Unreachable) {
@@ -177,7 +177,7 @@
 
 func (s *shell) print(a controlplane.QueryResponse) {
 	if s.jSON {
-		_ = json.NewEncoder(s.out).Encode(a)
+		_ = json.NewEncoder(s.out).Encode(a) // a terminal that is gone has nobody to tell
 		return
 	}
 	var columns []string
@@ -201,7 +201,7 @@
 	for _, line := range lines {
 		fmt.Fprintln(w, line)
 	}
-	_ = w.Flush()
+	_ = w.Flush() // a terminal that is gone has nobody to tell
 	fmt.Fprintf(s.out, "%d rows\n", len(a.Rows))
 	if len(a.Unresponsive) > 0 {
 		fmt.Fprintf(s.out, "no answer from: %s\n", strings.Join(a.Unresponsive, ", "))
--- a/cmd/fakebackend/main.go
+++ b/cmd/fakebackend/main.go
@@ -67,9 +67,9 @@
 		raw, _ := json.Marshal(line) // plain structs always encode
 		mu.Lock()
 		defer mu.Unlock()
-		_, _ = lines.Write(append(raw, '\n'))
-		_ = lines.Flush()
-	}, func() { _ = file.Close() }
+		_, _ = lines.Write(append(raw, '\n')) // a ledger that cannot be written shows in the check
+		_ = lines.Flush()                     // as above
+	}, func() { _ = file.Close() } // each line was flushed
 }
 
 func replica() {
@@ -97,7 +97,7 @@
 			return err
 		}
 		server := &http.Server{Handler: r.Handler(), ReadHeaderTimeout: 10 * time.Second}
-		go func() { <-ctx.Done(); _ = server.Close() }()
+		go func() { <-ctx.Done(); _ = server.Close() }() // the process ends
 		if err := server.Serve(listener); err != http.ErrServerClosed {
 			return err
 		}
--- a/cmd/localfleet/chaos.go
+++ b/cmd/localfleet/chaos.go
@@ -76,7 +76,7 @@
 }
 
 func (c *chaos) tell(name string, order any) {
-	c.orders.Go(func() { _, _ = c.order(c.ctx, name, order) })
+	c.orders.Go(func() { _, _ = c.order(c.ctx, name, order) }) // the fact log has how it ended
 }
 
 // say is the platform's word on a replica; its words come one after another.
@@ -186,7 +186,7 @@
 	c.note("faults: %s", strings.Join(played, ", "))
 	return c.ensure(slices.DeleteFunc(slices.Clone(c.started), func(name string) bool {
 		var i int
-		_, _ = fmt.Sscanf(name, "core-%d", &i)
+		_, _ = fmt.Sscanf(name, "core-%d", &i) // other names keep the number 0
 		return name == "callers" || c.gone[i-1]
 	})...)
 }
--- a/cmd/localfleet/faults.go
+++ b/cmd/localfleet/faults.go
@@ -271,7 +271,7 @@
 			name, _ := row["name"].(string)
 			member := row["state"] == "member"
 			if member && (joiners[name] || row["live"] != true) {
-				_, _ = f.order(ctx, "members", membership.Change{Action: membership.Remove, Name: name})
+				_, _ = f.order(ctx, "members", membership.Change{Action: membership.Remove, Name: name}) // the loop asks again
 				return false
 			}
 			if member {
@@ -280,7 +280,7 @@
 		}
 		for name := range joiners {
 			if joiners[name] && count < 4 {
-				_, _ = f.order(ctx, "members", membership.Change{Action: membership.Admit, Name: name.(string)})
+				_, _ = f.order(ctx, "members", membership.Change{Action: membership.Admit, Name: name.(string)}) // the loop asks again
 				return false
 			}
 		}
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -40,7 +40,7 @@
 	set.BoolVar(&o.observe, "observe", false, "hold in observe-only mode: for paired runs without the shared hold")
 	set.IntVar(&o.index, "index", 200000, "entries of each proxy's index of kept prompts; 0: none")
 	script := set.String("script", "throttle", "what happens during the run")
-	_ = set.Parse(os.Args[1:])
+	_ = set.Parse(os.Args[1:]) // ExitOnError
 	chosen, err := findScript(*script)
 	if err == nil {
 		err = o.check()
--- a/cmd/localfleet/orders.go
+++ b/cmd/localfleet/orders.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return false
 	}
-	_ = r.Body.Close()
+	_ = r.Body.Close() // the status is all that counts
 	return r.StatusCode == http.StatusOK
 }
 
--- a/cmd/localfleet/process.go
+++ b/cmd/localfleet/process.go
@@ -36,7 +36,7 @@
 	if err := p.cmd.Start(); err != nil {
 		return err
 	}
-	go func() { _ = p.cmd.Wait(); close(p.ended) }()
+	go func() { _ = p.cmd.Wait(); close(p.ended) }() // the exit code says nothing of a killed process
 	if f.processes[name] == nil {
 		f.started = append(f.started, name)
 	}
@@ -100,14 +100,14 @@
 // stop ends all processes that this tool started: kindly first, then not.
 func (f *fleet) stop() {
 	for i := len(f.started) - 1; i >= 0; i-- {
-		_ = f.processes[f.started[i]].cmd.Process.Signal(syscall.SIGTERM)
+		_ = f.processes[f.started[i]].cmd.Process.Signal(syscall.SIGTERM) // one that has ended already is what is wanted
 	}
 	limit := time.After(6 * time.Second)
 	for _, name := range f.started {
 		select {
 		case <-f.processes[name].ended:
 		case <-limit:
-			_ = f.processes[name].cmd.Process.Kill()
+			_ = f.processes[name].cmd.Process.Kill() // as above
 			<-f.processes[name].ended
 		}
 	}
--- a/cmd/localfleet/relay.go
+++ b/cmd/localfleet/relay.go
@@ -79,11 +79,11 @@
 		}
 		if err != nil {
 			if err == io.EOF {
-				_ = into.(*net.TCPConn).CloseWrite()
+				_ = into.(*net.TCPConn).CloseWrite() // a connection that is gone needs none
 			} else {
-				_ = into.(*net.TCPConn).SetLinger(0)
-				_ = into.Close()
-				_ = out.Close()
+				_ = into.(*net.TCPConn).SetLinger(0) // a connection that is gone needs none
+				_ = into.Close()                     // a connection that is gone needs none
+				_ = out.Close()                      // a connection that is gone needs none
 			}
 			r.mu.Lock()
 			delete(r.conns, out)
@@ -137,8 +137,8 @@
 	defer r.mu.Unlock()
 	for c, ends := range r.conns {
 		if ends[0] == ip || ends[1] == ip {
-			_ = c.(*net.TCPConn).SetLinger(0)
-			_ = c.Close()
+			_ = c.(*net.TCPConn).SetLinger(0) // a connection that is gone needs none
+			_ = c.Close()                     // a connection that is gone needs none
 		}
 	}
 }
--- a/cmd/localfleet/report.go
+++ b/cmd/localfleet/report.go
@@ -116,7 +116,7 @@
 		fmt.Fprintf(w, "%d\t%d\t%d\t%s\t%s\n", finding.Rule, finding.Count, finding.Seen, finding.Name, finding.First)
 		sum += finding.Count
 	}
-	_ = w.Flush()
+	_ = w.Flush() // a terminal that is gone has nobody to tell
 	fmt.Println("data:", f.options.data)
 	return sum
 }
--- a/cmd/scalebench/child.go
+++ b/cmd/scalebench/child.go
@@ -270,7 +270,7 @@
 	r.stop, r.ended = stop, make(chan struct{})
 	c.all.Go(func() {
 		defer close(r.ended)
-		_ = core.Serve(ctx, l)
+		_ = core.Serve(ctx, l) // it ends with the child
 	})
 	return nil
 }
@@ -315,7 +315,7 @@
 			options.Protocol, options.Grace = toldDialect{}, 0
 		}
 		agent := agent.New(c.place("agent", i, zones, outer.Addr().String()), nil, options)
-		c.all.Go(func() { _ = agent.Serve(c.ctx, local, outer) })
+		c.all.Go(func() { _ = agent.Serve(c.ctx, local, outer) }) // it ends with the child
 		s.Addresses, s.Locals = append(s.Addresses, outer.Addr().String()), append(s.Locals, local.Addr().String())
 	}
 	return s, nil
@@ -350,7 +350,7 @@
 		s.Descriptors = len(files)
 	}
 	if c.setup.Folder != "" {
-		_ = filepath.WalkDir(c.setup.Folder, func(_ string, entry os.DirEntry, err error) error {
+		_ = filepath.WalkDir(c.setup.Folder, func(_ string, entry os.DirEntry, err error) error { // files come and go while they are counted
 			if err != nil || entry.IsDir() {
 				return nil // files come and go
 			}
@@ -390,7 +390,7 @@
 
 // serveReports answers as replicas of our own interface do, for agents that poll them.
 func serveReports(l net.Listener) {
-	_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, `{"run":"a","number":1,"weights":"w1","running":3,"warm":true,"rate":4,"image":false}`)
+	_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { // it ends with the child
+		_, _ = io.WriteString(w, `{"run":"a","number":1,"weights":"w1","running":3,"warm":true,"rate":4,"image":false}`) // a reader that is gone asks again
 	}))
 }
--- a/cmd/scalebench/count.go
+++ b/cmd/scalebench/count.go
@@ -98,6 +98,7 @@
 
 var headEnd = []byte("\r\n\r\n")
 
+// Write counts the bytes of a request, and notes its path.
 func (c *countedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	head := 0
@@ -120,6 +121,7 @@
 	return n, err
 }
 
+// Read counts the bytes of an answer.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
--- a/cmd/scalebench/fleet.go
+++ b/cmd/scalebench/fleet.go
@@ -52,9 +52,9 @@
 		return nil, nil, nil, err
 	}
 	end := func() {
-		_ = in.Close()
-		late := time.AfterFunc(10*time.Second, func() { _ = cmd.Process.Kill() })
-		_ = cmd.Wait()
+		_ = in.Close()                                                            // its process is told to end by it
+		late := time.AfterFunc(10*time.Second, func() { _ = cmd.Process.Kill() }) // it may have ended
+		_ = cmd.Wait()                                                            // what counts was reported
 		late.Stop()
 	}
 	return in, out, end, cmd.Start()
@@ -167,9 +167,9 @@
 		}
 	}
 	if f.reports != nil {
-		_ = f.reports.Close()
+		_ = f.reports.Close() // its process has ended
 	}
-	_ = os.RemoveAll(f.folder)
+	_ = os.RemoveAll(f.folder) // a temporary folder
 }
 
 func (f *fleet) look(do string) (now state, err error) {
--- a/cmd/scalebench/main.go
+++ b/cmd/scalebench/main.go
@@ -152,5 +152,5 @@
 		slope, at0, form := fit(s.rows, i)
 		fmt.Fprintf(w, "%.3g\t%.3g\t%s\n", slope, at0, form)
 	}
-	_ = w.Flush()
+	_ = w.Flush() // a terminal that is gone has nobody to tell
 }
--- a/cmd/scalebench/plot.go
+++ b/cmd/scalebench/plot.go
@@ -53,10 +53,13 @@
 	i    int
 }
 
+// Len implements plotter.XYer.
 func (p points) Len() int { return len(p.rows) }
 
+// XY implements plotter.XYer.
 func (p points) XY(at int) (x, y float64) { return p.rows[at].size, p.rows[at].figures[p.i].value }
 
+// YError implements plotter.YErrorer.
 func (p points) YError(at int) (low, high float64) {
 	f := p.rows[at].figures[p.i]
 	return f.value - f.low, f.high - f.value
@@ -116,7 +119,7 @@
 		return err
 	}
 	if _, err = canvas.WriteTo(file); err != nil {
-		_ = file.Close()
+		_ = file.Close() // the first error counts
 		return err
 	}
 	return file.Close()
--- a/config/adapter.go
+++ b/config/adapter.go
@@ -23,6 +23,7 @@
 // Phase of a retirement, or of one adapter in it.
 type Phase string
 
+// The phases.
 const (
 	Moving   Phase = "moving"   // adapters are loaded on the new base, tried, switched
 	Clearing Phase = "clearing" // every adapter answers there; no proxy may be able to send to the old base before the first drop
--- a/config/value.go
+++ b/config/value.go
@@ -17,6 +17,7 @@
 	at   int // byte position, from 1
 }
 
+// Reject makes an error that names this value's path and position.
 func (v Value) Reject(c apierror.Code, format string, args ...any) error {
 	f := apierror.New(c, format, args...)
 	f.Field, f.At = v.path, v.at
@@ -51,6 +52,7 @@
 	return nil
 }
 
+// Object reads a JSON object field by field, in its order. A field that is given twice is an error.
 func (v Value) Object(read func(name string, field Value) error) error {
 	if err := v.need(jx.Object, "an object"); err != nil {
 		return err
@@ -76,6 +78,7 @@
 	return path + "." + name
 }
 
+// List reads a JSON array item by item.
 func (v Value) List(read func(item Value) error) error {
 	if err := v.need(jx.Array, "a list"); err != nil {
 		return err
@@ -91,6 +94,7 @@
 	})
 }
 
+// Text reads a string.
 func (v Value) Text() (string, error) {
 	if err := v.need(jx.String, "a string"); err != nil {
 		return "", err
@@ -110,6 +114,7 @@
 	return s, err
 }
 
+// OneOf reads a string that is one of the given ones.
 func (v Value) OneOf(words ...string) (string, error) {
 	s, err := v.Text()
 	if err != nil {
@@ -123,6 +128,7 @@
 	return "", v.Reject(apierror.OutOfRange, "%q is not one of %v", s, words)
 }
 
+// Flag reads true or false.
 func (v Value) Flag() (bool, error) {
 	if err := v.need(jx.Bool, "true or false"); err != nil {
 		return false, err
@@ -131,6 +137,7 @@
 	return b, apierror.Wrap(err, apierror.Malformed, "read "+v.path)
 }
 
+// Integer reads a whole number within a range.
 func (v Value) Integer(least, most int) (int, error) {
 	if err := v.need(jx.Number, "a whole number"); err != nil {
 		return 0, err
@@ -145,6 +152,7 @@
 	return n, nil
 }
 
+// Figure reads a number within a range.
 func (v Value) Figure(least, most float64) (float64, error) {
 	if err := v.need(jx.Number, "a number"); err != nil {
 		return 0, err
--- a/controlplane/acceptors.go
+++ b/controlplane/acceptors.go
@@ -103,7 +103,7 @@
 func (a remoteAcceptor) Commit(ctx context.Context, key string, revision register.Revision) {
 	request := a.request()
 	request.Key, request.Known = key, revision
-	_, _ = rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/settle", request)
+	_, _ = rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/settle", request) // see above
 }
 
 // checkRequest rejects register messages unless both ends are members under the same list. While a newer list is accepted here and not
--- a/controlplane/tick.go
+++ b/controlplane/tick.go
@@ -157,5 +157,5 @@
 	ctx, cancel := context.WithTimeout(ctx, protocol.QuorumTimeout)
 	defer cancel()
 	request := CommitRequest{Key: key, Accepted: c.acceptor.Revision(key)}
-	_, _ = rpc.Call[CommitResponse](ctx, c.rpc, c.membership().addressOf(owner), "/own/settle", request)
+	_, _ = rpc.Call[CommitResponse](ctx, c.rpc, c.membership().addressOf(owner), "/own/settle", request) // see above
 }
--- a/disk/files.go
+++ b/disk/files.go
@@ -35,11 +35,19 @@
 // systemFiles is the file system of the machine.
 type systemFiles struct{}
 
-func (systemFiles) MkdirAll(path string) error           { return os.MkdirAll(path, 0o755) }
-func (systemFiles) Rename(from, to string) error         { return os.Rename(from, to) }
-func (systemFiles) Remove(path string) error             { return os.Remove(path) }
+// MkdirAll implements Files.
+func (systemFiles) MkdirAll(path string) error { return os.MkdirAll(path, 0o755) }
+
+// Rename implements Files.
+func (systemFiles) Rename(from, to string) error { return os.Rename(from, to) }
+
+// Remove implements Files.
+func (systemFiles) Remove(path string) error { return os.Remove(path) }
+
+// ReadFile implements Files.
 func (systemFiles) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
+// CreateTemp implements Files.
 func (systemFiles) CreateTemp(folder, prefix string) (File, error) {
 	file, err := os.CreateTemp(folder, prefix)
 	if err != nil {
@@ -48,6 +56,7 @@
 	return file, nil
 }
 
+// ReadDir implements Files.
 func (systemFiles) ReadDir(path string) ([]Entry, error) {
 	list, err := os.ReadDir(path)
 	if err != nil {
@@ -60,6 +69,7 @@
 	return entries, nil
 }
 
+// SyncDir implements Files.
 func (systemFiles) SyncDir(path string) error {
 	handle, err := os.Open(path)
 	if err != nil {
--- a/disk/folder.go
+++ b/disk/folder.go
@@ -126,7 +126,7 @@
 			continue
 		}
 		if entry.Name[0] == '.' {
-			_ = d.files.Remove(filepath.Join(d.Root, folder, entry.Name))
+			_ = d.files.Remove(filepath.Join(d.Root, folder, entry.Name)) // else the next listing does it
 			continue
 		}
 		names = append(names, entry.Name)
--- a/fake/caller.go
+++ b/fake/caller.go
@@ -206,7 +206,7 @@
 		if err != nil {
 			return nil, err
 		}
-		_ = dress(ctx, q)
+		_ = dress(ctx, q) // it fails for a missing key alone, and there is one
 		return o.Client.Do(q)
 	}
 	client, err := api.NewClient("http://"+d.Proxy, api.WithHTTPClient(o.Client), api.WithRequestEditorFn(dress))
--- a/fake/check_config.go
+++ b/fake/check_config.go
@@ -115,7 +115,7 @@
 
 // attributes takes a field's new content apart; a field that goes has the one attribute "", which is nil.
 func attributes(value json.RawMessage) (all map[string]json.RawMessage) {
-	if _ = json.Unmarshal(value, &all); all == nil {
+	if _ = json.Unmarshal(value, &all); all == nil { // what cannot be read is shown as it is
 		all = map[string]json.RawMessage{"": nil}
 	}
 	return all
--- a/fake/factlog.go
+++ b/fake/factlog.go
@@ -86,7 +86,7 @@
 func (d *FactLog) Order(name string, order any, version uint64, tried bool) {
 	raw, _ := json.Marshal(order) // plain structs always encode
 	var o orderText
-	_ = json.Unmarshal(raw, &o)
+	_ = json.Unmarshal(raw, &o) // as below
 	took := Fact{Kind: Took, Version: version, Tried: tried, Fields: register.Fields{}}
 	more := func(kind, name, value string) { d.Add(Fact{Kind: kind, Name: name, Value: value, Tried: tried}) }
 	switch name {
@@ -174,7 +174,7 @@
 		Hold   json.RawMessage     `json:"hold"`
 		Remove map[string][]string `json:"remove"`
 	}
-	_ = json.Unmarshal(text, &rest)
+	_ = json.Unmarshal(text, &rest) // a text that the cores rejected as well
 	if rest.Hold != nil {
 		fields["hold"] = rest.Hold
 	}
--- a/fake/kv.go
+++ b/fake/kv.go
@@ -45,7 +45,7 @@
 		answer.Blocks = append(answer.Blocks, *b)
 	}
 	r.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(answer) // a reader that is gone asks again
 }
 
 // takeBlocks keeps blocks that a replica has made: a store's side.
--- a/fake/replica.go
+++ b/fake/replica.go
@@ -210,7 +210,7 @@
 		body.Kept, body.Dropped = body.Dropped, body.Kept
 	}
 	r.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(body)
+	_ = json.NewEncoder(w).Encode(body) // a reader that is gone asks again
 }
 
 func (r *Replica) isWarm() bool { return time.Now().After(r.warmAt) }
--- a/fake/replica_cache.go
+++ b/fake/replica_cache.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if r.options.Store != "" && len(made) > 0 {
-		go func() { _ = r.post(context.Background(), r.options.Store+"/kv/put", made, nil) }()
+		go func() { _ = r.post(context.Background(), r.options.Store+"/kv/put", made, nil) }() // a store that lacks it is read by nobody
 	}
 }
 
--- a/fake/replica_serve.go
+++ b/fake/replica_serve.go
@@ -195,7 +195,7 @@
 	r.options.Ledger(run)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, answer)
+	_, _ = io.WriteString(w, answer) // a reader that is gone asks again
 }
 
 // Stream is what one run of a request writes, its end marker included; the checker makes it again from the ledger.
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -119,8 +119,8 @@
 	defer cancel()
 	p.Router.Drain()
 	if p.options.ReadinessLinger > 0 {
-		server.SetKeepAlivesEnabled(false) // each answer ends its connection
-		_ = rpc.Sleep(ctx, p.options.ReadinessLinger)
+		server.SetKeepAlivesEnabled(false)            // each answer ends its connection
+		_ = rpc.Sleep(ctx, p.options.ReadinessLinger) // it ends sooner if the grace does
 	}
 	p.Router.Stop(ctx)
 	if server.Shutdown(ctx) != nil {
--- a/proxy/timeouts.go
+++ b/proxy/timeouts.go
@@ -76,7 +76,7 @@
 	defer c.mu.Unlock()
 	c.stop()
 	c.idle, c.header = true, times.header
-	c.timer = time.AfterFunc(times.idle, func() { _ = c.Conn.Close() })
+	c.timer = time.AfterFunc(times.idle, func() { _ = c.Conn.Close() }) // a connection that is closed already is what is wanted
 }
 
 // stopIdle ends the wait: a whole header has arrived, or the connection is closed.
--- a/relaytest/client.go
+++ b/relaytest/client.go
@@ -195,8 +195,8 @@
 	k.write(text)
 	k.w.pause(100 * time.Millisecond)
 	if k.w.draw(2) == 0 {
-		_ = k.c.SetReadDeadline(time.Now().Add(time.Second))
-		_, _ = k.in.ReadByte()
+		_ = k.c.SetReadDeadline(time.Now().Add(time.Second)) // a connection that is gone ends the read as well
+		_, _ = k.in.ReadByte()                               // a connection that is gone ends the read as well
 	}
 	k.leave()
 }
@@ -297,7 +297,7 @@
 func (k *caller) read(s *Sent, g Got) (open bool) {
 	g.Tag, g.From = s.Tag, time.Now()
 	defer func() { k.w.take(g) }()
-	_ = k.c.SetReadDeadline(time.Now().Add(patience))
+	_ = k.c.SetReadDeadline(time.Now().Add(patience)) // a connection that is gone ends the read as well
 	var answer *http.Response
 	for {
 		var err error
@@ -322,7 +322,7 @@
 
 // listenOn waits on a connection on which no request is under way: nothing may come.
 func (k *caller) listenOn() {
-	_ = k.c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
+	_ = k.c.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // a connection that is gone ends the read as well
 	if stray, err := k.in.Peek(1); err == nil {
 		more, _ := k.in.Peek(k.in.Buffered())
 		k.w.take(Got{Stray: string(stray) + string(more)})
--- a/relaytest/replica.go
+++ b/relaytest/replica.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		panic(err)
 	}
-	running.Go(func() { <-ctx.Done(); _ = listener.Close() })
+	running.Go(func() { <-ctx.Done(); _ = listener.Close() }) // the test ends
 	running.Go(func() {
 		for {
 			c, err := listener.Accept()
--- a/relaytest/seeds.go
+++ b/relaytest/seeds.go
@@ -48,6 +48,7 @@
 // panics is a log that looks for net/http's word on a handler that panicked.
 type panics struct{ t *testing.T }
 
+// Write implements io.Writer.
 func (p panics) Write(b []byte) (int, error) {
 	if bytes.Contains(b, []byte("panic serving")) {
 		p.t.Errorf("%s", b)
--- a/relaytest/world.go
+++ b/relaytest/world.go
@@ -182,6 +182,6 @@
 // pieces of a stream, by its tag.
 func pieces(tag string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(tag))
+	_, _ = h.Write([]byte(tag)) // a hash never fails
 	return 2 + h.Sum64()%5
 }
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -8,8 +8,8 @@
 func Weight(key, name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // a hash never fails
-	_, _ = h.Write([]byte{0})
-	_, _ = h.Write([]byte(key))
+	_, _ = h.Write([]byte{0})    // as above
+	_, _ = h.Write([]byte(key))  // as above
 	return mix(h.Sum64())
 }
 
--- a/router/body_memory.go
+++ b/router/body_memory.go
@@ -79,7 +79,7 @@
 		taken += n
 		return nil
 	}
-	_ = x.connection.control.SetReadDeadline(time.Now().Add(bodyLimit + time.Duration(max(0, q.ContentLength))*time.Second/bodyRate))
+	_ = x.connection.control.SetReadDeadline(time.Now().Add(bodyLimit + time.Duration(max(0, q.ContentLength))*time.Second/bodyRate)) // a connection that knows none has its own bounds
 	var body bytes.Buffer
 	if q.ContentLength > 0 {
 		if err := grow(q.ContentLength); err != nil {
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -15,14 +15,15 @@
 // State of a request (docs/design.md §5.1).
 type State string
 
+// The states, in the order in which a request comes through them.
 const (
-	Received  State = "received"
-	Eligible  State = "eligible"
-	Submitted State = "submitted"
-	RetryWait State = "retry_wait"
-	Done      State = "done"
-	Failed    State = "failed"
-	Stale     State = "stale"
+	Received  State = "received"   // its header was read
+	Eligible  State = "eligible"   // it waits in the queue
+	Submitted State = "submitted"  // it is being written to a replica
+	RetryWait State = "retry_wait" // it is to be attempted again
+	Done      State = "done"       // its answer was passed on
+	Failed    State = "failed"     // it ended with an error
+	Stale     State = "stale"      // its deadline passed while it waited
 )
 
 // next lists the steps that a request may take.
--- a/router/framing.go
+++ b/router/framing.go
@@ -59,6 +59,7 @@
 
 type watchedListener struct{ net.Listener }
 
+// Accept implements net.Listener.
 func (l watchedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
--- a/router/protocol.go
+++ b/router/protocol.go
@@ -193,14 +193,14 @@
 	if r.StatusCode != 429 && r.StatusCode != 503 && r.StatusCode != 412 {
 		return Outcome{Served: true}
 	}
-	raw, _ := io.ReadAll(io.LimitReader(r.Body, 1<<16))
+	raw, _ := io.ReadAll(io.LimitReader(r.Body, 1<<16)) // what came of it is all that there is
 	var body struct {
 		Error struct {
 			Type   string `json:"type"`
 			Reason string `json:"message"`
 		} `json:"error"`
 	}
-	_ = json.Unmarshal(raw, &body)
+	_ = json.Unmarshal(raw, &body) // one that cannot be read gives no reason
 	v := Outcome{Reason: body.Error.Type}
 	switch {
 	case r.StatusCode == 429:
--- a/router/relay.go
+++ b/router/relay.go
@@ -130,7 +130,7 @@
 func (r *Router) relayReplica(w http.ResponseWriter, flush *http.ResponseController, x *Exchange, stream *eventStream) error {
 	a := x.Answer
 	// A client that stops reading is not waited for without end; a writer that knows no deadlines has its own bounds.
-	_ = flush.SetWriteDeadline(time.Now().Add(r.chunkTimeout(x)))
+	_ = flush.SetWriteDeadline(time.Now().Add(r.chunkTimeout(x))) // see above
 	if a.Complete {
 		_, err := w.Write(a.firstChunk)
 		return err
@@ -155,7 +155,7 @@
 	if err := p.pass(a.firstChunk); err != nil {
 		return err
 	}
-	timer := time.AfterFunc(p.router.chunkTimeout(p.x), func() { _ = a.Body.Close() })
+	timer := time.AfterFunc(p.router.chunkTimeout(p.x), func() { _ = a.Body.Close() }) // which ends the read below
 	defer timer.Stop()
 	for {
 		n, err := a.Body.Read(a.buffer[:])
--- a/router/replica_conn.go
+++ b/router/replica_conn.go
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	if err := rpc.BoundSend(c, ackLimit, sendBuffer); err != nil {
-		_ = c.Close()
+		_ = c.Close() // the first error counts
 		return nil, apierror.Wrap(err, apierror.Internal, "bound the connection")
 	}
 	return &replicaConn{Conn: c}, nil
@@ -89,7 +89,7 @@
 	if t == nil || t.check == nil {
 		return nil
 	}
-	_ = g.Conn.SetWriteDeadline(time.Now().Add(writeLimit))
+	_ = g.Conn.SetWriteDeadline(time.Now().Add(writeLimit)) // a closed connection fails the write as well
 	if t.view, t.failure = t.check(); t.failure != nil {
 		t.view = nil
 		return t.failure
@@ -120,6 +120,6 @@
 	defer g.mu.Unlock()
 	if g.current == t {
 		g.unusable = true
-		_ = g.Close()
+		_ = g.Close() // it is not used again
 	}
 }
--- a/router/send.go
+++ b/router/send.go
@@ -67,7 +67,7 @@
 	}
 	if err := r.matchResponse(x, answer); err != nil {
 		timer.Stop()
-		_ = answer.Body.Close()
+		_ = answer.Body.Close() // nothing of it is passed on
 		x.write.discard()
 		stop()
 		return err
@@ -76,12 +76,12 @@
 	verdict := r.options.Protocol.Classify(answer)
 	if !verdict.Served {
 		timer.Stop()
-		_ = answer.Body.Close()
+		_ = answer.Body.Close() // nothing of it is passed on
 		stop()
 		return r.handleRejection(x, answer, verdict)
 	}
 	x.Answer = &Answer{Status: answer.StatusCode, Header: answer.Header, Body: answer.Body, finish: func(error) {
-		_ = answer.Body.Close()
+		_ = answer.Body.Close() // nothing of it is passed on
 		stop()
 	}}
 	err = r.readFirstChunk(x, answer)
@@ -214,7 +214,7 @@
 // unwritten says why a request was not written. An answer that was on the connection before is nobody's.
 func unwritten(answer *http.Response, err error) error {
 	if answer != nil {
-		_ = answer.Body.Close()
+		_ = answer.Body.Close() // nothing of it is passed on
 		return apierror.New(apierror.ReplicaRejected, "an answer came before the request was written")
 	}
 	return apierror.Wrap(err, apierror.ReplicaRejected, "no connection, or none that was written to")
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -142,7 +142,7 @@
 		return apierror.Wrap(err, apierror.Internal, "encode answer")
 	}
 	w.Header().Set("Content-Type", jsonType)
-	_, _ = w.Write(raw)
+	_, _ = w.Write(raw) // see above
 	return nil
 }
 
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -112,6 +112,7 @@
 	return do()
 }
 
+// Put implements disk.Disk.
 func (h *handle) Put(folder, name string, data []byte) error {
 	h.disk.mu.Lock()
 	delay, stall := h.disk.delay, h.disk.stall
@@ -136,6 +137,7 @@
 	})
 }
 
+// Get implements disk.Disk.
 func (h *handle) Get(folder, name string) (data []byte, err error) {
 	err = h.locked(func() error {
 		sealed, ok := h.disk.folders[folder][name]
@@ -148,6 +150,7 @@
 	return data, err
 }
 
+// List implements disk.Disk.
 func (h *handle) List(folder string) (names []string, err error) {
 	err = h.locked(func() error {
 		if folder == "" {
@@ -165,6 +168,7 @@
 	return names, err
 }
 
+// Drop implements disk.Disk.
 func (h *handle) Drop(folder, name string) error {
 	return h.locked(func() error {
 		delete(h.disk.folders[folder], name)
--- a/sim/files.go
+++ b/sim/files.go
@@ -330,8 +330,10 @@
 	name  string
 }
 
+// Name implements disk.File.
 func (o *openFile) Name() string { return o.name }
 
+// Write implements disk.File.
 func (o *openFile) Write(data []byte) (int, error) {
 	o.files.mu.Lock()
 	defer o.files.mu.Unlock()
@@ -345,6 +347,7 @@
 	return len(data), nil
 }
 
+// Sync implements disk.File.
 func (o *openFile) Sync() error {
 	o.files.mu.Lock()
 	defer o.files.mu.Unlock()
@@ -355,4 +358,5 @@
 	return err
 }
 
+// Close implements disk.File.
 func (o *openFile) Close() error { return nil }
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -211,7 +211,7 @@
 		if err != nil {
 			return // another start was quicker
 		}
-		_ = core.Serve(ctx, listener)
+		_ = core.Serve(ctx, listener) // it ends when its host is killed
 	})
 }
 
@@ -242,8 +242,8 @@
 	f.mu.Unlock()
 	f.launch(ip, func(ctx context.Context) {
 		var both sync.WaitGroup
-		both.Go(func() { _ = agent.Serve(ctx, local, outer) })
-		both.Go(func() { _ = proxy.Serve(ctx, callers, admin) })
+		both.Go(func() { _ = agent.Serve(ctx, local, outer) })   // it ends when its host is killed
+		both.Go(func() { _ = proxy.Serve(ctx, callers, admin) }) // it ends when its host is killed
 		both.Wait()
 	})
 }
@@ -293,8 +293,8 @@
 	listener := must(f.Net.Host(ip).Listen(At(ip)))
 	f.launch(ip, func(ctx context.Context) {
 		server := &http.Server{Handler: r.Handler()}
-		go func() { <-ctx.Done(); _ = server.Close() }()
-		_ = server.Serve(listener)
+		go func() { <-ctx.Done(); _ = server.Close() }() // it ends when its host is killed
+		_ = server.Serve(listener)                       // it ends when its host is killed
 	})
 }
 
--- a/sim/network.go
+++ b/sim/network.go
@@ -150,7 +150,7 @@
 	}
 	n.mu.Unlock()
 	for _, l := range shut {
-		_ = l.Close()
+		_ = l.Close() // it never fails
 	}
 	for _, c := range ended {
 		c.reset()
@@ -218,6 +218,7 @@
 	return l, nil
 }
 
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.line:
@@ -228,6 +229,7 @@
 	}
 }
 
+// Close implements net.Listener.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
@@ -240,6 +242,7 @@
 	return nil
 }
 
+// Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return addr(l.address) }
 
 func addr(address string) net.Addr {
@@ -311,9 +314,12 @@
 	userTimeout   time.Duration
 }
 
+// Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	return c.in.read(b, func() time.Time { return c.deadline(&c.readBy) })
 }
+
+// Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	unacknowledged := c.userTimeout
@@ -370,14 +376,19 @@
 	}
 }
 
-func (c *conn) LocalAddr() net.Addr  { return addr(c.local + ":0") }
+// LocalAddr implements net.Conn.
+func (c *conn) LocalAddr() net.Addr { return addr(c.local + ":0") }
+
+// RemoteAddr implements net.Conn.
 func (c *conn) RemoteAddr() net.Addr { return addr(c.remoteAddress) }
 
+// SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
-	_ = c.SetReadDeadline(t)
+	_ = c.SetReadDeadline(t) // it never fails
 	return c.SetWriteDeadline(t)
 }
 
+// SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.readBy = t
@@ -386,6 +397,7 @@
 	return nil
 }
 
+// SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.writeBy = t
--- a/sim/testbed.go
+++ b/sim/testbed.go
@@ -56,8 +56,8 @@
 func (s *Testbed) serve(address string, handler http.Handler, wrap func(*http.Server, net.Listener) net.Listener) {
 	server := &http.Server{Handler: handler}
 	listener := wrap(server, must(s.Net.Host(host(address)).Listen(address)))
-	s.running.Go(func() { _ = server.Serve(listener) })
-	s.running.Go(func() { <-s.ctx.Done(); _ = server.Close() })
+	s.running.Go(func() { _ = server.Serve(listener) })         // it ends with the testbed
+	s.running.Go(func() { <-s.ctx.Done(); _ = server.Close() }) // it ends with the testbed
 }
 
 // Put has the agent pass on a settled content of a key, in place of the one before.
