--- a/cmd/fakebackend/main.go
+++ b/cmd/fakebackend/main.go
@@ -90,7 +90,7 @@
 		add, shut := ledger[fake.Run](*file)
 		defer shut()
 		r := fake.NewReplica(fake.ReplicaOptions{Name: s.Host.Name, Kind: *kind, Weights: *weights, Limit: *limit, Rate: float64(*rate),
-			PieceMs: *piece, LoadMs: *load, WarmMs: *warm, Blocks: *blocks, Ledger: add,
+			ChunkMs: *piece, LoadMs: *load, WarmMs: *warm, Blocks: *blocks, Ledger: add,
 			Link: float64(*fetch), Store: *store, Client: &http.Client{}})
 		listener, err := s.Listen()
 		if err != nil {
@@ -120,21 +120,21 @@
 	daemon.Main(s, func(ctx context.Context) error {
 		ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM)
 		defer stop()
-		add, shut := ledger[fake.Asked](*file)
+		add, shut := ledger[fake.Exchange](*file)
 		defer shut()
 		var mu sync.Mutex
-		var all []fake.Asked
+		var all []fake.Exchange
 		o := fake.LoadOptions{Proxies: strings.Split(*proxies, ","), Count: *count, Rate: float64(*rate), Keyed: float64(*keyed) / 100,
 			Repeat: float64(*repeat) / 100, Seed: uint64(*seed), Prefix: *prefix, Deadline: 60 * time.Second,
 			Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}},
-			Ledger: func(a fake.Asked) {
+			Ledger: func(a fake.Exchange) {
 				add(a)
 				mu.Lock()
 				defer mu.Unlock()
 				all = append(all, a)
 			}}
 		for _, word := range strings.Split(*keys, ",") {
-			var c fake.Caller
+			var c fake.Client
 			parts := strings.Split(word, "=")
 			if len(parts) != 3 {
 				return fmt.Errorf("keys: %q is not tenant=key=weight", word)
--- a/cmd/localfleet/faults.go
+++ b/cmd/localfleet/faults.go
@@ -189,7 +189,7 @@
 	}},
 	{"cut-streams", "a tenant's streams break off", false, func(c *chaos) (func() error, error) {
 		tenant := c.tenant()
-		c.behave(fake.Behaviour{Tenant: tenant, CutAfter: 1 + c.random.IntN(5)})
+		c.behave(fake.Behaviour{Tenant: tenant, BreakAfter: 1 + c.random.IntN(5)})
 		return func() error { c.behave(fake.Behaviour{Tenant: tenant}); return nil }, nil
 	}},
 	{"news", "what replicas say of their caches is wrong", false, func(c *chaos) (func() error, error) {
--- a/cmd/localfleet/fleet.go
+++ b/cmd/localfleet/fleet.go
@@ -29,7 +29,7 @@
 	proxies   []string
 	admins    []string
 	replicas  map[string]string // name → address
-	keys      []fake.Caller
+	keys      []fake.Client
 	relays    *relays
 	agents    []string // addresses, of relays
 	tenants   []string
@@ -37,7 +37,7 @@
 	closing   bool         // a closing fault ends the run
 	mu        sync.Mutex
 	factLog   fake.FactLog
-	probed    []fake.Asked
+	probed    []fake.Exchange
 	rest      []fake.State
 	figures   []string
 }
@@ -198,12 +198,12 @@
 	}
 	for name, t := range plan.Tenants {
 		f.tenants = append(f.tenants, name)
-		f.keys = append(f.keys, fake.Caller{Tenant: name, Access: fmt.Sprintf("%s-key-%d", name, f.options.seed), Weight: 3 * t.Weight})
+		f.keys = append(f.keys, fake.Client{Tenant: name, Access: fmt.Sprintf("%s-key-%d", name, f.options.seed), Weight: 3 * t.Weight})
 	}
 	sort.Strings(f.tenants)
 	sort.Slice(f.keys, func(i, j int) bool { return f.keys[i].Tenant < f.keys[j].Tenant })
 	for _, name := range f.tenants {
-		f.keys = append(f.keys, fake.Caller{Tenant: name, Access: f.spare(name), Weight: 1})
+		f.keys = append(f.keys, fake.Client{Tenant: name, Access: f.spare(name), Weight: 1})
 	}
 	for _, c := range f.keys {
 		if _, err := f.order(ctx, "keys", controlplane.AccessKeyChange{Tenant: c.Tenant, Hash: config.HashKey(c.Access)}); err != nil {
--- a/cmd/localfleet/report.go
+++ b/cmd/localfleet/report.go
@@ -26,7 +26,7 @@
 	probing, stop := context.WithTimeout(ctx, 15*time.Second)
 	defer stop()
 	fake.Probe(probing, fake.LoadOptions{Callers: f.keys[len(f.tenants)-1:], Proxies: f.proxies, Client: &http.Client{}, Prefix: "back", Deadline: time.Minute,
-		Ledger: func(a fake.Asked) {
+		Ledger: func(a fake.Exchange) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.probed = append(f.probed, a)
@@ -86,7 +86,7 @@
 
 // report checks the ledgers and prints the table; it gives the number of breaches.
 func (f *fleet) report() int {
-	l := fake.Ledgers{Asked: readLines[fake.Asked](f.path("callers.ledger")), Facts: f.factLog.Facts(), Rest: f.rest}
+	l := fake.Ledgers{Asked: readLines[fake.Exchange](f.path("callers.ledger")), Facts: f.factLog.Facts(), Rest: f.rest}
 	fmt.Println(fake.Summary(l.Asked))
 	l.Asked = append(l.Asked, f.probed...)
 	for name := range f.replicas {
--- a/cmd/localfleet/retire.go
+++ b/cmd/localfleet/retire.go
@@ -27,8 +27,8 @@
   {"name":"session-annotations","address":"/v1/chat/completions","model":"session-annotations","targets":[{"pool":"quick","share":1},{"pool":"deep","share":1}],
    "adapter":"session-annotations"}]}`
 
-var adapterKinds = []fake.Kind{{Name: "closure-notices", Prefix: 512, Own: 128, Pieces: 5, Weight: 40}, {Name: "hut-bookings", Prefix: 4096, Own: 512, Pieces: 15, Weight: 30},
-	{Name: "session-annotations", Prefix: 4096, Own: 512, Pieces: 25, Weight: 30}}
+var adapterKinds = []fake.RequestKind{{Name: "closure-notices", Prefix: 512, Own: 128, Chunks: 5, Weight: 40}, {Name: "hut-bookings", Prefix: 4096, Own: 512, Chunks: 15, Weight: 30},
+	{Name: "session-annotations", Prefix: 4096, Own: 512, Chunks: 25, Weight: 30}}
 
 const adapterRate = 20
 
@@ -106,7 +106,7 @@
 }
 
 // tookAnswer keeps a line of the ledger of callers in this process.
-func (f *fleet) tookAnswer(a fake.Asked) {
+func (f *fleet) tookAnswer(a fake.Exchange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.probed = append(f.probed, a)
--- a/fake/adapter_test.go
+++ b/fake/adapter_test.go
@@ -22,7 +22,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var lines []Run
-		r := NewReplica(ReplicaOptions{Name: "r-1", Kind: "model", Weights: "w1", Limit: 4, Rate: 100, PieceMs: 1000, LoadMs: 1000, Blocks: 10, Ledger: func(line Run) { lines = append(lines, line) }})
+		r := NewReplica(ReplicaOptions{Name: "r-1", Kind: "model", Weights: "w1", Limit: 4, Rate: 100, ChunkMs: 1000, LoadMs: 1000, Blocks: 10, Ledger: func(line Run) { lines = append(lines, line) }})
 		handler := r.Handler()
 		on := config.Placement{Adapter: "huts", Base: "m1", Build: "h1"}
 		order := func(do string, lease uint64) int {
--- a/fake/caller.go
+++ b/fake/caller.go
@@ -17,14 +17,14 @@
 	"asterridge/router"
 )
 
-// Asked is a line of the callers' ledger.
-type Asked struct {
+// Exchange is a line of the callers' ledger.
+type Exchange struct {
 	Tag        string    `json:"tag"`
 	Tenant     string    `json:"tenant"`
 	Access     string    `json:"access"`
 	Kind       string    `json:"kind"`
 	Proxy      string    `json:"proxy"`
-	Repeatable bool      `json:"repeatable"`
+	Idempotent bool      `json:"repeatable"`
 	Key        string    `json:"key,omitempty"`
 	At         time.Time `json:"at"`
 	FirstMs    int64     `json:"first_ms"`
@@ -42,26 +42,26 @@
 	Failure    string    `json:"failure,omitempty"`
 }
 
-// Kind is one of the three sorts of streaming request, or "web".
-type Kind struct {
+// RequestKind is one of the three sorts of streaming request, or "web".
+type RequestKind struct {
 	Name   string
 	Prefix int // bytes shared by all requests of the kind and tenant group
 	Own    int // bytes of one's own
-	Pieces int
+	Chunks int
 	Weight int
 	Keyed  bool
 }
 
 // Kinds are the brief's three, and calls of the web back end.
-var Kinds = []Kind{
-	{Name: "light", Prefix: 512, Own: 128, Pieces: 5, Weight: 40},
-	{Name: "middle", Prefix: 4096, Own: 512, Pieces: 15, Weight: 15},
-	{Name: "heavy", Prefix: 24576, Own: 512, Pieces: 25, Weight: 35},
+var Kinds = []RequestKind{
+	{Name: "light", Prefix: 512, Own: 128, Chunks: 5, Weight: 40},
+	{Name: "middle", Prefix: 4096, Own: 512, Chunks: 15, Weight: 15},
+	{Name: "heavy", Prefix: 24576, Own: 512, Chunks: 25, Weight: 35},
 	{Name: "web", Weight: 10},
 }
 
-// Caller is one access key's user.
-type Caller struct {
+// Client is one access key's user.
+type Client struct {
 	Tenant string `json:"tenant"`
 	Access string `json:"access"`
 	Weight int    `json:"weight"`
@@ -69,7 +69,7 @@
 
 // LoadOptions of a run of callers.
 type LoadOptions struct {
-	Callers  []Caller
+	Callers  []Client
 	Proxies  []string
 	Client   *http.Client
 	Count    int     // requests in all
@@ -78,9 +78,9 @@
 	Repeat   float64 // part that may be repeated
 	Seed     uint64
 	Prefix   string // makes tags unique over runs
-	Ledger   func(Asked)
+	Ledger   func(Exchange)
 	Deadline time.Duration // of each whole request
-	Kinds    []Kind        // none: the brief's three and the web back end
+	Kinds    []RequestKind // none: the brief's three and the web back end
 	Heavy    int           // bytes of the heaviest kind's prefix, in eight sessions; 0: as Kinds has it
 }
 
@@ -105,7 +105,7 @@
 	next := time.Now()
 	for i := range o.Count {
 		next = next.Add(time.Duration(random.ExpFloat64() / o.Rate * float64(time.Second)))
-		a := draw(o, random, i)
+		a := pickKind(o, random, i)
 		timer := time.NewTimer(time.Until(next))
 		select {
 		case <-timer.C:
@@ -124,16 +124,16 @@
 	var all sync.WaitGroup
 	for _, proxy := range o.Proxies {
 		all.Go(func() {
-			pause := time.NewTicker(50 * time.Millisecond)
-			defer pause.Stop()
+			delay := time.NewTicker(50 * time.Millisecond)
+			defer delay.Stop()
 			for n := 0; ctx.Err() == nil; n++ {
-				one := Asked{Tag: fmt.Sprintf("%s-%s-%d", o.Prefix, proxy, n), Tenant: o.Callers[0].Tenant, Access: o.Callers[0].Access, Kind: "light", Proxy: proxy}
+				one := Exchange{Tag: fmt.Sprintf("%s-%s-%d", o.Prefix, proxy, n), Tenant: o.Callers[0].Tenant, Access: o.Callers[0].Access, Kind: "light", Proxy: proxy}
 				a := ask(ctx, o, chatOf(one, Kinds[0], 0))
 				o.Ledger(a)
 				if a.Status == 200 && a.Ended {
 					return
 				}
-				<-pause.C
+				<-delay.C
 			}
 		})
 	}
@@ -141,11 +141,11 @@
 }
 
 type drawn struct {
-	Asked
+	Exchange
 	chat api.Chat
 }
 
-func draw(o LoadOptions, random *rand.Rand, i int) drawn {
+func pickKind(o LoadOptions, random *rand.Rand, i int) drawn {
 	sum := 0
 	for _, c := range o.Callers {
 		sum += c.Weight
@@ -173,12 +173,12 @@
 	d.Tag = fmt.Sprintf("%s-%d", o.Prefix, i)
 	d.Tenant, d.Access, d.Kind = caller.Tenant, caller.Access, kind.Name
 	d.Proxy = o.Proxies[random.IntN(len(o.Proxies))]
-	d.Repeatable = random.Float64() < o.Repeat
+	d.Idempotent = random.Float64() < o.Repeat
 	if random.Float64() < o.Keyed {
 		d.Key = "k-" + d.Tag
 	}
 	if kind.Name != "web" {
-		d = chatOf(d.Asked, kind, random.IntN(3))
+		d = chatOf(d.Exchange, kind, random.IntN(3))
 	}
 	if kind.Name == "heavy" && o.Heavy > 0 { // a third that all share, then one of eight sessions
 		d.chat.Messages[0].Content = text(o.Heavy/3, "shared") + text(2*o.Heavy/3, "session"+strconv.Itoa(random.IntN(8)))
@@ -187,10 +187,10 @@
 }
 
 // chatOf makes a chat of a kind with one of three shared openings: one opening serves many tenants.
-func chatOf(a Asked, kind Kind, opening int) drawn {
+func chatOf(a Exchange, kind RequestKind, beginning int) drawn {
 	stream := true
-	return drawn{a, api.Chat{Model: kind.Name, Stream: &stream, MaxTokens: &kind.Pieces, Messages: []api.Message{
-		{Role: "system", Content: text(kind.Prefix, kind.Name+strconv.Itoa(opening))}, {Role: "user", Content: text(kind.Own, a.Tag)}}}}
+	return drawn{a, api.Chat{Model: kind.Name, Stream: &stream, MaxTokens: &kind.Chunks, Messages: []api.Message{
+		{Role: "system", Content: text(kind.Prefix, kind.Name+strconv.Itoa(beginning))}, {Role: "user", Content: text(kind.Own, a.Tag)}}}}
 }
 
 // send asks by the client that is made from the schema; the web back end's pages are not in it.
@@ -214,7 +214,7 @@
 		return nil, err
 	}
 	p := &api.ChatCompletionsParams{}
-	if d.Repeatable {
+	if d.Idempotent {
 		yes := api.ChatCompletionsParamsXRepeatable("yes")
 		p.XRepeatable = &yes
 	}
@@ -225,10 +225,10 @@
 }
 
 // ask sends one request and reads all of its answer.
-func ask(ctx context.Context, o LoadOptions, d drawn) Asked {
+func ask(ctx context.Context, o LoadOptions, d drawn) Exchange {
 	ctx, stop := context.WithTimeout(ctx, o.Deadline)
 	defer stop()
-	a := d.Asked
+	a := d.Exchange
 	a.At = time.Now()
 	answer, err := send(ctx, o, d)
 	if err != nil {
--- a/fake/check.go
+++ b/fake/check.go
@@ -19,7 +19,7 @@
 
 // Ledgers are what a run left.
 type Ledgers struct {
-	Asked []Asked
+	Asked []Exchange
 	Runs  []Run
 	Facts []Fact
 	Rest  []State // what each core and proxy holds when all has come to rest
@@ -27,13 +27,13 @@
 
 // The never-rules, by their numbers in reports.
 const (
-	ruleRanTwice = iota + 1
-	ruleNotRunRan
+	ruleExecutedTwice = iota + 1
+	ruleNotExecutedWasExecuted
 	ruleForeignAnswer
 	ruleBrokenStream
 	ruleRevokedKey
 	ruleOldConfiguration
-	ruleLeavingReplica
+	ruleDrainingReplica
 	ruleForeignCache
 	ruleOldWeights
 	ruleSecondTries
@@ -44,20 +44,20 @@
 )
 
 var ruleNames = map[int]string{
-	ruleRanTwice:          "not repeatable, ran twice",
-	ruleNotRunRan:         "said not run, ran",
-	ruleForeignAnswer:     "not the replica's own whole answer",
-	ruleBrokenStream:      "stream broken, or looks finished",
-	ruleRevokedKey:        "revoked key worked after 5 s",
-	ruleOldConfiguration:  "older configuration after 2 s",
-	ruleLeavingReplica:    "leaving replica got work after 3 s",
-	ruleForeignCache:      "another tenant's cache and a wall",
-	ruleOldWeights:        "other weights' cache, or old weights after 20 s",
-	ruleSecondTries:       "second tries over a fifth",
-	ruleLostConfiguration: "an accepted configuration is lost",
-	ruleServiceBack:       "service not back after 12 s",
-	ruleEarlyDrop:         "a base dropped before its adapters answered on the new one",
-	ruleOldBase:           "answered from the old base after 3 s",
+	ruleExecutedTwice:          "not repeatable, ran twice",
+	ruleNotExecutedWasExecuted: "said not run, ran",
+	ruleForeignAnswer:          "not the replica's own whole answer",
+	ruleBrokenStream:           "stream broken, or looks finished",
+	ruleRevokedKey:             "revoked key worked after 5 s",
+	ruleOldConfiguration:       "older configuration after 2 s",
+	ruleDrainingReplica:        "leaving replica got work after 3 s",
+	ruleForeignCache:           "another tenant's cache and a wall",
+	ruleOldWeights:             "other weights' cache, or old weights after 20 s",
+	ruleSecondTries:            "second tries over a fifth",
+	ruleLostConfiguration:      "an accepted configuration is lost",
+	ruleServiceBack:            "service not back after 12 s",
+	ruleEarlyDrop:              "a base dropped before its adapters answered on the new one",
+	ruleOldBase:                "answered from the old base after 3 s",
 }
 
 const (
@@ -67,7 +67,7 @@
 	noticed            = 3 * time.Second  // a wall counts for requests that run so long after it was accepted
 	revokeLimit        = 5 * time.Second  // rule 5: a revoked key opens nothing
 	configurationLimit = 2 * time.Second  // rule 6: the newest configuration is used
-	leavingLimit       = 3 * time.Second  // rule 7: a leaving replica gets nothing
+	drainingLimit      = 3 * time.Second  // rule 7: a leaving replica gets nothing
 	weightsLimit       = 20 * time.Second // rule 9: nothing starts on old weights
 	returnLimit        = 12 * time.Second // rule 12: every proxy answers
 	routeLimit         = 3 * time.Second  // rule 14: nothing is answered from the old base
@@ -79,13 +79,13 @@
 	Ledgers
 	findings []Finding
 	byTag    map[string][]Run
-	asked    map[string]Asked
+	asked    map[string]Exchange
 	drops    []Run // of bases
 }
 
 // Check compares the ledgers and counts each rule's breaches.
 func Check(l Ledgers) []Finding {
-	c := &check{Ledgers: l, findings: make([]Finding, len(ruleNames)+1), byTag: map[string][]Run{}, asked: map[string]Asked{}}
+	c := &check{Ledgers: l, findings: make([]Finding, len(ruleNames)+1), byTag: map[string][]Run{}, asked: map[string]Exchange{}}
 	c.Runs, c.drops = apart(LastOfEach(l.Runs))
 	c.Facts = slices.Clone(l.Facts)
 	sort.SliceStable(c.Facts, func(i, j int) bool { return c.Facts[i].At.Before(c.Facts[j].At) })
@@ -148,7 +148,7 @@
 }
 
 // Summary counts what callers met.
-func Summary(asked []Asked) string {
+func Summary(asked []Exchange) string {
 	counts := map[string]int{}
 	var firsts []int64
 	for _, a := range asked {
--- a/fake/check_config.go
+++ b/fake/check_config.go
@@ -52,31 +52,31 @@
 func (c *check) configuration() {
 	for key, want := range c.accepted() {
 		for _, s := range c.Rest {
-			kept, ok := s.Keys[key]
+			cached, ok := s.Keys[key]
 			if !ok && strings.HasPrefix(s.Where, "proxy") && key == config.MembersKey {
 				continue // proxies are not told of the members
 			}
-			if c.seen(ruleLostConfiguration); kept.Version < want.version {
-				c.found(ruleLostConfiguration, "%s has version %d of %s, %d was accepted", s.Where, kept.Version, key, want.version)
+			if c.seen(ruleLostConfiguration); cached.Version < want.version {
+				c.found(ruleLostConfiguration, "%s has version %d of %s, %d was accepted", s.Where, cached.Version, key, want.version)
 				continue
 			}
 			for field, attributes := range want.fields {
 				for name, values := range attributes {
-					if !values.fit(kept.Fields[field], name) {
-						c.found(ruleLostConfiguration, "%s has %s of %s as %s, where %s must be %s", s.Where, field, key, kept.Fields[field], name, values)
+					if !values.fit(cached.Fields[field], name) {
+						c.found(ruleLostConfiguration, "%s has %s of %s as %s, where %s must be %s", s.Where, field, key, cached.Fields[field], name, values)
 					}
 				}
 			}
 		}
 	}
 	for i, s := range c.Rest {
-		for key, kept := range s.Keys {
+		for key, cached := range s.Keys {
 			for _, other := range c.Rest[:i] {
 				there, ok := other.Keys[key]
 				if ok {
 					c.seen(ruleLostConfiguration)
 				}
-				if ok && len(config.Delta(there.Fields, kept.Fields)) > 0 {
+				if ok && len(config.Delta(there.Fields, cached.Fields)) > 0 {
 					c.found(ruleLostConfiguration, "%s and %s differ in %s", s.Where, other.Where, key)
 				}
 			}
--- a/fake/check_requests.go
+++ b/fake/check_requests.go
@@ -10,7 +10,7 @@
 )
 
 // request judges what one caller got: rules 1 to 4.
-func (c *check) request(a Asked) {
+func (c *check) request(a Exchange) {
 	for _, f := range c.Facts {
 		if f.Kind == Revoked && f.Name == config.HashKey(a.Access) && a.At.Sub(f.At) > 0 {
 			c.seen(ruleRevokedKey)
@@ -26,14 +26,14 @@
 			}
 		}
 	}
-	if !a.Repeatable {
-		if c.seen(ruleRanTwice); ran > 1 {
-			c.found(ruleRanTwice, "%s ran %d times", a.Tag, ran)
+	if !a.Idempotent {
+		if c.seen(ruleExecutedTwice); ran > 1 {
+			c.found(ruleExecutedTwice, "%s ran %d times", a.Tag, ran)
 		}
 	}
 	if a.Ran == "no" {
-		if c.seen(ruleNotRunRan); ran > 0 {
-			c.found(ruleNotRunRan, "%s code %d", a.Tag, a.Code)
+		if c.seen(ruleNotExecutedWasExecuted); ran > 0 {
+			c.found(ruleNotExecutedWasExecuted, "%s code %d", a.Tag, a.Code)
 		}
 	}
 	if a.Status == 0 || a.Code > 0 {
@@ -56,7 +56,7 @@
 }
 
 // stream judges rule 4: what came is the beginning of what one run wrote; all of it, if it looks finished.
-func (c *check) stream(a Asked, own []Run) {
+func (c *check) stream(a Exchange, own []Run) {
 	c.seen(ruleBrokenStream)
 	beginning := false
 	for _, r := range own {
@@ -82,7 +82,7 @@
 // versions judges rule 6: the version in force when the request was sent, and that none goes back at a proxy.
 func (c *check) versions() {
 	type sent struct {
-		Asked
+		Exchange
 		at time.Time
 	}
 	byProxy := map[string][]sent{}
--- a/fake/check_returns.go
+++ b/fake/check_returns.go
@@ -28,8 +28,8 @@
 func (c *check) back(proxy string, at time.Time) (least time.Duration, isBack bool) {
 	for _, a := range c.Asked {
 		if a.Proxy == proxy && a.Status == 200 && a.Ended && !a.At.Before(at) {
-			if late := a.At.Add(time.Duration(a.AllMs) * time.Millisecond).Sub(at); !isBack || late < least {
-				least, isBack = late, true
+			if overdue := a.At.Add(time.Duration(a.AllMs) * time.Millisecond).Sub(at); !isBack || overdue < least {
+				least, isBack = overdue, true
 			}
 		}
 	}
@@ -47,9 +47,9 @@
 		}
 	}
 	for _, a := range l.Asked {
-		if late, back := c.back(a.Proxy, last); back && !proxies[a.Proxy] {
+		if overdue, back := c.back(a.Proxy, last); back && !proxies[a.Proxy] {
 			proxies[a.Proxy] = true
-			all = append(all, late)
+			all = append(all, overdue)
 		}
 	}
 	slices.Sort(all)
--- a/fake/check_runs.go
+++ b/fake/check_runs.go
@@ -12,20 +12,20 @@
 func (c *check) run(r Run) {
 	a := c.asked[r.Tag]
 	for _, f := range c.Facts {
-		late := r.At.Sub(f.At)
-		if f.Kind == Leaving && late > leavingLimit {
-			c.seen(ruleLeavingReplica) // it might have run there
+		overdue := r.At.Sub(f.At)
+		if f.Kind == Draining && overdue > drainingLimit {
+			c.seen(ruleDrainingReplica) // it might have run there
 		}
-		if f.Kind == Revoked && !f.Tried && late > 0 && f.Name == config.HashKey(a.Access) {
-			if late > revokeLimit {
-				c.found(ruleRevokedKey, "%s ran %v after", r.Tag, late)
+		if f.Kind == Revoked && !f.Tried && overdue > 0 && f.Name == config.HashKey(a.Access) {
+			if overdue > revokeLimit {
+				c.found(ruleRevokedKey, "%s ran %v after", r.Tag, overdue)
 			}
 		}
 	}
-	state, told := c.latest(Leaving, r.Replica, r.At)
-	if again, back := c.latest(Present, r.Replica, r.At.Add(doubtful)); told && !state.Tried && (!back || again.At.Before(state.At)) {
-		if r.At.Sub(state.At) > leavingLimit {
-			c.found(ruleLeavingReplica, "%s ran on %s %v after", r.Tag, r.Replica, r.At.Sub(state.At))
+	state, reported := c.latest(Draining, r.Replica, r.At)
+	if again, back := c.latest(Present, r.Replica, r.At.Add(doubtful)); reported && !state.Tried && (!back || again.At.Before(state.At)) {
+		if r.At.Sub(state.At) > drainingLimit {
+			c.found(ruleDrainingReplica, "%s ran on %s %v after", r.Tag, r.Replica, r.At.Sub(state.At))
 		}
 	}
 	c.walls(r)
@@ -57,26 +57,26 @@
 
 // isWalled says whether a tenant's wall stood from a moment on for some time; in the time that news takes it is taken not to.
 func (c *check) isWalled(tenant string, at time.Time) bool {
-	before, ok := c.latest(Wall, tenant, at.Add(-noticed))
-	after, _ := c.latest(Wall, tenant, at.Add(doubtful))
+	before, ok := c.latest(Isolation, tenant, at.Add(-noticed))
+	after, _ := c.latest(Isolation, tenant, at.Add(doubtful))
 	return ok && !before.Tried && before.Value == "up" && after.At.Equal(before.At)
 }
 
 // walls judges rule 8, both ways: what a walled tenant reads was made for it, in this life of its name, and what was made for it nobody else reads.
 func (c *check) walls(r Run) {
 	for tenant, made := range r.Met {
-		walled := c.isWalled(r.Tenant, r.At)
-		if walled || c.isWalled(tenant, made) {
+		isolated := c.isWalled(r.Tenant, r.At)
+		if isolated || c.isWalled(tenant, made) {
 			c.seen(ruleForeignCache)
 		}
 		switch {
-		case tenant != r.Tenant && walled:
+		case tenant != r.Tenant && isolated:
 			c.found(ruleForeignCache, "%s of walled %s read what was made for %s", r.Tag, r.Tenant, tenant)
 		case tenant != r.Tenant && c.isWalled(tenant, made):
 			c.found(ruleForeignCache, "%s of %s read what was made for walled %s", r.Tag, r.Tenant, tenant)
-		case tenant == r.Tenant && walled:
+		case tenant == r.Tenant && isolated:
 			for _, f := range c.Facts {
-				if f.Kind == Wall && f.Name == tenant && f.Value == "removed" && made.Before(f.At) && f.At.Before(r.At) {
+				if f.Kind == Isolation && f.Name == tenant && f.Value == "removed" && made.Before(f.At) && f.At.Before(r.At) {
 					c.found(ruleForeignCache, "%s of %s read what was made before the name was given anew", r.Tag, r.Tenant)
 				}
 			}
--- a/fake/check_test.go
+++ b/fake/check_test.go
@@ -25,31 +25,31 @@
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
 // served gives a request that was answered whole by a run at a moment, and the run.
-func served(tag string, seconds float64) (Asked, Run) {
+func served(tag string, seconds float64) (Exchange, Run) {
 	r := Run{Tag: tag, Tenant: "a", ID: "id-" + tag, Salt: "salt-" + tag, Replica: "r-1", HasRun: true, Complete: true, Pieces: 3, At: at(seconds)}
-	a := Asked{Tag: tag, Tenant: "a", Kind: "light", ID: r.ID, At: at(seconds), AllMs: 10, Status: 200, Ended: true, Proxy: "p"}
+	a := Exchange{Tag: tag, Tenant: "a", Kind: "light", ID: r.ID, At: at(seconds), AllMs: 10, Status: 200, Ended: true, Proxy: "p"}
 	return receives(a, content(r)), r
 }
 
 func content(r Run) (all []byte) { return slices.Concat(Stream(r.ID, r.Salt, r.Pieces)...) }
 
-func receives(a Asked, body []byte) Asked {
+func receives(a Exchange, body []byte) Exchange {
 	a.Sum, a.Length = Sum(body), len(body)
 	return a
 }
 
-func one(change func(a *Asked, r *Run), facts ...Fact) Ledgers {
+func one(change func(a *Exchange, r *Run), facts ...Fact) Ledgers {
 	a, r := served("x", 30)
 	change(&a, &r)
-	return Ledgers{Asked: []Asked{a}, Runs: []Run{r}, Facts: facts}
+	return Ledgers{Asked: []Exchange{a}, Runs: []Run{r}, Facts: facts}
 }
 
-func two(change func(a *Asked, r, again *Run)) Ledgers {
+func two(change func(a *Exchange, r, again *Run)) Ledgers {
 	a, r := served("x", 30)
 	again := r
 	again.Salt = "again"
 	change(&a, &r, &again)
-	return Ledgers{Asked: []Asked{a}, Runs: []Run{r, again}}
+	return Ledgers{Asked: []Exchange{a}, Runs: []Run{r, again}}
 }
 
 func weightsAt(seconds float64, version string) Fact {
@@ -57,7 +57,7 @@
 }
 
 func wallAt(seconds float64, tenant, value string) Fact {
-	return Fact{Kind: Wall, Name: tenant, Value: value, At: at(seconds)}
+	return Fact{Kind: Isolation, Name: tenant, Value: value, At: at(seconds)}
 }
 
 func took(version uint64, key, field, value string, tried bool) Fact {
@@ -80,8 +80,8 @@
 	return Fact{Kind: Retire, Name: from, Value: to, At: at(seconds)}
 }
 
-func on(base string) func(*Asked, *Run) {
-	return func(_ *Asked, r *Run) { r.Placement = config.Placement{Adapter: "closures", Base: base, Build: "x"} }
+func on(base string) func(*Exchange, *Run) {
+	return func(_ *Exchange, r *Run) { r.Placement = config.Placement{Adapter: "closures", Base: base, Build: "x"} }
 }
 
 // droppedAt adds a drop of the base that the first run was on, or of the new one where a retirement is among the facts.
@@ -118,10 +118,10 @@
 }
 
 func plants() []plant {
-	nothing := func(*Asked, *Run) {}
-	onWeights := func(version string) func(*Asked, *Run) { return func(_ *Asked, r *Run) { r.Weights = version } }
-	met := func(tenant string, seconds float64) func(*Asked, *Run) {
-		return func(_ *Asked, r *Run) { r.Met = map[string]time.Time{tenant: at(seconds)} }
+	nothing := func(*Exchange, *Run) {}
+	onWeights := func(version string) func(*Exchange, *Run) { return func(_ *Exchange, r *Run) { r.Weights = version } }
+	met := func(tenant string, seconds float64) func(*Exchange, *Run) {
+		return func(_ *Exchange, r *Run) { r.Met = map[string]time.Time{tenant: at(seconds)} }
 	}
 	many := func(proxies, each, refused int) (l Ledgers) {
 		for i := range proxies * each {
@@ -134,54 +134,54 @@
 		}
 		return l
 	}
-	older, newer := func() (Asked, Run) { return served("o", 31) }, func() (Asked, Run) { return served("n", 30) }
+	older, newer := func() (Exchange, Run) { return served("o", 31) }, func() (Exchange, Run) { return served("n", 30) }
 	back := func(firstMs int64) Ledgers {
 		a, r := older()
 		b, q := newer()
 		a.Config, b.Config, b.FirstMs = 4, 5, firstMs
-		return Ledgers{Asked: []Asked{a, b}, Runs: []Run{r, q}}
+		return Ledgers{Asked: []Exchange{a, b}, Runs: []Run{r, q}}
 	}
 	return []plant{
 		{0, "an ordinary answer", one(nothing)},
-		{0, "a stream that broke off, with its true beginning", one(func(a *Asked, r *Run) { *a = receives(*a, content(*r)[:100]); a.Ended = false })},
-		{0, "a replica's own error, whole", one(func(a *Asked, r *Run) { a.Status, r.Sum = 500, "e"; a.Sum = "e" })},
-		{1, "two runs", two(func(_ *Asked, _, again *Run) {})},
-		{1, "two runs, the first without an answer", two(func(_ *Asked, _, again *Run) { again.ID = "earlier" })},
-		{2, "rejected as not run, and ran", one(func(a *Asked, _ *Run) { a.Status, a.Code, a.Ran = 503, 215, "no" })},
-		{3, "an answer of another request", one(func(a *Asked, _ *Run) { a.ID = "another" })},
-		{3, "a page that is not the replica's", one(func(a *Asked, r *Run) { a.Kind, r.Sum = "web", "other" })},
-		{3, "an error that no replica answered", one(func(a *Asked, r *Run) { a.Status, r.HasRun = 500, false })},
-		{4, "finished early", one(func(a *Asked, r *Run) { *a = receives(*a, content(*r)[:100]) })},
-		{4, "finished with nothing", one(func(a *Asked, r *Run) { *a = receives(*a, nil) })},
-		{4, "a piece skipped, then broken off", one(func(a *Asked, r *Run) {
+		{0, "a stream that broke off, with its true beginning", one(func(a *Exchange, r *Run) { *a = receives(*a, content(*r)[:100]); a.Ended = false })},
+		{0, "a replica's own error, whole", one(func(a *Exchange, r *Run) { a.Status, r.Sum = 500, "e"; a.Sum = "e" })},
+		{1, "two runs", two(func(_ *Exchange, _, again *Run) {})},
+		{1, "two runs, the first without an answer", two(func(_ *Exchange, _, again *Run) { again.ID = "earlier" })},
+		{2, "rejected as not run, and ran", one(func(a *Exchange, _ *Run) { a.Status, a.Code, a.Ran = 503, 215, "no" })},
+		{3, "an answer of another request", one(func(a *Exchange, _ *Run) { a.ID = "another" })},
+		{3, "a page that is not the replica's", one(func(a *Exchange, r *Run) { a.Kind, r.Sum = "web", "other" })},
+		{3, "an error that no replica answered", one(func(a *Exchange, r *Run) { a.Status, r.HasRun = 500, false })},
+		{4, "finished early", one(func(a *Exchange, r *Run) { *a = receives(*a, content(*r)[:100]) })},
+		{4, "finished with nothing", one(func(a *Exchange, r *Run) { *a = receives(*a, nil) })},
+		{4, "a piece skipped, then broken off", one(func(a *Exchange, r *Run) {
 			pieces := Stream(r.ID, r.Salt, r.Pieces)
 			*a = receives(*a, slices.Concat(pieces[0], pieces[2]))
 			a.Ended = false
 		})},
-		{4, "a piece twice, then broken off", one(func(a *Asked, r *Run) {
+		{4, "a piece twice, then broken off", one(func(a *Exchange, r *Run) {
 			pieces := Stream(r.ID, r.Salt, r.Pieces)
 			*a = receives(*a, slices.Concat(pieces[0], pieces[0]))
 			a.Ended = false
 		})},
-		{4, "two runs spliced", two(func(a *Asked, r, again *Run) {
-			a.Repeatable = true
+		{4, "two runs spliced", two(func(a *Exchange, r, again *Run) {
+			a.Idempotent = true
 			*a = receives(*a, slices.Concat(Stream(r.ID, r.Salt, 3)[0], content(*again)[len(Stream(r.ID, r.Salt, 3)[0]):]))
 		})},
-		{5, "a revoked key", one(func(a *Asked, _ *Run) { a.Access = "k" }, Fact{Kind: Revoked, Name: config.HashKey("k"), At: at(24)})},
-		{0, "a key revoked a moment ago", one(func(a *Asked, _ *Run) { a.Access = "k" }, Fact{Kind: Revoked, Name: config.HashKey("k"), At: at(26)})},
-		{6, "an old version", one(func(a *Asked, _ *Run) { a.Config = 1 }, took(2, config.Key, "hold", `{}`, false))},
-		{6, "an old version, though received before, sent after", one(func(a *Asked, _ *Run) { a.Config, a.At, a.WaitedMs = 28, at(28), 3500 }, took(29, config.Key, "hold", `{}`, false))},
+		{5, "a revoked key", one(func(a *Exchange, _ *Run) { a.Access = "k" }, Fact{Kind: Revoked, Name: config.HashKey("k"), At: at(24)})},
+		{0, "a key revoked a moment ago", one(func(a *Exchange, _ *Run) { a.Access = "k" }, Fact{Kind: Revoked, Name: config.HashKey("k"), At: at(26)})},
+		{6, "an old version", one(func(a *Exchange, _ *Run) { a.Config = 1 }, took(2, config.Key, "hold", `{}`, false))},
+		{6, "an old version, though received before, sent after", one(func(a *Exchange, _ *Run) { a.Config, a.At, a.WaitedMs = 28, at(28), 3500 }, took(29, config.Key, "hold", `{}`, false))},
 		{6, "a version that goes back at a proxy", back(900)},
 		{0, "two versions in requests that may have been sent in either order", back(1100)},
-		{7, "a leaving replica", one(nothing, Fact{Kind: Leaving, Name: "r-1", At: at(26)})},
-		{0, "a replica that is back", one(nothing, Fact{Kind: Leaving, Name: "r-1", At: at(20)}, Fact{Kind: Present, Name: "r-1", At: at(25)})},
+		{7, "a leaving replica", one(nothing, Fact{Kind: Draining, Name: "r-1", At: at(26)})},
+		{0, "a replica that is back", one(nothing, Fact{Kind: Draining, Name: "r-1", At: at(20)}, Fact{Kind: Present, Name: "r-1", At: at(25)})},
 		{8, "a walled tenant reads another's", one(met("b", 5), wallAt(0, "a", "up"))},
 		{8, "another reads a walled tenant's", one(met("b", 5), wallAt(0, "b", "up"))},
 		{8, "… though its wall is down now", one(met("b", 5), wallAt(0, "b", "up"), wallAt(20, "b", "down"))},
 		{8, "the wall was put up before", one(met("b", 5), wallAt(20, "a", "up"))},
 		{8, "the name was given anew", one(met("a", 5), wallAt(0, "a", "up"), wallAt(10, "a", "removed"), wallAt(20, "a", "up"))},
 		{0, "the wall is down", one(met("b", 25), wallAt(0, "a", "up"), wallAt(20, "a", "down"))},
-		{9, "other weights' cache", one(func(_ *Asked, r *Run) { r.Outdated = 1 })},
+		{9, "other weights' cache", one(func(_ *Exchange, r *Run) { r.Outdated = 1 })},
 		{9, "old weights", one(onWeights("w1"), weightsAt(0, "w1"), weightsAt(9, "w2"))},
 		{9, "w1 → w2 → w1, where a later acceptance does not hide it", one(onWeights("w1"), weightsAt(0, "w1"), weightsAt(5, "w2"), weightsAt(60, "w1"))},
 		{0, "w1 → w2 → w1 in time", one(onWeights("w1"), weightsAt(0, "w1"), weightsAt(9, "w2"), weightsAt(20, "w1"))},
--- a/fake/factlog.go
+++ b/fake/factlog.go
@@ -26,16 +26,16 @@
 
 // Kinds of facts.
 const (
-	Took     = "accepted"
-	Revoked  = "revoked"
-	Leaving  = "leaving"
-	Present  = "present"
-	Weights  = "weights"
-	Wall     = "wall"     // value: up, down, or removed with its tenant
-	Base     = "base"     // of an adapter, as declared, or since its route has switched
-	Retire   = "retire"   // name: the old base, value: the new one
-	Undone   = "undone"   // a retirement, by its old base
-	Returned = "returned" // all machines are back: service is due
+	Took      = "accepted"
+	Revoked   = "revoked"
+	Draining  = "leaving"
+	Present   = "present"
+	Weights   = "weights"
+	Isolation = "wall"     // value: up, down, or removed with its tenant
+	Base      = "base"     // of an adapter, as declared, or since its route has switched
+	Retire    = "retire"   // name: the old base, value: the new one
+	Undone    = "undone"   // a retirement, by its old base
+	Returned  = "returned" // all machines are back: service is due
 )
 
 // FactLog keeps what operators and platform told the fleet.
@@ -142,7 +142,7 @@
 			fields[replica], _ = json.Marshal(item)
 		}
 		if state == "gone" || state == "leaving" {
-			more(Leaving, replica, "")
+			more(Draining, replica, "")
 		} else {
 			more(Present, replica, "")
 		}
@@ -164,9 +164,9 @@
 			}
 			switch string(item["walled"]) {
 			case "true":
-				more(Wall, name, "up")
+				more(Isolation, name, "up")
 			case "false":
-				more(Wall, name, "down")
+				more(Isolation, name, "down")
 			}
 		}
 	}
@@ -182,7 +182,7 @@
 		for _, name := range names {
 			fields[kind[:len(kind)-1]+"/"+name] = nil
 			if kind == "tenants" {
-				more(Wall, name, "removed")
+				more(Isolation, name, "removed")
 			}
 		}
 	}
--- a/fake/kv.go
+++ b/fake/kv.go
@@ -107,9 +107,9 @@
 		}
 	}
 	bytes := float64(size)
-	pause := time.Duration(bytes / r.options.Link * float64(time.Millisecond))
+	delay := time.Duration(bytes / r.options.Link * float64(time.Millisecond))
 	r.mu.Unlock()
-	if len(lacking) == 0 || !rest(q, pause) {
+	if len(lacking) == 0 || !rest(q, delay) {
 		return 0
 	}
 	r.mu.Lock()
--- a/fake/replica.go
+++ b/fake/replica.go
@@ -22,7 +22,7 @@
 	Weights string
 	Limit   int
 	Rate    float64 // bytes of prompt read anew per ms
-	PieceMs int
+	ChunkMs int
 	LoadMs  int          // how long loading weights takes
 	WarmMs  int          // how long it is slow after a start or load
 	Blocks  int          // how many blocks the KV cache keeps
@@ -66,7 +66,7 @@
 	Link       float64 `json:"link,omitempty"`        // new bytes per ms of fetching, for all
 	Emptied    bool    `json:"emptied,omitempty"`     // lose all blocks kept, now
 	RetryAfter string  `json:"retry_after,omitempty"` // sent with refusals, if set
-	CutAfter   int     `json:"cut_after,omitempty"`   // break streams off after so many pieces
+	BreakAfter int     `json:"cut_after,omitempty"`   // break streams off after so many pieces
 	Unnamed    bool    `json:"unnamed,omitempty"`     // refusals do not name the tenant as their ground
 	RetryIn    int     `json:"retry_in,omitempty"`    // seconds: sent with refusals as an HTTP date by this replica's clock
 	News       string  `json:"news,omitempty"`        // of what the cache keeps, for all from now on: "true", "lost" or "wrong"
--- a/fake/replica_serve.go
+++ b/fake/replica_serve.go
@@ -52,10 +52,10 @@
 func (c conduct) slowness() float64 { return float64(c.own.SlowMs + c.all.SlowMs) }
 
 // cutAfter is the number of pieces behind which the stream is broken off; 0: never.
-func (c conduct) cutAfter() int { return max(c.own.CutAfter, c.all.CutAfter) }
+func (c conduct) cutAfter() int { return max(c.own.BreakAfter, c.all.BreakAfter) }
 
-// refuse answers a request before any of it ran.
-func (r *Replica) refuse(w http.ResponseWriter, run Run, why refusal) {
+// reject answers a request before any of it ran.
+func (r *Replica) reject(w http.ResponseWriter, run Run, why refusal) {
 	run.Why = why.kind
 	r.options.Ledger(run)
 	if why.retryAfter != "" {
@@ -79,12 +79,12 @@
 	model := r.options.Kind == "model"
 	var body chat
 	if model && json.Unmarshal(raw, &body) != nil {
-		r.refuse(w, run, refusal{status: http.StatusBadRequest, kind: "malformed"})
+		r.reject(w, run, refusal{status: http.StatusBadRequest, kind: "malformed"})
 		return
 	}
 	treated, why := r.admit(&run, q.Header.Get("X-Expect-Weights"))
 	if why != nil {
-		r.refuse(w, run, *why)
+		r.reject(w, run, *why)
 		return
 	}
 	defer r.leave(run.Placement)
@@ -174,7 +174,7 @@
 		if cut := treated.cutAfter(); cut > 0 && i == cut {
 			panic(http.ErrAbortHandler)
 		}
-		if i > 0 && !rest(q, time.Duration(r.options.PieceMs)*time.Millisecond) {
+		if i > 0 && !rest(q, time.Duration(r.options.ChunkMs)*time.Millisecond) {
 			return false
 		}
 		if _, err := w.Write(piece); err != nil || flush.Flush() != nil {
@@ -202,8 +202,8 @@
 func Stream(id, salt string, pieces int) [][]byte {
 	whole := make([][]byte, 0, pieces+1)
 	for i := range pieces {
-		word := sha256.Sum256([]byte(id + salt + strconv.Itoa(i)))
-		whole = append(whole, fmt.Appendf(nil, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", id, hex.EncodeToString(word[:6])))
+		text := sha256.Sum256([]byte(id + salt + strconv.Itoa(i)))
+		whole = append(whole, fmt.Appendf(nil, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n", id, hex.EncodeToString(text[:6])))
 	}
 	return append(whole, []byte("data: [DONE]\n\n"))
 }
--- a/sim/chaos_test.go
+++ b/sim/chaos_test.go
@@ -30,11 +30,11 @@
 
 // deployment gives the brief's shape with one of the two example configurations: 12 machines in four zones, 18 replicas in two pools, a web
 // back end, a store and eight tenants; each tenant has a key that stays and a spare one.
-func deployment(name string, seed uint64) (o FleetOptions, callers []fake.Caller) {
+func deployment(name string, seed uint64) (o FleetOptions, callers []fake.Client) {
 	text := must(os.ReadFile("../examples/" + name + "/config.json"))
 	plan := must(config.Parse(text, nil, false))
 	o = FleetOptions{Cores: 4, Proxies: 8, Seed: seed, Config: string(text), Log: zerolog.Nop(), ClaimAge: time.Hour,
-		Replica: fake.ReplicaOptions{Kind: "model", Weights: "w1", Limit: 8, Rate: 60, PieceMs: 10, LoadMs: 1500, WarmMs: 1000, Blocks: 2000, Link: 400}}
+		Replica: fake.ReplicaOptions{Kind: "model", Weights: "w1", Limit: 8, Rate: 60, ChunkMs: 10, LoadMs: 1500, WarmMs: 1000, Blocks: 2000, Link: 400}}
 	for i := range 18 {
 		o.Names = append(o.Names, fmt.Sprintf("%s-%d", []string{"quick", "deep", "deep"}[i%3], i+1))
 	}
@@ -42,7 +42,7 @@
 	o.Replicas = len(o.Names)
 	for tenant, t := range plan.Tenants {
 		o.Tenants = append(o.Tenants, tenant)
-		callers = append(callers, fake.Caller{Tenant: tenant, Access: tenant + "-key", Weight: 3 * t.Weight}, fake.Caller{Tenant: tenant, Access: tenant + "-spare", Weight: 1})
+		callers = append(callers, fake.Client{Tenant: tenant, Access: tenant + "-key", Weight: 3 * t.Weight}, fake.Client{Tenant: tenant, Access: tenant + "-spare", Weight: 1})
 	}
 	sort.Strings(o.Tenants)
 	sort.Slice(callers, func(i, j int) bool { return callers[i].Access < callers[j].Access })
@@ -328,7 +328,7 @@
 	}},
 	{name: "streams cut", do: func(c *chaos) func() {
 		tenant := c.tenant()
-		c.behave(fake.Behaviour{Tenant: tenant, CutAfter: 1 + c.random.IntN(5)})
+		c.behave(fake.Behaviour{Tenant: tenant, BreakAfter: 1 + c.random.IntN(5)})
 		return func() { c.behave(fake.Behaviour{Tenant: tenant}) }
 	}},
 	{name: "replicas failing with errors of their own", do: func(c *chaos) func() {
@@ -539,7 +539,7 @@
 				}
 				c := &chaos{Fleet: f, random: rand.New(rand.NewPCG(seed, 3))}
 				var played []string
-				var all []fake.Asked
+				var all []fake.Exchange
 				var both sync.WaitGroup
 				both.Go(func() { all = f.Load(int(rate*27), rate, callers, seed) })
 				played = c.script(25*time.Second, faults)
@@ -551,7 +551,7 @@
 					f.Kill(ProxyIP(i))
 				}
 				c.restore()
-				probe := fake.Caller{Tenant: o.Tenants[7], Access: o.Tenants[7] + "-key"}
+				probe := fake.Client{Tenant: o.Tenants[7], Access: o.Tenants[7] + "-key"}
 				back := f.Rest(probe, c.repair)
 				f.atRest(is)
 				raw, _ := json.Marshal(back)
--- a/sim/codes_test.go
+++ b/sim/codes_test.go
@@ -55,7 +55,7 @@
 		time.Sleep(2 * time.Second)
 
 		// A stream that breaks off has ended for the caller; its code is counted.
-		f.behave(fake.Behaviour{Tenant: "c", CutAfter: 1})
+		f.behave(fake.Behaviour{Tenant: "c", BreakAfter: 1})
 		_, _, text := f.Ask(0, "c", "", chat("light"))
 		is.True(strings.Contains(text, "broken off"))
 		is.Equal(f.sum("bounce_"+apierror.StreamBroken.Name), int64(1))
--- a/sim/exchange_test.go
+++ b/sim/exchange_test.go
@@ -98,7 +98,7 @@
 		say("held by another proxy too, at once", f.exchange(2, "POST", chatAddress, bearer("a"), chat("light")))
 		say("another tenant is not held", f.exchange(2, "POST", chatAddress, bearer("c"), chat("light")))
 		for _, r := range f.Replicas {
-			r.Behave(fake.Behaviour{Tenant: "c", CutAfter: 1})
+			r.Behave(fake.Behaviour{Tenant: "c", BreakAfter: 1})
 		}
 		say("a stream that the replica breaks off", f.exchange(0, "POST", chatAddress, bearer("c", "Idempotency-Key", "k2"), chat("light")))
 		time.Sleep(time.Second)
--- a/sim/faults_test.go
+++ b/sim/faults_test.go
@@ -30,7 +30,7 @@
 }
 
 // during runs callers while something happens, and gives what they met.
-func (f *Fleet) during(count int, rate float64, seed uint64, play func()) (all []fake.Asked) {
+func (f *Fleet) during(count int, rate float64, seed uint64, play func()) (all []fake.Exchange) {
 	var both sync.WaitGroup
 	both.Go(func() { all = f.Load(count, rate, callers, seed) })
 	play()
@@ -457,7 +457,7 @@
 		}
 		f.Rest(callers[2], func() {})
 		for _, fact := range f.FactLog.Facts() {
-			is.True(fact.Kind != fake.Leaving || fact.Tried)
+			is.True(fact.Kind != fake.Draining || fact.Tried)
 		}
 		noBreach(is, f, 11, 12)
 	})
--- a/sim/fleet_run.go
+++ b/sim/fleet_run.go
@@ -13,18 +13,18 @@
 )
 
 // Load has callers ask while it runs; it ends when all have their answers.
-func (f *Fleet) Load(count int, rate float64, callers []fake.Caller, seed uint64) []fake.Asked {
+func (f *Fleet) Load(count int, rate float64, callers []fake.Client, seed uint64) []fake.Exchange {
 	return f.record(fake.Load, fake.LoadOptions{Callers: callers, Count: count, Rate: rate, Seed: seed, Prefix: fmt.Sprintf("s%d", seed)})
 }
 
 // record runs callers at all proxies and keeps their ledger.
-func (f *Fleet) record(play func(context.Context, fake.LoadOptions), o fake.LoadOptions) (all []fake.Asked) {
+func (f *Fleet) record(play func(context.Context, fake.LoadOptions), o fake.LoadOptions) (all []fake.Exchange) {
 	for i := range f.Proxies {
 		o.Proxies = append(o.Proxies, ProxyAddress(i))
 	}
 	var mu sync.Mutex
 	o.Client, o.Keyed, o.Repeat, o.Deadline = f.Client, 0.3, 0.2, time.Minute
-	o.Ledger = func(a fake.Asked) {
+	o.Ledger = func(a fake.Exchange) {
 		mu.Lock()
 		defer mu.Unlock()
 		all = append(all, a)
@@ -38,13 +38,13 @@
 
 // Rest is called when every machine is back: service must return (rule 12), operators repair what they must, and then all daemons hold
 // the same (rule 11).
-func (f *Fleet) Rest(caller fake.Caller, repair func()) (back []time.Duration) {
+func (f *Fleet) Rest(caller fake.Client, repair func()) (back []time.Duration) {
 	f.FactLog.Add(fake.Fact{Kind: fake.Returned})
 	f.record(func(ctx context.Context, o fake.LoadOptions) {
 		ctx, stop := context.WithTimeout(ctx, 15*time.Second)
 		defer stop()
 		fake.Probe(ctx, o)
-	}, fake.LoadOptions{Callers: []fake.Caller{caller}, Prefix: "back" + fmt.Sprint(time.Now().UnixMilli())})
+	}, fake.LoadOptions{Callers: []fake.Client{caller}, Prefix: "back" + fmt.Sprint(time.Now().UnixMilli())})
 	repair()
 	time.Sleep(5 * time.Second) // what was undecided is settled, and all have caught up
 	var rest []fake.State
--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -21,11 +21,11 @@
   {"name":"middle","address":"/v1/chat/completions","model":"middle","pool":"pool","cost":2},
   {"name":"heavy","address":"/v1/chat/completions","model":"heavy","pool":"pool","cost":4}]}`
 
-var callers = []fake.Caller{{Tenant: "a", Access: "a-key", Weight: 2}, {Tenant: "b", Access: "b-key", Weight: 1}, {Tenant: "c", Access: "c-key", Weight: 1}}
+var callers = []fake.Client{{Tenant: "a", Access: "a-key", Weight: 2}, {Tenant: "b", Access: "b-key", Weight: 1}, {Tenant: "c", Access: "c-key", Weight: 1}}
 
 func options(seed uint64) FleetOptions {
 	return FleetOptions{Cores: 4, Proxies: 3, Replicas: 4, Seed: seed, Config: plan, Tenants: []string{"a", "b", "c"}, Log: zerolog.Nop(), ClaimAge: time.Hour,
-		Replica: fake.ReplicaOptions{Kind: "model", Weights: "w1", Limit: 12, Rate: 100, PieceMs: 5, LoadMs: 1000, WarmMs: 500, Blocks: 2000, Link: 400}}
+		Replica: fake.ReplicaOptions{Kind: "model", Weights: "w1", Limit: 12, Rate: 100, ChunkMs: 5, LoadMs: 1000, WarmMs: 500, Blocks: 2000, Link: 400}}
 }
 
 // inBubble runs a whole fleet in fake time.
@@ -49,7 +49,7 @@
 	}
 }
 
-func whole(all []fake.Asked) int {
+func whole(all []fake.Exchange) int {
 	n := 0
 	for _, a := range all {
 		if a.Status == 200 && a.Ended {
--- a/sim/load_test.go
+++ b/sim/load_test.go
@@ -40,13 +40,13 @@
 func TestGoodputHoldsBeyondCapacity(t *testing.T) {
 	t.Parallel()
 	// A slot is taken for some 60 ms in the mean (5, 15 and 25 pieces of 5 ms, and reading): 4 replicas of 3 slots do some 150 a second.
-	rates, shape := []float64{75, 150, 450}, func() (FleetOptions, []fake.Caller) {
+	rates, shape := []float64{75, 150, 450}, func() (FleetOptions, []fake.Client) {
 		o := options(130)
 		o.Replica.Limit = 3
 		return o, callers
 	}
 	if *isLarge {
-		rates, shape = []float64{100, 200, 300, 400, 600, 900}, func() (FleetOptions, []fake.Caller) { return deployment("archive", 130) }
+		rates, shape = []float64{100, 200, 300, 400, 600, 900}, func() (FleetOptions, []fake.Client) { return deployment("archive", 130) }
 	}
 	type setting struct {
 		name      string
--- a/sim/points_test.go
+++ b/sim/points_test.go
@@ -107,7 +107,7 @@
 func BenchmarkRequest(b *testing.B) {
 	o := options(1)
 	o.Proxies, o.Replicas = 1, 1
-	o.Replica.PieceMs, o.Replica.WarmMs, o.Replica.Rate = 0, 0, 1e9
+	o.Replica.ChunkMs, o.Replica.WarmMs, o.Replica.Rate = 0, 0, 1e9
 	f := NewFleet(o)
 	f.Net.Delay = 0
 	defer f.Stop()
--- a/sim/retire_test.go
+++ b/sim/retire_test.go
@@ -34,10 +34,10 @@
 
 const notesBuild = `{"adapters":[{"name":"notes","builds":{"ridge-2":"n2"}}]}`
 
-var adapterKinds = []fake.Kind{{Name: "closures", Prefix: 512, Own: 128, Pieces: 5, Weight: 35}, {Name: "huts", Prefix: 4096, Own: 256, Pieces: 15, Weight: 30},
-	{Name: "notes", Prefix: 512, Own: 128, Pieces: 25, Weight: 25}, {Name: "light", Prefix: 512, Own: 128, Pieces: 5, Weight: 10}}
+var adapterKinds = []fake.RequestKind{{Name: "closures", Prefix: 512, Own: 128, Chunks: 5, Weight: 35}, {Name: "huts", Prefix: 4096, Own: 256, Chunks: 15, Weight: 30},
+	{Name: "notes", Prefix: 512, Own: 128, Chunks: 25, Weight: 25}, {Name: "light", Prefix: 512, Own: 128, Chunks: 5, Weight: 10}}
 
-var adapterCallers = []fake.Caller{{Tenant: "a", Access: "a-key", Weight: 2}, {Tenant: "b", Access: "b-key", Weight: 1}}
+var adapterCallers = []fake.Client{{Tenant: "a", Access: "a-key", Weight: 2}, {Tenant: "b", Access: "b-key", Weight: 1}}
 
 func adapterOptions(seed uint64) FleetOptions {
 	o := options(seed)
@@ -124,13 +124,13 @@
 var undo = controlplane.RetirementChange{Action: "undo"}
 
 // inAdapterBubble runs a fleet with adapters under load while something happens.
-func inAdapterBubble(t *testing.T, seed uint64, count int, play func(is *is.I, f *Fleet), judge func(is *is.I, f *Fleet, all []fake.Asked)) {
+func inAdapterBubble(t *testing.T, seed uint64, count int, play func(is *is.I, f *Fleet), judge func(is *is.I, f *Fleet, all []fake.Exchange)) {
 	t.Helper()
 	inBubble(t, adapterOptions(seed), func(is *is.I, f *Fleet) {
 		must(f.merge(notesBuild))
 		f.adaptersReady()
 		defer f.watchRoutes()()
-		var all []fake.Asked
+		var all []fake.Exchange
 		var both sync.WaitGroup
 		both.Go(func() {
 			all = f.record(fake.Load, fake.LoadOptions{Callers: adapterCallers, Count: count, Rate: 25, Seed: seed, Prefix: fmt.Sprintf("s%d", seed), Kinds: adapterKinds})
@@ -182,7 +182,7 @@
 			inAdapterBubble(t, 700+seed, 800, func(is *is.I, f *Fleet) {
 				is.True(must(f.retirement(retire("ridge-1", "ridge-2"))).Version > 0)
 				f.untilPhase(25*time.Second, "ridge-1", "retired")
-			}, func(is *is.I, f *Fleet, all []fake.Asked) {
+			}, func(is *is.I, f *Fleet, all []fake.Exchange) {
 				is.Equal(whole(all), len(all)) // none lost, none rejected
 				movedWhole(is, f)
 			})
@@ -283,7 +283,7 @@
 		is.Equal(f.retired()["route huts"]["base"], "ridge-1")
 		must(f.merge(`{"adapters":[{"name":"huts","builds":{"ridge-2":"h3"}}]}`))
 		f.untilPhase(25*time.Second, "ridge-1", "retired")
-	}, func(is *is.I, f *Fleet, all []fake.Asked) {
+	}, func(is *is.I, f *Fleet, all []fake.Exchange) {
 		is.Equal(whole(all), len(all))
 		for _, r := range f.Ledgers.Runs {
 			is.True(r.Build != "h2")
@@ -349,7 +349,7 @@
 					time.Sleep(time.Second)
 					back()
 					f.untilPhase(25*time.Second, "ridge-1", "retired")
-				}, func(is *is.I, f *Fleet, all []fake.Asked) {
+				}, func(is *is.I, f *Fleet, all []fake.Exchange) {
 					is.True(whole(all) >= len(all)*98/100)
 					movedWhole(is, f)
 				})
@@ -410,7 +410,7 @@
 				told(0, "gone")
 				told(2, "leaving")
 				f.untilPhase(30*time.Second, "ridge-1", "retired")
-			}, func(is *is.I, f *Fleet, all []fake.Asked) {
+			}, func(is *is.I, f *Fleet, all []fake.Exchange) {
 				is.True(whole(all) >= len(all)*97/100)
 				is.Equal(f.retired()["replica pool-5"]["bases"], "ridge-2")
 				is.Equal(f.retired()["replica pool-2"]["bases"], "ridge-2")
@@ -454,7 +454,7 @@
 			return row["base"] == "ridge-2" && row["phase"] != "undoing"
 		})
 		f.untilPhase(30*time.Second, "ridge-1", "retired")
-	}, func(is *is.I, f *Fleet, all []fake.Asked) {
+	}, func(is *is.I, f *Fleet, all []fake.Exchange) {
 		is.Equal(whole(all), len(all))
 		movedWhole(is, f)
 	})
@@ -489,7 +489,7 @@
 				f.Until(5*time.Second, "what is on the disks is settled again", func() bool { return f.phase("ridge-1") != "" })
 				is.Equal(f.retired()["retirement ridge-1"]["number"], before) // the same one, where it stood
 				f.untilPhase(30*time.Second, "ridge-1", "retired")
-			}, func(is *is.I, f *Fleet, all []fake.Asked) {
+			}, func(is *is.I, f *Fleet, all []fake.Exchange) {
 				is.True(whole(all) >= len(all)*80/100)
 				movedWhole(is, f)
 			})
@@ -515,7 +515,7 @@
 			is.True(apierror.Is(err, apierror.Superseded))
 		}
 		is.Equal(f.phase("ridge-1"), "moving")
-	}, func(is *is.I, f *Fleet, _ []fake.Asked) { noBreach(is, f) })
+	}, func(is *is.I, f *Fleet, _ []fake.Exchange) { noBreach(is, f) })
 }
 
 // A stream that runs on the old base ends there: its replica refuses the drop until then, the others drop.
@@ -545,7 +545,7 @@
 		is.Equal(f.phase("ridge-1"), "dropping")
 		long.Wait()
 		f.untilPhase(5*time.Second, "ridge-1", "retired")
-	}, func(is *is.I, f *Fleet, all []fake.Asked) {
+	}, func(is *is.I, f *Fleet, all []fake.Exchange) {
 		is.Equal(whole(all), len(all))
 		movedWhole(is, f)
 	})
--- a/sim/room_test.go
+++ b/sim/room_test.go
@@ -77,7 +77,7 @@
 func TestStreamOfMinutesRunsToItsEnd(t *testing.T) {
 	t.Parallel()
 	o := options(111)
-	o.Proxies, o.Replicas, o.Replica.PieceMs = 1, 1, 1000
+	o.Proxies, o.Replicas, o.Replica.ChunkMs = 1, 1, 1000
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		status, _, text := f.Ask(0, "a", "", `{"model":"light","stream":true,"max_tokens":135,"messages":[{"role":"user","content":"a long one"}]}`)
 		is.Equal(status, 200)
--- a/sim/signals_test.go
+++ b/sim/signals_test.go
@@ -78,12 +78,12 @@
 // replica is not, at ordinary and at low traffic, and also if it is alone.
 func TestUnnamedRefusalsHoldWhomTheyMean(t *testing.T) {
 	t.Parallel()
-	alone := []fake.Caller{{Tenant: "a", Access: "a-key", Weight: 1}}
+	alone := []fake.Client{{Tenant: "a", Access: "a-key", Weight: 1}}
 	refusing := fake.Behaviour{Refusing: true, Unnamed: true}
 	one := fake.Behaviour{Tenant: "a", Refusing: true, Unnamed: true}
 	cases := []struct {
 		name    string
-		callers []fake.Caller
+		callers []fake.Client
 		conduct fake.Behaviour
 		sick    int // how many replicas behave so; 0: all
 		held    []string
--- a/sim/stored_data_test.go
+++ b/sim/stored_data_test.go
@@ -88,7 +88,7 @@
 		f.members("retire", "core-4")
 		must(f.retirement(retire("ridge-1", "ridge-2")))
 		f.untilPhase(60*time.Second, "ridge-1", "retired")
-	}, func(is *is.I, f *Fleet, _ []fake.Asked) {
+	}, func(is *is.I, f *Fleet, _ []fake.Exchange) {
 		for i := range 6 {
 			status, _, _ := f.Ask(i%3, "b", fmt.Sprintf("claim-%d", i), chat("light"))
 			is.Equal(status, 200)
