--- a/register/acceptor_test.go
+++ b/register/acceptor_test.go
@@ -33,8 +33,8 @@
 	is.NoErr(err)
 	is.Equal(len(open().Read("a/b c").Fields), 4)
 	folder := "ka%2Fb+c"
-	d.Spoil(folder, "v.0000000000000101.0000000000000003", func(raw []byte) []byte { return raw[:len(raw)-2] })
-	d.Spoil(folder, "notes.txt", func([]byte) []byte { return []byte("hello") })
+	d.Corrupt(folder, "v.0000000000000101.0000000000000003", func(raw []byte) []byte { return raw[:len(raw)-2] })
+	d.Corrupt(folder, "notes.txt", func([]byte) []byte { return []byte("hello") })
 	k = open()
 	is.Equal(noted, []string{"notes.txt", "v.0000000000000101.0000000000000003", "v.0000000000000101.0000000000000004"})
 	record := k.Read("a/b c")
--- a/router/deadline_test.go
+++ b/router/deadline_test.go
@@ -45,7 +45,7 @@
 		p.Name, p.Address, p.Pool, p.Public, p.MaxBody, p.Cost = "stream", "/s/", "pool", true, 1000, 1
 		b.Paths["stream"] = p
 		b.Pools["pool"] = config.Pool{Name: "pool", Kind: "web"}
-		stand.Declare(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 8})
+		stand.Configure(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 8})
 		q, err := http.NewRequest(http.MethodPost, "http://"+sim.TestbedAddress+"/s/x", strings.NewReader("a body"))
 		is.NoErr(err)
 		q.Header.Set("X-Request-Id", "r1")
--- a/router/limits_test.go
+++ b/router/limits_test.go
@@ -32,7 +32,7 @@
 		b.Limits = limits
 		b.Paths["p"] = config.Path{Name: "p", Address: "/p/", Pool: "pool", Public: true, MaxBody: 1000, Cost: 1, DeadlineMs: 60000}
 		b.Pools["pool"] = config.Pool{Name: "pool", Kind: "web"}
-		stand.Declare(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 8})
+		stand.Configure(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 8})
 		q, err := http.NewRequest(http.MethodPost, "http://"+sim.TestbedAddress+"/p/x", strings.NewReader(strings.Repeat("b", body)))
 		is.NoErr(err)
 		q.Header.Set("X-Request-Id", "r1")
--- a/router/mix_test.go
+++ b/router/mix_test.go
@@ -51,9 +51,9 @@
 					raw, _ := json.Marshal(router.Report{Run: "run", Number: number, Warm: true}) // a plain struct always encodes
 					reports[r.Name] = raw
 				}
-				s.Put(router.ReportsKey, reports)
+				s.Publish(router.ReportsKey, reports)
 			})
-			s.Declare(b, replicas...)
+			s.Configure(b, replicas...)
 		},
 	}
 }
--- a/router/old_version_test.go
+++ b/router/old_version_test.go
@@ -91,7 +91,7 @@
 		b := config.Empty()
 		b.Paths["stream"] = config.Path{Name: "stream", Address: "/s/", Pool: "pool", Public: true, MaxBody: 1000, Cost: 1, DeadlineMs: 10000}
 		b.Pools["pool"] = config.Pool{Name: "pool", Kind: "model", Models: []string{"m"}}
-		stand.Declare(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 1000, Models: map[string]uint64{"m": 1}})
+		stand.Configure(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 1000, Models: map[string]uint64{"m": 1}})
 		ask := func(id string) int {
 			q, err := http.NewRequest(http.MethodPost, "http://"+sim.TestbedAddress+"/s/x", strings.NewReader("a body"))
 			is.NoErr(err)
@@ -112,7 +112,7 @@
 		named := time.Now()
 		fields := register.Fields{}
 		fields.Apply(config.Field("m", config.Model{Version: 2}))
-		stand.Put(config.ModelsKey, fields)
+		stand.Publish(config.ModelsKey, fields)
 		stand.Source.Publish(router.ModelVersionsKey, register.Revision{}, register.Revision{}, register.Fields{router.ModelVersionField("m", 2): []byte("0")}, false)
 		time.Sleep(time.Second)
 		play(is, stand, ask, named)
@@ -198,11 +198,11 @@
 	onOldVersion(t, bound, s, func(is *is.I, stand *sim.Testbed, ask func(string) int, named time.Time) {
 		began = named
 		time.Sleep(time.Until(named.Add(12 * time.Second))) // no idle connection is left
-		stand.Net.Part([]string{"10.0.1.1"}, []string{"10.0.2.1"}, true)
+		stand.Net.PartitionGroups([]string{"10.0.1.1"}, []string{"10.0.2.1"}, true)
 		var asking sync.WaitGroup
 		asking.Go(func() { ask("hangs in the dial") })
 		time.Sleep(900 * time.Millisecond) // less than a dial may take
-		stand.Net.Part([]string{"10.0.1.1"}, []string{"10.0.2.1"}, false)
+		stand.Net.PartitionGroups([]string{"10.0.1.1"}, []string{"10.0.2.1"}, false)
 		asking.Wait()
 		is.Equal(len(s.begun), 1) // the one before the version was named
 		is.True(s.missed > 0)
--- a/router/resumed_test.go
+++ b/router/resumed_test.go
@@ -154,7 +154,7 @@
 		}
 		b.Paths["stream"] = p
 		b.Pools["pool"] = config.Pool{Name: "pool", Kind: "web"}
-		stand.Declare(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 8},
+		stand.Configure(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 8},
 			config.Replica{Name: "two", Address: "10.0.2.2:80", Pool: "pool", State: "present", Limit: 8})
 		ask := func(header ...string) stream {
 			q, err := http.NewRequest(http.MethodPost, "http://"+sim.TestbedAddress+"/s/x", strings.NewReader("a body"))
--- a/sim/backend_test.go
+++ b/sim/backend_test.go
@@ -148,9 +148,9 @@
 	for _, name := range slices.Sorted(maps.Keys(v.replicas)) {
 		r := v.replicas[name]
 		r.end()
-		told := r.Replica
-		told.Models = maps.Clone(r.shown)
-		all = append(all, told)
+		updates := r.Replica
+		updates.Models = maps.Clone(r.shown)
+		all = append(all, updates)
 	}
 	return all
 }
@@ -187,9 +187,9 @@
 }
 
 func (v view) Load(ctx context.Context, r config.Replica, o controlplane.Order) error {
-	told := ordered{Order: o, core: v.core, replica: r.Name, at: time.Now()}
+	updates := ordered{Order: o, core: v.core, replica: r.Name, at: time.Now()}
 	if v.onLoad != nil {
-		v.onLoad(told)
+		v.onLoad(updates)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -198,9 +198,9 @@
 		return errors.New("no answer")
 	}
 	own.end()
-	told.taken = own.next.Version == 0 && o.Fence >= own.fence
-	v.orders = append(v.orders, told)
-	if !told.taken {
+	updates.taken = own.next.Version == 0 && o.Fence >= own.fence
+	v.orders = append(v.orders, updates)
+	if !updates.taken {
 		return errors.New("refused")
 	}
 	own.fence, own.next, own.until = o.Fence, o.LoadOrder, time.Now().Add(v.loadTime)
@@ -224,11 +224,11 @@
 	s.readers = append(s.readers, v.core)
 	s.readTimes[v.core]++
 	s.most = max(s.most, len(s.readers))
-	if news := s.news; from == s.place {
+	if changed := s.news; from == s.place {
 		v.mu.Unlock()
 		short, stop := context.WithTimeout(ctx, wait)
 		select {
-		case <-news:
+		case <-changed:
 		case <-short.Done():
 		}
 		stop()
@@ -249,7 +249,7 @@
 }
 
 // keep changes what a source keeps. In another epoch it has started anew.
-func (b *backends) keep(address string, epoch uint64, kept map[string]int) {
+func (b *backends) keep(address string, epoch uint64, remaining map[string]int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.sources[address]
@@ -261,11 +261,11 @@
 	for part := range s.kept {
 		s.changed[part] = 0
 	}
-	maps.Copy(s.changed, kept)
+	maps.Copy(s.changed, remaining)
 	if s.place.Epoch != epoch {
 		s.before = controlplane.CacheOffset{Next: 1 << 60} // a place that nobody has
 	}
-	s.kept, s.place = kept, controlplane.CacheOffset{Epoch: epoch, Next: s.place.Next + 1}
+	s.kept, s.place = remaining, controlplane.CacheOffset{Epoch: epoch, Next: s.place.Next + 1}
 	close(s.news)
 	s.news = make(chan struct{})
 }
@@ -316,8 +316,8 @@
 }
 
 // keptAt reads what an agent passes on of a source, and whether the source answers.
-func keptAt(f *watch.Client, source string) (kept map[string]int, up bool) {
-	kept = map[string]int{}
+func keptAt(f *watch.Client, source string) (remaining map[string]int, up bool) {
+	remaining = map[string]int{}
 	for field, raw := range f.Read(router.CachedPrefix + source).Fields {
 		if register.IsDeleted(raw) {
 			continue
@@ -325,10 +325,10 @@
 		if field == router.CacheUp {
 			up = true
 		} else if n := 0; json.Unmarshal(raw, &n) == nil {
-			kept[field] = n
+			remaining[field] = n
 		}
 	}
-	return kept, up
+	return remaining, up
 }
 
 // given lists the orders that came until now.
--- a/sim/catchup_test.go
+++ b/sim/catchup_test.go
@@ -117,10 +117,10 @@
 						time.Sleep(2 * time.Second) // the calls to it have ended
 					}
 					end := o.goOn(0)
-					before, carried, missed := f.Disks[missing].Usage().Written, f.Net.Carried(CoreIP(missing)), o.accepted.Load()
+					before, carried, missed := f.Disks[missing].Usage().Written, f.Net.BytesCarried(CoreIP(missing)), o.accepted.Load()
 					trouble.end(f)
 					took := f.Until(4*time.Second, "the core has caught up", func() bool { return o.isCaughtUp(is, missing) })
-					bytes, written := f.Net.Carried(CoreIP(missing))-carried, f.Disks[missing].Usage().Written-before
+					bytes, written := f.Net.BytesCarried(CoreIP(missing))-carried, f.Disks[missing].Usage().Written-before
 					during := int(o.accepted.Load() - missed)
 					end()
 					usage := f.Disks[missing].Usage()
--- a/sim/chaos_test.go
+++ b/sim/chaos_test.go
@@ -33,7 +33,7 @@
 func deployment(name string, seed uint64) (o FleetOptions, callers []fake.Client) {
 	text := must(os.ReadFile("../examples/" + name + "/config.json"))
 	plan := must(config.Parse(text, nil, false))
-	o = FleetOptions{Cores: 4, Proxies: 8, Seed: seed, Config: string(text), Log: zerolog.Nop(), ClaimAge: time.Hour,
+	o = FleetOptions{Cores: 4, Proxies: 8, Seed: seed, Config: string(text), Log: zerolog.Nop(), ClaimRetention: time.Hour,
 		Replica: fake.ReplicaOptions{Kind: "model", Weights: "w1", Limit: 8, Rate: 60, ChunkMs: 10, LoadMs: 1500, WarmMs: 1000, Blocks: 2000, Link: 400}}
 	for i := range 18 {
 		o.Names = append(o.Names, fmt.Sprintf("%s-%d", []string{"quick", "deep", "deep"}[i%3], i+1))
@@ -79,7 +79,7 @@
 }
 
 func (c *chaos) startCore(i int) {
-	if !c.gone[i] {
+	if !c.replaced[i] {
 		c.StartCore(i)
 	}
 }
@@ -95,7 +95,7 @@
 }
 
 func (c *chaos) tell(i int, state string) {
-	c.order("replicas", controlplane.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[%s]}`, c.told(i, state))})
+	c.order("replicas", controlplane.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[%s]}`, c.replicaUpdate(i, state))})
 }
 
 // stop ends a host's processes kindly: no new work, streams finish, what waits is rejected.
@@ -198,7 +198,7 @@
 		c.Kill(CoreIP(i))
 		names, _ := c.Disks[i].Open().List("k" + config.Key)
 		if len(names) > 0 {
-			c.Disks[i].Spoil("k"+config.Key, names[c.random.IntN(len(names))], func(raw []byte) []byte { return raw[:len(raw)/2] })
+			c.Disks[i].Corrupt("k"+config.Key, names[c.random.IntN(len(names))], func(raw []byte) []byte { return raw[:len(raw)/2] })
 		}
 		c.harmed = "torn"
 		return func() { c.startCore(i) }
@@ -210,7 +210,7 @@
 		}
 		c.Kill(CoreIP(i))
 		c.mu.Lock()
-		c.gone[i] = true
+		c.replaced[i] = true
 		c.mu.Unlock()
 		c.harmed = fmt.Sprintf("core-%d", i+1)
 		c.try("retire", c.harmed)
@@ -226,20 +226,20 @@
 	}},
 	{name: "a machine cut off", do: func(c *chaos) func() {
 		ip := c.machine()
-		c.Net.Cut(ip, "")
-		c.Net.Cut("", ip)
-		return func() { c.Net.Mend(ip, ""); c.Net.Mend("", ip) }
+		c.Net.Partition(ip, "")
+		c.Net.Partition("", ip)
+		return func() { c.Net.Heal(ip, ""); c.Net.Heal("", ip) }
 	}},
 	{name: "a machine cut off one way", do: func(c *chaos) func() {
 		ip := c.machine()
-		c.Net.Cut(ip, "")
-		return func() { c.Net.Mend(ip, "") }
+		c.Net.Partition(ip, "")
+		return func() { c.Net.Heal(ip, "") }
 	}},
 	{name: "a link lost", do: func(c *chaos) func() {
 		a, b := c.machine(), c.machine()
-		c.Net.Cut(a, b)
+		c.Net.Partition(a, b)
 		c.Net.Reset(a, b)
-		return func() { c.Net.Mend(a, b) }
+		return func() { c.Net.Heal(a, b) }
 	}},
 	{name: "a link slow", do: func(c *chaos) func() {
 		a, b := c.machine(), c.machine()
@@ -248,8 +248,8 @@
 	}},
 	{name: "a proxy cut from a replica", do: func(c *chaos) func() {
 		a, b := []string{ProxyIP(c.pair())}, []string{ReplicaIP(c.model())}
-		c.Net.Part(a, b, true)
-		return func() { c.Net.Part(a, b, false) }
+		c.Net.PartitionGroups(a, b, true)
+		return func() { c.Net.PartitionGroups(a, b, false) }
 	}},
 	{name: "the core split in two", do: func(c *chaos) func() {
 		var a, b []string
@@ -260,8 +260,8 @@
 				b = append(b, CoreIP(i))
 			}
 		}
-		c.Net.Part(a, b, true)
-		return func() { c.Net.Part(a, b, false) }
+		c.Net.PartitionGroups(a, b, true)
+		return func() { c.Net.PartitionGroups(a, b, false) }
 	}},
 	{name: "a disk full", do: func(c *chaos) func() {
 		d := c.Disks[c.core()]
@@ -276,7 +276,7 @@
 	{name: "a disk stalled", do: func(c *chaos) func() { return c.Disks[c.core()].Stall() }},
 	{name: "clocks jump", do: func(c *chaos) func() {
 		for range 4 {
-			c.Jump(c.machine(), time.Duration(c.random.IntN(7200)-3600)*time.Second)
+			c.JumpClock(c.machine(), time.Duration(c.random.IntN(7200)-3600)*time.Second)
 		}
 		return func() {}
 	}},
@@ -293,9 +293,9 @@
 	}},
 	{name: "a replica gone silent", do: func(c *chaos) func() {
 		ip := ReplicaIP(c.model())
-		c.Net.Cut(ip, "")
-		c.Net.Cut("", ip)
-		return func() { c.Net.Mend(ip, ""); c.Net.Mend("", ip) }
+		c.Net.Partition(ip, "")
+		c.Net.Partition("", ip)
+		return func() { c.Net.Heal(ip, ""); c.Net.Heal("", ip) }
 	}},
 	{name: "a replica leaving", longest: 5 * time.Second, do: func(c *chaos) func() {
 		i := c.model()
--- a/sim/codes_test.go
+++ b/sim/codes_test.go
@@ -30,7 +30,7 @@
 		weight := controlplane.ConfigChange{Partial: true, Text: json.RawMessage(`{"tenants":[{"name":"a","weight":7}]}`)}
 		_, err := f.Order(0, config.Key, weight)
 		is.True(apierror.Is(err, apierror.NotFounded))
-		f.Declare()
+		f.Configure()
 
 		// Two disks stall: a change is on two of four, and may or may not stand. Afterwards it is settled one way.
 		release := []func(){f.Disks[0].Stall(), f.Disks[1].Stall()}
--- a/sim/cutoff_test.go
+++ b/sim/cutoff_test.go
@@ -35,10 +35,10 @@
 			continue
 		}
 		if sending {
-			f.Net.setCut(CoreIP(core), CoreIP(other), cut)
+			f.Net.setPartitioned(CoreIP(core), CoreIP(other), cut)
 		}
 		if receiving {
-			f.Net.setCut(CoreIP(other), CoreIP(core), cut)
+			f.Net.setPartitioned(CoreIP(other), CoreIP(core), cut)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 func TestClaimTakenAnewIsKeptForItsOwnAge(t *testing.T) {
 	t.Parallel()
 	o := options(712)
-	o.ClaimAge = 20 * time.Second
+	o.ClaimRetention = 20 * time.Second
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		claim := func(nonce, state string) error {
 			_, err := f.Order(0, "claim", claim.Request{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "p"})
--- a/sim/declare_test.go
+++ b/sim/declare_test.go
@@ -23,7 +23,7 @@
 		for lost := range cores {
 			later := false
 			o := numberedOptions(uint64(240+lost), cores)
-			o.PlaceCore = func(_ int, p *daemon.Host) { p.Bootstrapped = later }
+			o.ChangeCoreHost = func(_ int, p *daemon.Host) { p.Bootstrapped = later }
 			inNumbered(t, o, func(is *is.I, f *Fleet) {
 				all := members("core-1 core-2 core-3 core-4"[:7*cores-1])
 				f.untilMembership(10*time.Second, all)
--- a/sim/disk.go
+++ b/sim/disk.go
@@ -12,14 +12,14 @@
 
 // Disk is a machine's disk: it outlives the processes that use it.
 type Disk struct {
-	mu      sync.Mutex
-	folders map[string]map[string][]byte // sealed files
-	life    int
-	delay   time.Duration
-	full    bool
-	stall   chan struct{} // not nil: writes wait until it is closed
-	writes  int
-	written int // bytes, in all
+	mu         sync.Mutex
+	folders    map[string]map[string][]byte // sealed files
+	generation int
+	delay      time.Duration
+	full       bool
+	stall      chan struct{} // not nil: writes wait until it is closed
+	writes     int
+	written    int // bytes, in all
 }
 
 // NewDisk makes an empty disk.
@@ -60,8 +60,8 @@
 	d.folders = map[string]map[string][]byte{}
 }
 
-// Spoil changes a file's bytes behind the program's back.
-func (d *Disk) Spoil(folder, name string, change func([]byte) []byte) {
+// Corrupt changes a file's bytes behind the program's back.
+func (d *Disk) Corrupt(folder, name string, change func([]byte) []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.folders[folder] == nil {
@@ -91,13 +91,13 @@
 func (d *Disk) Open() disk.Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.life++
-	return &handle{d, d.life}
+	d.generation++
+	return &handle{d, d.generation}
 }
 
 type handle struct {
-	disk *Disk
-	life int
+	disk       *Disk
+	generation int
 }
 
 var errDead = errors.New("this process is dead")
@@ -106,7 +106,7 @@
 func (h *handle) locked(do func() error) error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
-	if h.life != h.disk.life {
+	if h.generation != h.disk.generation {
 		return apierror.Wrap(errDead, apierror.DiskFailed, "disk")
 	}
 	return do()
--- a/sim/disturbed_test.go
+++ b/sim/disturbed_test.go
@@ -28,9 +28,9 @@
 		}},
 		{"the agent is cut off", false, func(f *Fleet) {
 			cores := []string{CoreIP(0), CoreIP(1), CoreIP(2), CoreIP(3)}
-			f.Net.Part([]string{ProxyIP(0)}, cores, true)
+			f.Net.PartitionGroups([]string{ProxyIP(0)}, cores, true)
 			time.Sleep(4 * time.Second)
-			f.Net.Part([]string{ProxyIP(0)}, cores, false)
+			f.Net.PartitionGroups([]string{ProxyIP(0)}, cores, false)
 		}},
 		{"the agent starts anew", false, func(f *Fleet) {
 			f.Kill(ProxyIP(0))
@@ -58,22 +58,22 @@
 				f.declare(0, numbered(1, 0, true, "a"))
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
-				var told atomic.Int64
+				var updates atomic.Int64
 				watcher := watch.NewClient(watch.ClientOptions{RPC: f.Wire, Address: ProxyIP(0) + ":7001", Path: "/agent/pull", Wait: 100 * time.Millisecond,
 					Request: func() watch.Request { return watch.Request{Name: "watcher", Role: "watcher"} },
 					OnUpdate: func(_ *watch.Client, answer watch.Response) {
 						for _, e := range answer.Updates {
 							if e.Key == router.DisturbedKey {
-								told.Add(1)
+								updates.Add(1)
 							}
 						}
 					}})
 				go watcher.Run(ctx)
 				time.Sleep(3 * time.Second)
-				before := told.Load()
+				before := updates.Load()
 				c.disturbs(f)
 				time.Sleep(3 * time.Second)
-				is.Equal(told.Load() > before, c.isTold)
+				is.Equal(updates.Load() > before, c.isTold)
 			})
 		})
 	}
--- a/sim/exchange_test.go
+++ b/sim/exchange_test.go
@@ -139,11 +139,11 @@
 	server := &http.Server{Handler: handler}
 	var running sync.WaitGroup
 	running.Go(func() { _ = server.Serve(listener) })
-	news := []string{fmt.Sprintf(`{"name":"evil","address":%q,"pool":"pool"}`, At(ip))}
+	changed := []string{fmt.Sprintf(`{"name":"evil","address":%q,"pool":"pool"}`, At(ip))}
 	for i := range f.Options.Replicas {
-		news = append(news, fmt.Sprintf(`{"name":%q,"state":"gone"}`, ReplicaName(i)))
+		changed = append(changed, fmt.Sprintf(`{"name":%q,"state":"gone"}`, ReplicaName(i)))
 	}
-	must(f.Order(0, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(news, ",") + `]}`)}))
+	must(f.Order(0, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(changed, ",") + `]}`)}))
 	time.Sleep(2 * time.Second)
 	return func() { _ = server.Close(); running.Wait() }
 }
--- a/sim/faults_test.go
+++ b/sim/faults_test.go
@@ -206,7 +206,7 @@
 		})
 		time.Sleep(200 * time.Millisecond)
 		for i := range 4 {
-			f.Net.Part([]string{CoreIP(i)}, []string{ProxyIP(0)}, true)
+			f.Net.PartitionGroups([]string{CoreIP(i)}, []string{ProxyIP(0)}, true)
 		}
 		stopped := f.Until(1700*time.Millisecond, "the cut-off proxy admits nothing", func() bool {
 			_, code, _ := f.Ask(0, "a", "", chat("light"))
@@ -216,7 +216,7 @@
 		must(f.merge(`{"tenants":[{"name":"a","weight":9}]}`))
 		running.Wait()
 		for i := range 4 {
-			f.Net.Part([]string{CoreIP(i)}, []string{ProxyIP(0)}, false)
+			f.Net.PartitionGroups([]string{CoreIP(i)}, []string{ProxyIP(0)}, false)
 		}
 		f.Until(5*time.Second, "it admits again", func() bool {
 			status, _, _ := f.Ask(0, "a", "", chat("light"))
@@ -232,25 +232,25 @@
 	inBubble(t, options(32), func(is *is.I, f *Fleet) {
 		all := f.during(700, 30, 32, func() {
 			time.Sleep(3 * time.Second)
-			f.Net.Part(ips[:2], ips[2:], true)
+			f.Net.PartitionGroups(ips[:2], ips[2:], true)
 			time.Sleep(1500 * time.Millisecond)
 			for core := range 4 {
 				_, err := f.Order(core, config.Key, controlplane.ConfigChange{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":50}]}`), Partial: true})
 				is.True(err != nil)
 			}
-			f.Net.Part(ips[:2], ips[2:], false)
+			f.Net.PartitionGroups(ips[:2], ips[2:], false)
 			f.Until(6*time.Second, "a change is accepted after the split", func() bool {
 				_, err := f.merge(`{"tenants":[{"name":"a","weight":51}]}`)
 				return err == nil
 			})
-			f.Net.Part(ips[:1], ips[1:], true)
+			f.Net.PartitionGroups(ips[:1], ips[1:], true)
 			f.Until(6*time.Second, "three of four accept", func() bool {
 				_, err := f.Order(2, config.Key, controlplane.ConfigChange{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":52}]}`), Partial: true})
 				return err == nil
 			})
 			_, err := f.Order(0, config.Key, controlplane.ConfigChange{Text: json.RawMessage(`{"tenants":[{"name":"a","weight":53}]}`), Partial: true})
 			is.True(err != nil)
-			f.Net.Part(ips[:1], ips[1:], false)
+			f.Net.PartitionGroups(ips[:1], ips[1:], false)
 			time.Sleep(3 * time.Second)
 		})
 		is.True(whole(all) >= len(all)*92/100)
@@ -383,7 +383,7 @@
 		cores, silent := []string{CoreIP(0), CoreIP(1), CoreIP(2), CoreIP(3)}, map[string]bool{}
 		for i := range 18 {
 			if name, pool := f.name(i); pool == "deep" && i > 1 {
-				f.Net.Part(cores, []string{ReplicaIP(i)}, true)
+				f.Net.PartitionGroups(cores, []string{ReplicaIP(i)}, true)
 				silent[name] = true
 			}
 		}
@@ -440,7 +440,7 @@
 		owner := 0
 		_, _ = fmt.Sscanf(rendezvous.Pick(config.ReplicasKey, []string{"core-1", "core-2", "core-3", "core-4"}), "core-%d", &owner)
 		asked := owner % 4 // the next one
-		f.Net.Cut(CoreIP(owner-1), CoreIP(asked))
+		f.Net.Partition(CoreIP(owner-1), CoreIP(asked))
 		var ordering sync.WaitGroup
 		ordering.Go(func() {
 			_, err := f.Order(asked, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[{"name":"pool-1","state":"leaving"}]}`)})
@@ -449,11 +449,11 @@
 		})
 		time.Sleep(time.Second)
 		for i := range 4 {
-			f.Net.Part([]string{CoreIP(asked)}, []string{CoreIP(i)}, true)
+			f.Net.PartitionGroups([]string{CoreIP(asked)}, []string{CoreIP(i)}, true)
 		}
 		ordering.Wait()
 		for i := range 4 {
-			f.Net.Part([]string{CoreIP(asked)}, []string{CoreIP(i)}, false)
+			f.Net.PartitionGroups([]string{CoreIP(asked)}, []string{CoreIP(i)}, false)
 		}
 		f.Rest(callers[2], func() {})
 		for _, fact := range f.FactLog.Facts() {
--- a/sim/files.go
+++ b/sim/files.go
@@ -104,17 +104,17 @@
 }
 
 // PowerLoss loses power and begins another process. What was not synced is kept with the given chance, from 0 (none) to 1 (all).
-func (f *Files) PowerLoss(random *rand.Rand, kept float64) {
+func (f *Files) PowerLoss(random *rand.Rand, remaining float64) {
 	f.Restart()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.root = lose(f.root, random, kept)
+	f.root = lose(f.root, random, remaining)
 }
 
 // lose gives a node as it is after a loss of power.
-func lose(n *node, random *rand.Rand, kept float64) *node {
+func lose(n *node, random *rand.Rand, remaining float64) *node {
 	if n.names == nil {
-		return &node{synced: loseWrites(n, random, kept)}
+		return &node{synced: loseWrites(n, random, remaining)}
 	}
 	left := newFolderNode()
 	names := make([]string, 0, len(n.names))
@@ -125,24 +125,24 @@
 	for _, name := range names {
 		states := n.names[name]
 		at := 0
-		if random.Float64() < kept {
+		if random.Float64() < remaining {
 			at = len(states) - 1
-			if kept < 1 && random.IntN(4) == 0 {
+			if remaining < 1 && random.IntN(4) == 0 {
 				at = random.IntN(len(states))
 			}
 		}
 		if states[at] != nil {
-			left.names[name] = []*node{lose(states[at], random, kept)}
+			left.names[name] = []*node{lose(states[at], random, remaining)}
 		}
 	}
 	return left
 }
 
-func loseWrites(n *node, random *rand.Rand, kept float64) []byte {
+func loseWrites(n *node, random *rand.Rand, remaining float64) []byte {
 	data := slices.Clone(n.synced)
 	for _, write := range n.writes {
 		switch {
-		case kept == 1 || random.Float64() < kept:
+		case remaining == 1 || random.Float64() < remaining:
 			data = append(data, write...)
 		case random.IntN(2) == 0: // torn: a piece, and nothing where the rest was to be
 			data = append(data, write[:random.IntN(len(write)+1)]...)
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -30,15 +30,15 @@
 	Config                   string
 	Tenants                  []string // each gets the access key NAME-key
 	Log                      zerolog.Logger
-	ClaimAge                 time.Duration
-	Room                     int64
-	Index                    int                 // entries of the proxies' index; 0: 200000, less: none
+	ClaimRetention           time.Duration
+	BodyMemory               int64
+	PrefixIndexSize          int                 // entries of the proxies' index; 0: 200000, less: none
 	Replica                  fake.ReplicaOptions // what all replicas share
 	Names                    []string            // of the replicas: POOL-N; kinds web and store by their pool's name; none: pool-1, pool-2 …
 	Founders                 []string            // the cores' founders and seeds; nil: each core's own address and its neighbours
 	Core                     controlplane.Options
 	Agent                    agent.Options
-	PlaceCore                func(i int, p *daemon.Host)      // changes where a core stands, before it starts; nil: nothing
+	ChangeCoreHost           func(i int, p *daemon.Host)      // changes where a core stands, before it starts; nil: nothing
 	Backend                  func(i int) controlplane.Backend // how a core speaks with a platform; nil: not at all
 	Wrap                     func(n rpc.Network) rpc.Network  // stands between each daemon and the network; nil: nothing
 }
@@ -63,8 +63,8 @@
 	AgentDisks map[int]*Disk
 	dead       map[string]bool          // hosts that were killed and not started again
 	asked      atomic.Int64             // by hand
-	skews      map[string]time.Duration // of wall clocks, by host
-	gone       map[int]bool             // core machines that were replaced for good
+	clockSkews map[string]time.Duration // of wall clocks, by host
+	replaced   map[int]bool             // core machines that were replaced for good
 }
 
 // CoreIP is the address of the nth core machine.
@@ -87,7 +87,7 @@
 // NewFleet makes the network and the disks, and starts all daemons and fakes.
 func NewFleet(o FleetOptions) *Fleet {
 	f := &Fleet{Options: o, Net: NewNetwork(time.Millisecond), Replicas: map[string]*fake.Replica{}, kills: map[string]context.CancelFunc{},
-		Proxies: make([]*proxy.Proxy, o.Proxies), AgentDisks: map[int]*Disk{}, Cores: map[int]*controlplane.Core{}, gone: map[int]bool{}, dead: map[string]bool{}, skews: map[string]time.Duration{}, AgentSeeds: []string{At(CoreIP(0)), At(CoreIP(1)), At(CoreIP(2))}}
+		Proxies: make([]*proxy.Proxy, o.Proxies), AgentDisks: map[int]*Disk{}, Cores: map[int]*controlplane.Core{}, replaced: map[int]bool{}, dead: map[string]bool{}, clockSkews: map[string]time.Duration{}, AgentSeeds: []string{At(CoreIP(0)), At(CoreIP(1)), At(CoreIP(2))}}
 	outside := f.Net.Host(CallerIP)
 	f.Wire = rpc.NewClient(fleetName, outside)
 	f.Client = &http.Client{Transport: &http.Transport{DialContext: outside.DialContext, MaxIdleConnsPerHost: 256}}
@@ -101,7 +101,7 @@
 		f.StartReplica(i)
 	}
 	if len(o.Names) == 0 {
-		f.StartReplica(webAt)
+		f.StartReplica(webIndex)
 	}
 	for i := range o.Proxies {
 		f.StartPair(i)
@@ -133,7 +133,7 @@
 	f.Net.Crash(ip)
 }
 
-func (f *Fleet) place(name, ip, zone string) daemon.Host {
+func (f *Fleet) host(name, ip, zone string) daemon.Host {
 	var network rpc.Network = f.Net.Host(ip)
 	if f.Options.Wrap != nil {
 		network = f.Options.Wrap(network)
@@ -142,15 +142,15 @@
 		Clock: func() time.Time {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return time.Now().Add(f.skews[ip])
+			return time.Now().Add(f.clockSkews[ip])
 		}}
 }
 
-// Jump moves a machine's wall clock.
-func (f *Fleet) Jump(ip string, by time.Duration) {
+// JumpClock moves a machine's wall clock.
+func (f *Fleet) JumpClock(ip string, by time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.skews[ip] += by
+	f.clockSkews[ip] += by
 }
 
 func must[T any](value T, err error) T {
@@ -163,7 +163,7 @@
 // StartCore starts a core on its disk; what ran on the host before is killed, as with the other starts.
 func (f *Fleet) StartCore(i int) {
 	f.Kill(CoreIP(i))
-	p := f.place(fmt.Sprintf("core-%d", i+1), CoreIP(i), fmt.Sprintf("zone-%d", i+1))
+	p := f.host(fmt.Sprintf("core-%d", i+1), CoreIP(i), fmt.Sprintf("zone-%d", i+1))
 	for back := 1; back <= 3; back++ { // its three neighbours; for a machine that was not there before, the last three
 		j := i - back
 		if i < f.Options.Cores {
@@ -174,8 +174,8 @@
 	if f.Options.Founders != nil {
 		p.BootstrapPeers, p.Seeds = f.Options.Founders, f.Options.Founders
 	}
-	if f.Options.PlaceCore != nil {
-		f.Options.PlaceCore(i, &p)
+	if f.Options.ChangeCoreHost != nil {
+		f.Options.ChangeCoreHost(i, &p)
 	}
 	o := f.Options.Core
 	if f.Options.Backend != nil {
@@ -187,7 +187,7 @@
 		f.Cores[i] = c
 	}
 	if o.ClaimRetention == 0 {
-		o.ClaimRetention = f.Options.ClaimAge
+		o.ClaimRetention = f.Options.ClaimRetention
 	}
 	f.mu.Lock()
 	if i == len(f.Disks) { // a machine that was not there before
@@ -219,23 +219,23 @@
 func (f *Fleet) StartPair(i int) {
 	ip := ProxyIP(i)
 	f.Kill(ip)
-	p := f.place(fmt.Sprintf("agent-%d", i+1), ip, fmt.Sprintf("zone-%d", i%4+1))
+	p := f.host(fmt.Sprintf("agent-%d", i+1), ip, fmt.Sprintf("zone-%d", i%4+1))
 	p.Seeds = f.AgentSeeds
 	f.mu.Lock()
 	if f.AgentDisks[i] == nil {
 		f.AgentDisks[i] = NewDisk()
 	}
-	kept := f.AgentDisks[i].Open()
+	remaining := f.AgentDisks[i].Open()
 	f.mu.Unlock()
-	agent := agent.New(p, kept, f.Options.Agent)
+	agent := agent.New(p, remaining, f.Options.Agent)
 	local, outer := must(p.Net.Listen(ip+":7001")), must(p.Net.Listen(p.Address))
 	q := p
 	q.Name, q.Log = fmt.Sprintf("proxy-%d", i+1), f.Options.Log.With().Str("daemon", fmt.Sprintf("proxy-%d", i+1)).Logger()
-	index := f.Options.Index
+	index := f.Options.PrefixIndexSize
 	if index == 0 {
 		index = 200000
 	}
-	proxy := proxy.New(q, proxy.Options{Agent: ip + ":7001", Admin: ip + ":7003", Grace: time.Second, Seed: f.Options.Seed, PrefixIndexSize: index, BodyMemory: f.Options.Room})
+	proxy := proxy.New(q, proxy.Options{Agent: ip + ":7001", Admin: ip + ":7003", Grace: time.Second, Seed: f.Options.Seed, PrefixIndexSize: index, BodyMemory: f.Options.BodyMemory})
 	callers, admin := must(p.Net.Listen(ip+":7002")), must(p.Net.Listen(ip+":7003"))
 	f.mu.Lock()
 	f.Proxies[i] = proxy
@@ -251,13 +251,13 @@
 // ReplicaName names replica i of pool "pool".
 func ReplicaName(i int) string { return fmt.Sprintf("pool-%d", i+1) }
 
-// webAt is the place of a web back end beside replicas that bear no names of their own.
-const webAt = 90
+// webIndex is the place of a web back end beside replicas that bear no names of their own.
+const webIndex = 90
 
 // name gives a replica's name and its pool.
 func (f *Fleet) name(i int) (name, pool string) {
 	name = ReplicaName(i)
-	if i == webAt {
+	if i == webIndex {
 		name = "web-1"
 	}
 	if i < len(f.Options.Names) {
@@ -316,14 +316,14 @@
 	return rpc.Call[controlplane.QueryResponse](ctx, f.Wire, At(CoreIP(core)), "/query", controlplane.Query{Kind: what})
 }
 
-// told is the platform's word for a replica.
-func (f *Fleet) told(i int, state string) string {
+// replicaUpdate is the platform's word for a replica.
+func (f *Fleet) replicaUpdate(i int, state string) string {
 	name, pool := f.name(i)
 	return fmt.Sprintf(`{"name":%q,"address":%q,"pool":%q,"zone":"zone-%d","limit":%d,"state":%q}`, name, At(ReplicaIP(i)), pool, i%4+1, f.Options.Replica.Limit, state)
 }
 
-// Declare waits for the fleet to be founded and gives it its configuration, keys and replicas.
-func (f *Fleet) Declare() {
+// Configure waits for the fleet to be founded and gives it its configuration, keys and replicas.
+func (f *Fleet) Configure() {
 	f.Until(10*time.Second, "a founded fleet takes the configuration", func() bool {
 		_, err := f.Order(0, config.Key, controlplane.ConfigChange{Text: json.RawMessage(f.Options.Config)})
 		return err == nil
@@ -331,14 +331,14 @@
 	for _, tenant := range f.Options.Tenants {
 		must(f.Order(0, "keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(tenant + "-key")}))
 	}
-	var told []string
+	var updates []string
 	for i := range f.Options.Replicas {
-		told = append(told, f.told(i, "present"))
+		updates = append(updates, f.replicaUpdate(i, "present"))
 	}
 	if len(f.Options.Names) == 0 {
-		told = append(told, f.told(webAt, "present"))
+		updates = append(updates, f.replicaUpdate(webIndex, "present"))
 	}
-	must(f.Order(0, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(told, ",") + `]}`)}))
+	must(f.Order(0, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(updates, ",") + `]}`)}))
 	f.Until(10*time.Second, "all proxies are ready", f.AreReady)
 	time.Sleep(time.Second) // replicas have reported, and the proxies know of each other
 }
--- a/sim/fleet_run.go
+++ b/sim/fleet_run.go
@@ -66,7 +66,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.Disks {
-		if !f.gone[i] {
+		if !f.replaced[i] {
 			all = append(all, i)
 		}
 	}
--- a/sim/fleet_test.go
+++ b/sim/fleet_test.go
@@ -24,7 +24,7 @@
 var callers = []fake.Client{{Tenant: "a", Access: "a-key", Weight: 2}, {Tenant: "b", Access: "b-key", Weight: 1}, {Tenant: "c", Access: "c-key", Weight: 1}}
 
 func options(seed uint64) FleetOptions {
-	return FleetOptions{Cores: 4, Proxies: 3, Replicas: 4, Seed: seed, Config: plan, Tenants: []string{"a", "b", "c"}, Log: zerolog.Nop(), ClaimAge: time.Hour,
+	return FleetOptions{Cores: 4, Proxies: 3, Replicas: 4, Seed: seed, Config: plan, Tenants: []string{"a", "b", "c"}, Log: zerolog.Nop(), ClaimRetention: time.Hour,
 		Replica: fake.ReplicaOptions{Kind: "model", Weights: "w1", Limit: 12, Rate: 100, ChunkMs: 5, LoadMs: 1000, WarmMs: 500, Blocks: 2000, Link: 400}}
 }
 
@@ -34,7 +34,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(o)
 		defer f.Stop()
-		f.Declare()
+		f.Configure()
 		play(is.New(t), f)
 	})
 }
--- a/sim/founding_test.go
+++ b/sim/founding_test.go
@@ -16,7 +16,7 @@
 	for after := 50 * time.Millisecond; after <= 850*time.Millisecond; after += 100 * time.Millisecond {
 		later := false
 		o := numberedOptions(260, 3)
-		o.PlaceCore = func(_ int, p *daemon.Host) { p.Bootstrapped = later }
+		o.ChangeCoreHost = func(_ int, p *daemon.Host) { p.Bootstrapped = later }
 		inNumbered(t, o, func(_ *is.I, f *Fleet) {
 			time.Sleep(after)
 			later = true
@@ -38,7 +38,7 @@
 	t.Parallel()
 	for emptied := range 3 {
 		o := numberedOptions(261, 3)
-		o.PlaceCore = func(i int, p *daemon.Host) { p.Bootstrapped = i == emptied }
+		o.ChangeCoreHost = func(i int, p *daemon.Host) { p.Bootstrapped = i == emptied }
 		inNumbered(t, o, func(is *is.I, f *Fleet) {
 			time.Sleep(30 * time.Second)
 			for i := range 3 {
--- a/sim/handover_test.go
+++ b/sim/handover_test.go
@@ -34,9 +34,9 @@
 		is.NoErr(err)
 		is.Equal(third, first) // the choice is the same as before
 		for _, agent := range agents {
-			kept, up := keptAt(agent, theStore)
+			remaining, up := keptAt(agent, theStore)
 			is.True(up)
-			is.Equal(kept["d/new"], 4)
+			is.Equal(remaining["d/new"], 4)
 		}
 	})
 }
@@ -54,8 +54,8 @@
 				others = append(others, CoreIP(i))
 			}
 		}
-		f.Net.Part([]string{CoreIP(first)}, others, true) // the agents reach it still
-		f.Net.Part(others, []string{CoreIP(first)}, true)
+		f.Net.PartitionGroups([]string{CoreIP(first)}, others, true) // the agents reach it still
+		f.Net.PartitionGroups(others, []string{CoreIP(first)}, true)
 		time.Sleep(5 * time.Second) // another core reads too
 		f.Kill(CoreIP(first))
 		b.keep(storeAt, 7, map[string]int{"d/s": 40, "d/new": 3})
--- a/sim/kept_test.go
+++ b/sim/kept_test.go
@@ -51,8 +51,8 @@
 	}()
 	return f.Until(limit, fmt.Sprint(source, " keeps ", want), func() bool {
 		for _, agent := range agents {
-			kept, up := keptAt(agent, source)
-			if last = fmt.Sprint(kept, up); up != (want != nil) || !maps.Equal(kept, want) {
+			remaining, up := keptAt(agent, source)
+			if last = fmt.Sprint(remaining, up); up != (want != nil) || !maps.Equal(remaining, want) {
 				return false
 			}
 		}
--- a/sim/listing_test.go
+++ b/sim/listing_test.go
@@ -111,11 +111,11 @@
 		b.add("pool", 1, "m")
 		listed, err := view{b, other}.List(context.Background())
 		is.NoErr(err)
-		var told []string
+		var updates []string
 		for _, r := range listed { // another core has written the list meanwhile
-			told = append(told, `{"name":"`+r.Name+`","address":"`+r.Address+`","pool":"pool","zone":"`+r.Zone+`","limit":`+strconv.Itoa(r.Limit)+`,"state":"present"}`)
+			updates = append(updates, `{"name":"`+r.Name+`","address":"`+r.Address+`","pool":"pool","zone":"`+r.Zone+`","limit":`+strconv.Itoa(r.Limit)+`,"state":"present"}`)
 		}
-		_, err = f.Order(other, "replicas", controlplane.ReplicasChange{Text: []byte(`{"replicas":[` + strings.Join(told, ",") + `]}`)})
+		_, err = f.Order(other, "replicas", controlplane.ReplicasChange{Text: []byte(`{"replicas":[` + strings.Join(updates, ",") + `]}`)})
 		is.NoErr(err)
 		lost := false
 		f.Until(3*time.Second, "it is known", func() bool { return len(watcher.Read(config.ReplicasKey).Fields) == 4 })
--- a/sim/load_test.go
+++ b/sim/load_test.go
@@ -64,7 +64,7 @@
 			goodputs := make([]float64, len(rates))
 			for i, rate := range rates {
 				o, callers := shape()
-				o.Index = set.index
+				o.PrefixIndexSize = set.index
 				inBubble(t, o, func(is *is.I, f *Fleet) {
 					if set.isObserve {
 						must(f.merge(`{"hold":{"observe":true}}`))
--- a/sim/loading_test.go
+++ b/sim/loading_test.go
@@ -167,13 +167,13 @@
 				others = append(others, CoreIP(i))
 			}
 		}
-		f.Net.Part([]string{CoreIP(first)}, others, true)
-		f.Net.Part(others, []string{CoreIP(first)}, true)
+		f.Net.PartitionGroups([]string{CoreIP(first)}, others, true)
+		f.Net.PartitionGroups(others, []string{CoreIP(first)}, true)
 		f.Until(time.Minute, "all have it", func() bool { return b.has("m", 2) })
 		checkOrders(is, b, loadLease)
 		is.True(b.given()[len(b.given())-1].core != first)
-		f.Net.Part([]string{CoreIP(first)}, others, false)
-		f.Net.Part(others, []string{CoreIP(first)}, false)
+		f.Net.PartitionGroups([]string{CoreIP(first)}, others, false)
+		f.Net.PartitionGroups(others, []string{CoreIP(first)}, false)
 	})
 }
 
@@ -243,7 +243,7 @@
 	b.add("pool", size, "m")
 	rollout(t, 226, b, pools(1, oneModel), func(is *is.I, f *Fleet, watcher *watch.Client) {
 		var mu sync.Mutex
-		open, told := map[string]bool{}, map[string]bool{}
+		open, updates := map[string]bool{}, map[string]bool{}
 		twice := 0 // orders to a replica whose mark has stood since its last order
 		stop := poll(func() {
 			mu.Lock()
@@ -252,9 +252,9 @@
 			for name := range reservations(watcher) {
 				open[name] = true
 			}
-			for name := range told {
+			for name := range updates {
 				if !open[name] {
-					delete(told, name)
+					delete(updates, name)
 				}
 			}
 		})
@@ -262,10 +262,10 @@
 		b.onLoad = func(o ordered) {
 			mu.Lock()
 			defer mu.Unlock()
-			if told[o.replica] {
+			if updates[o.replica] {
 				twice++
 			}
-			told[o.replica] = true
+			updates[o.replica] = true
 		}
 		f.nameVersion(0, "m", 2)
 		f.Until(20*time.Second, "half are ordered", func() bool { return len(b.given()) >= size/2 })
--- a/sim/members_test.go
+++ b/sim/members_test.go
@@ -166,16 +166,16 @@
 		f.Kill(CoreIP(0))
 		names := must(f.Disks[0].Open().List("k" + config.Key))
 		newest := names[len(names)-1]
-		f.Disks[0].Spoil("k"+config.Key, newest, func(raw []byte) []byte { return raw[:len(raw)-1] })
+		f.Disks[0].Corrupt("k"+config.Key, newest, func(raw []byte) []byte { return raw[:len(raw)-1] })
 		cores := []string{CoreIP(1), CoreIP(2), CoreIP(3)}
 		f.Kill(CoreIP(3))
-		f.Net.Part([]string{CoreIP(0)}, cores, true) // it cannot catch up yet
+		f.Net.PartitionGroups([]string{CoreIP(0)}, cores, true) // it cannot catch up yet
 		f.StartCore(0)
 		f.Until(4*time.Second, "the word of the torn one makes no proxy current", func() bool {
 			_, code, _ := f.Ask(1, "b", "", chat("light"))
 			return code == "214"
 		})
-		f.Net.Part([]string{CoreIP(0)}, cores, false)
+		f.Net.PartitionGroups([]string{CoreIP(0)}, cores, false)
 		back := f.Until(12*time.Second, "it has caught up, votes and vouches", func() bool {
 			_, err := f.merge(`{"tenants":[{"name":"a","weight":32}]}`)
 			status, _, _ := f.Ask(1, "b", "", chat("light"))
@@ -232,7 +232,7 @@
 	})
 	time.Sleep(10 * time.Millisecond) // the owner knows it, and its word is under way
 	if !full {                        // else it is to stay the owner, and nobody takes the key from it
-		others(f.Net.Cut)
+		others(f.Net.Partition)
 	}
 	others(f.Net.Reset)
 	time.Sleep(3 * time.Second)
@@ -240,7 +240,7 @@
 	if strings.Contains(then, "killed") {
 		f.StartCore(owner - 1)
 	}
-	others(f.Net.Mend)
+	others(f.Net.Heal)
 	others(func(from, to string) { f.Net.Slow(from, to, time.Millisecond) })
 	f.Until(12*time.Second, "the keys are carried over", func() bool {
 		for i := range 4 {
--- a/sim/membership_test.go
+++ b/sim/membership_test.go
@@ -232,7 +232,7 @@
 func TestReplacedCoreIsAdmittedAndTheOldOneRetired(t *testing.T) {
 	t.Parallel()
 	o := numberedOptions(204, 4)
-	o.PlaceCore = func(i int, p *daemon.Host) {
+	o.ChangeCoreHost = func(i int, p *daemon.Host) {
 		if i == 4 {
 			p.Zone, p.Bootstrapped = "zone-2", true
 		}
@@ -303,7 +303,7 @@
 	t.Parallel()
 	founded := true
 	o := numberedOptions(206, 3)
-	o.PlaceCore = func(_ int, p *daemon.Host) { p.Bootstrapped = founded }
+	o.ChangeCoreHost = func(_ int, p *daemon.Host) { p.Bootstrapped = founded }
 	inNumbered(t, o, func(is *is.I, f *Fleet) {
 		time.Sleep(30 * time.Second)
 		for i := range 3 {
@@ -469,13 +469,13 @@
 			return err == nil
 		})
 		others := []string{CoreIP(0), CoreIP(1), CoreIP(2)}
-		f.Net.Part([]string{CoreIP(3)}, others, true)
-		f.Net.Part(others, []string{CoreIP(3)}, true)
+		f.Net.PartitionGroups([]string{CoreIP(3)}, others, true)
+		f.Net.PartitionGroups(others, []string{CoreIP(3)}, true)
 		f.declare(0, numbered(13, 12, false, "later"))
 		_, _, err := f.declared(3)
 		is.True(err != nil) // it has 12, and cannot know better
-		f.Net.Part([]string{CoreIP(3)}, others, false)
-		f.Net.Part(others, []string{CoreIP(3)}, false)
+		f.Net.PartitionGroups([]string{CoreIP(3)}, others, false)
+		f.Net.PartitionGroups(others, []string{CoreIP(3)}, false)
 		f.Until(5*time.Second, "it reads the newest", func() bool {
 			number, _, err := f.declared(3)
 			is.True(err != nil || number == 13)
--- a/sim/network.go
+++ b/sim/network.go
@@ -31,8 +31,8 @@
 		delays: map[[2]string]time.Duration{}, frozen: map[string]bool{}, carried: map[string]int{}, Delay: delay, news: make(chan struct{})}
 }
 
-// Carried gives how many bytes have been sent to a host.
-func (n *Network) Carried(to string) int {
+// BytesCarried gives how many bytes have been sent to a host.
+func (n *Network) BytesCarried(to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.carried[to]
@@ -54,13 +54,13 @@
 	n.news = make(chan struct{})
 }
 
-// Cut stops what goes from one host to another; Mend lets it flow again. "" stands for every host.
-func (n *Network) Cut(from, to string) { n.setCut(from, to, true) }
+// Partition stops what goes from one host to another; Mend lets it flow again. "" stands for every host.
+func (n *Network) Partition(from, to string) { n.setPartitioned(from, to, true) }
 
-// Mend undoes Cut.
-func (n *Network) Mend(from, to string) { n.setCut(from, to, false) }
+// Heal undoes Cut.
+func (n *Network) Heal(from, to string) { n.setPartitioned(from, to, false) }
 
-func (n *Network) setCut(from, to string, cut bool) {
+func (n *Network) setPartitioned(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at := [2]string{from, to}
@@ -72,12 +72,12 @@
 	n.changed()
 }
 
-// Part cuts two groups of hosts from each other, both ways; isCut false mends.
-func (n *Network) Part(a, b []string, cut bool) {
+// PartitionGroups cuts two groups of hosts from each other, both ways; isCut false mends.
+func (n *Network) PartitionGroups(a, b []string, cut bool) {
 	for _, x := range a {
 		for _, y := range b {
-			n.setCut(x, y, cut)
-			n.setCut(y, x, cut)
+			n.setPartitioned(x, y, cut)
+			n.setPartitioned(y, x, cut)
 		}
 	}
 }
@@ -102,20 +102,20 @@
 func (n *Network) thaw(ip string) {
 	for {
 		n.mu.Lock()
-		frozen, news := n.frozen[ip] && !n.over, n.news
+		frozen, changed := n.frozen[ip] && !n.over, n.news
 		n.mu.Unlock()
 		if !frozen {
 			return
 		}
-		<-news
+		<-changed
 	}
 }
 
-// isCut also gives the channel that tells of changes, and the delay.
-func (n *Network) isCut(from, to string) (bool, chan struct{}, time.Duration) {
+// isPartitioned also gives the channel that tells of changes, and the delay.
+func (n *Network) isPartitioned(from, to string) (bool, chan struct{}, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	cut := !n.cutSince(from, to).IsZero()
+	cut := !n.partitionedSince(from, to).IsZero()
 	delay, set := n.delays[[2]string{from, to}]
 	if !set {
 		delay = n.Delay
@@ -123,8 +123,8 @@
 	return cut, n.news, delay
 }
 
-// cutSince is when the cut between two hosts began; zero if there is none. n.mu is held.
-func (n *Network) cutSince(from, to string) (since time.Time) {
+// partitionedSince is when the cut between two hosts began; zero if there is none. n.mu is held.
+func (n *Network) partitionedSince(from, to string) (since time.Time) {
 	for _, at := range [][2]string{{from, to}, {"", to}, {from, ""}} {
 		if began := n.cuts[at]; !began.IsZero() && (since.IsZero() || began.Before(since)) {
 			since = began
@@ -256,8 +256,8 @@
 	failed := func(err error) error { return &net.OpError{Op: "dial", Net: "tcp", Addr: addr(address), Err: err} }
 	for {
 		n.thaw(h.IP)
-		there, thereNews, delay := n.isCut(h.IP, host(address))
-		back, _, _ := n.isCut(host(address), h.IP)
+		there, thereNews, delay := n.isPartitioned(h.IP, host(address))
+		back, _, _ := n.isPartitioned(host(address), h.IP)
 		if !there && !back {
 			if err := wait(ctx, 2*delay, nil); err != nil {
 				return nil, failed(err)
@@ -290,12 +290,12 @@
 	}
 }
 
-func wait(ctx context.Context, d time.Duration, news chan struct{}) error {
+func wait(ctx context.Context, d time.Duration, changed chan struct{}) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-news:
+	case <-changed:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/sim/operators_test.go
+++ b/sim/operators_test.go
@@ -304,7 +304,7 @@
 		options := numberedOptions(seed, 3+random.IntN(3))
 		options.Proxies = 0
 		founded := false
-		options.PlaceCore = func(_ int, p *daemon.Host) { p.Bootstrapped = founded }
+		options.ChangeCoreHost = func(_ int, p *daemon.Host) { p.Bootstrapped = founded }
 		f := NewFleet(options)
 		defer f.Stop()
 		o = &operators{Fleet: f, random: rand.New(rand.NewPCG(seed, 10))}
--- a/sim/pipe.go
+++ b/sim/pipe.go
@@ -43,14 +43,14 @@
 func (p *pipe) read(b []byte, deadline func() time.Time) (int, error) {
 	for {
 		p.network.thaw(p.to)
-		cut, mended, _ := p.network.isCut(p.from, p.to)
+		cut, mended, _ := p.network.isPartitioned(p.from, p.to)
 		p.mu.Lock()
 		if p.reset {
 			p.mu.Unlock()
 			return 0, &net.OpError{Op: "read", Net: "tcp", Err: errReset}
 		}
 		now := time.Now()
-		pause := time.Hour
+		delay := time.Hour
 		if !cut && len(p.pieces) > 0 {
 			first := &p.pieces[0]
 			if !now.Before(first.at) {
@@ -63,33 +63,33 @@
 				p.mu.Unlock()
 				return n, nil
 			}
-			pause = first.at.Sub(now)
+			delay = first.at.Sub(now)
 		} else if !cut && p.shut {
 			p.mu.Unlock()
 			return 0, io.EOF
 		}
-		news := p.news
+		changed := p.news
 		p.mu.Unlock()
-		if err := p.rest(pause, deadline, news, mended); err != nil {
+		if err := p.rest(delay, deadline, changed, mended); err != nil {
 			return 0, err
 		}
 	}
 }
 
 // rest waits for news, a mended cut, the pause or the deadline.
-func (p *pipe) rest(pause time.Duration, deadline func() time.Time, news, mended chan struct{}) error {
+func (p *pipe) rest(delay time.Duration, deadline func() time.Time, changed, mended chan struct{}) error {
 	if end := deadline(); !end.IsZero() {
 		left := time.Until(end)
 		if left <= 0 {
 			return os.ErrDeadlineExceeded
 		}
-		pause = min(pause, left)
+		delay = min(delay, left)
 	}
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-news:
+	case <-changed:
 	case <-mended:
 	}
 	return nil
@@ -99,7 +99,7 @@
 // arrives at its time, or when the cut that it met is mended; its acknowledgement needs the way back.
 func (p *pipe) giveUp(at time.Time) {
 	p.network.mu.Lock()
-	there, back := p.network.cutSince(p.from, p.to), p.network.cutSince(p.to, p.from)
+	there, back := p.network.partitionedSince(p.from, p.to), p.network.partitionedSince(p.to, p.from)
 	p.network.mu.Unlock()
 	lost := !there.IsZero() && !there.After(at)
 	if lost {
@@ -117,14 +117,14 @@
 		if end := deadline(); !end.IsZero() && !time.Now().Before(end) {
 			return sent, os.ErrDeadlineExceeded
 		}
-		_, mended, delay := p.network.isCut(p.from, p.to)
+		_, mended, delay := p.network.isPartitioned(p.from, p.to)
 		p.mu.Lock()
 		if p.reset || p.shut {
 			p.mu.Unlock()
 			return sent, &net.OpError{Op: "write", Net: "tcp", Err: errReset}
 		}
-		if room := pipeSize - p.size; room > 0 {
-			n := min(room, len(b)-sent)
+		if space := pipeSize - p.size; space > 0 {
+			n := min(space, len(b)-sent)
 			at := time.Now().Add(delay)
 			if len(p.pieces) > 0 && at.Before(p.pieces[len(p.pieces)-1].at) {
 				at = p.pieces[len(p.pieces)-1].at
@@ -140,9 +140,9 @@
 			}
 			continue
 		}
-		news := p.news
+		changed := p.news
 		p.mu.Unlock()
-		if err := p.rest(time.Hour, deadline, news, mended); err != nil {
+		if err := p.rest(time.Hour, deadline, changed, mended); err != nil {
 			return sent, err
 		}
 	}
--- a/sim/points_test.go
+++ b/sim/points_test.go
@@ -26,10 +26,10 @@
 	}
 	_, _ = io.Copy(io.Discard, q.Body)
 	w.Header().Set("X-Request-Id", q.Header.Get("X-Request-Id"))
-	stream := func(pieces ...string) {
+	stream := func(chunks ...string) {
 		w.Header().Set("Content-Type", "text/event-stream")
-		for _, piece := range pieces {
-			_, _ = io.WriteString(w, "data: "+piece+"\n\n")
+		for _, chunk := range chunks {
+			_, _ = io.WriteString(w, "data: "+chunk+"\n\n")
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -111,7 +111,7 @@
 	f := NewFleet(o)
 	f.Net.Delay = 0
 	defer f.Stop()
-	f.Declare()
+	f.Configure()
 	b.ReportAllocs()
 	for b.Loop() {
 		if status, code, _ := f.Ask(0, "a", "", chat("light")); status != 200 {
@@ -149,11 +149,11 @@
 			f.StartCore(i)
 		}
 		f.Until(10*time.Second, "all are ready", f.AreReady)
-		var news []string
+		var changed []string
 		for i := range f.Options.Replicas {
-			news = append(news, fmt.Sprintf(`{"name":%q,"state":"leaving"}`, ReplicaName(i)))
+			changed = append(changed, fmt.Sprintf(`{"name":%q,"state":"leaving"}`, ReplicaName(i)))
 		}
-		must(f.Order(2, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(news, ",") + `]}`)}))
+		must(f.Order(2, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + strings.Join(changed, ",") + `]}`)}))
 		time.Sleep(time.Second)
 		began := time.Now()
 		_, code, _ = f.Ask(0, "a", "", chat("light"))
@@ -166,7 +166,7 @@
 func TestClaimsAreForgottenByAgeAndNotBefore(t *testing.T) {
 	t.Parallel()
 	o := options(82)
-	o.ClaimAge = 10 * time.Second
+	o.ClaimRetention = 10 * time.Second
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		ask := func(proxy int, key string) string {
 			_, code, _ := f.Ask(proxy, "a", key, chat("light"))
--- a/sim/redundancy_test.go
+++ b/sim/redundancy_test.go
@@ -22,11 +22,11 @@
 // fill makes registers until there are so many keys.
 func (f *replaceable) fill(keys int) {
 	var all sync.WaitGroup
-	room := make(chan struct{}, 50)
+	space := make(chan struct{}, 50)
 	for i := range keys - len(must(f.Query(0, "owners")).Rows) {
-		room <- struct{}{}
+		space <- struct{}{}
 		all.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-space }()
 			must(f.Order(f.live[i%len(f.live)], "term", controlplane.LeaseRequest{Role: fmt.Sprint("duty-", i), Grant: lease.Grant{Holder: "nobody"}}))
 		})
 	}
--- a/sim/replacement_test.go
+++ b/sim/replacement_test.go
@@ -37,7 +37,7 @@
 	o := numberedOptions(seed, cores)
 	o.Proxies = 0
 	o.Core.Tolerance = membership.Tolerance{Machines: losses}
-	o.PlaceCore = func(i int, p *daemon.Host) {
+	o.ChangeCoreHost = func(i int, p *daemon.Host) {
 		if i < cores && f.number == 0 {
 			return
 		}
@@ -289,8 +289,8 @@
 						if frozen {
 							f.Net.Freeze(CoreIP(away), isAway)
 						} else {
-							f.Net.Part([]string{CoreIP(away)}, others, isAway)
-							f.Net.Part(others, []string{CoreIP(away)}, isAway)
+							f.Net.PartitionGroups([]string{CoreIP(away)}, others, isAway)
+							f.Net.PartitionGroups(others, []string{CoreIP(away)}, isAway)
 						}
 					}
 					set(true)
@@ -318,14 +318,14 @@
 	t.Parallel()
 	inReplaceable(t, 306, 5, 1, func(is *is.I, f *replaceable) {
 		few, most := []string{CoreIP(0), CoreIP(1)}, []string{CoreIP(2), CoreIP(3), CoreIP(4)}
-		f.Net.Part(few, most, true)
-		f.Net.Part(most, few, true)
+		f.Net.PartitionGroups(few, most, true)
+		f.Net.PartitionGroups(most, few, true)
 		time.Sleep(12 * time.Second)
 		f.Kill(CoreIP(3))
 		f.declareNext()
 		f.StartCore(3)
-		f.Net.Part(few, most, false)
-		f.Net.Part(most, few, false)
+		f.Net.PartitionGroups(few, most, false)
+		f.Net.PartitionGroups(most, few, false)
 		f.checkNothingLost(is)
 	})
 }
@@ -379,7 +379,7 @@
 	t.Parallel()
 	for _, stalled := range []bool{false, true} {
 		inReplaceable(t, 307, 4, 1, func(is *is.I, f *replaceable) {
-			host, disk := f.place("core-5", CoreIP(4), "zone-1"), NewDisk()
+			host, disk := f.host("core-5", CoreIP(4), "zone-1"), NewDisk()
 			host.Bootstrapped, host.Seeds = true, f.Options.Founders
 			options := f.Options.Core
 			options.LeaveTimeout, options.ClaimRetention = 3*time.Second, time.Hour
--- a/sim/retire_test.go
+++ b/sim/retire_test.go
@@ -315,8 +315,8 @@
 			return func() { f.StartCore(core) }
 		}},
 		{"cut off", func(f *Fleet, core int) func() {
-			f.Net.Part([]string{CoreIP(core)}, f.others(CoreIP(core)), true)
-			return func() { f.Net.Part([]string{CoreIP(core)}, f.others(CoreIP(core)), false) }
+			f.Net.PartitionGroups([]string{CoreIP(core)}, f.others(CoreIP(core)), true)
+			return func() { f.Net.PartitionGroups([]string{CoreIP(core)}, f.others(CoreIP(core)), false) }
 		}},
 		{"frozen", func(f *Fleet, core int) func() {
 			f.Net.Freeze(CoreIP(core), true)
@@ -375,7 +375,7 @@
 	n.mu.Lock()
 	frozen := n.frozen[ip]
 	n.mu.Unlock()
-	cut, _, _ := n.isCut(CallerIP, ip)
+	cut, _, _ := n.isPartitioned(CallerIP, ip)
 	return frozen || cut
 }
 
@@ -396,19 +396,19 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			inAdapterBubble(t, 770+seed, 1000, func(is *is.I, f *Fleet) {
-				told := func(i int, state string) {
-					must(f.Order(1, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + f.told(i, state) + `]}`)}))
+				updates := func(i int, state string) {
+					must(f.Order(1, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(`{"replicas":[` + f.replicaUpdate(i, state) + `]}`)}))
 				}
 				must(f.retirement(retire("ridge-1", "ridge-2")))
 				f.Until(10*time.Second, "a base loads", func() bool { return f.anyReplica("bases", "ridge-1 ridge-2") })
 				f.Kill(ReplicaIP(0)) // the first in turn
 				f.StartReplica(4)
-				told(4, "present")
+				updates(4, "present")
 				f.Until(20*time.Second, "a route has switched", func() bool { return f.retired()["route closures"]["base"] == "ridge-2" })
 				f.StartReplica(1) // an empty one in its place
 				time.Sleep(time.Duration(seed) * time.Second)
-				told(0, "gone")
-				told(2, "leaving")
+				updates(0, "gone")
+				updates(2, "leaving")
 				f.untilPhase(30*time.Second, "ridge-1", "retired")
 			}, func(is *is.I, f *Fleet, all []fake.Exchange) {
 				is.True(whole(all) >= len(all)*97/100)
--- a/sim/room_test.go
+++ b/sim/room_test.go
@@ -19,7 +19,7 @@
 func TestHostileCallersHoldBoundedRoom(t *testing.T) {
 	t.Parallel()
 	o := options(110)
-	o.Room = 4 << 20
+	o.BodyMemory = 4 << 20
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		raw := func(head string, size int, pace time.Duration) string {
 			c, err := f.Net.Host(CallerIP).DialContext(context.Background(), "tcp", ProxyAddress(0))
--- a/sim/send_test.go
+++ b/sim/send_test.go
@@ -16,7 +16,7 @@
 // cutReplicas cuts a proxy's machine from all replicas, or mends that.
 func (f *Fleet) cutReplicas(proxy int, cut bool) {
 	for i := range f.Options.Replicas {
-		f.Net.Part([]string{ProxyIP(proxy)}, []string{ReplicaIP(i)}, cut)
+		f.Net.PartitionGroups([]string{ProxyIP(proxy)}, []string{ReplicaIP(i)}, cut)
 	}
 }
 
@@ -40,7 +40,7 @@
 		}},
 		{"weights accepted that no replica loads", 9, 22 * time.Second, func(f *Fleet) {
 			for i := range f.Options.Replicas { // the cores cannot tell them
-				f.Net.Part([]string{CoreIP(0), CoreIP(1), CoreIP(2), CoreIP(3)}, []string{ReplicaIP(i)}, true)
+				f.Net.PartitionGroups([]string{CoreIP(0), CoreIP(1), CoreIP(2), CoreIP(3)}, []string{ReplicaIP(i)}, true)
 			}
 			must(f.merge(`{"pools":[{"name":"pool","weights":"w2"}]}`))
 		}},
@@ -141,8 +141,8 @@
 		t.Run(by.String(), func(t *testing.T) {
 			t.Parallel()
 			inBubble(t, options(uint64(96+n)), func(is *is.I, f *Fleet) {
-				f.Jump(ProxyIP(0), by)
-				f.Jump(CoreIP(1), -by)
+				f.JumpClock(ProxyIP(0), by)
+				f.JumpClock(CoreIP(1), -by)
 				f.behave(fake.Behaviour{Tenant: "a", Refusing: true, RetryIn: 5})
 				go f.Ask(0, "a", "", chat("light"))
 				time.Sleep(100 * time.Millisecond)
--- a/sim/testbed.go
+++ b/sim/testbed.go
@@ -60,8 +60,8 @@
 	s.running.Go(func() { <-s.ctx.Done(); _ = server.Close() }) // it ends with the testbed
 }
 
-// Put has the agent pass on a settled content of a key, in place of the one before.
-func (s *Testbed) Put(key string, fields register.Fields) {
+// Publish has the agent pass on a settled content of a key, in place of the one before.
+func (s *Testbed) Publish(key string, fields register.Fields) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
@@ -79,14 +79,14 @@
 	})
 }
 
-// Declare passes on a configuration with its replicas, and waits until the router has both.
-func (s *Testbed) Declare(b *config.Config, replicas ...config.Replica) {
+// Configure passes on a configuration with its replicas, and waits until the router has both.
+func (s *Testbed) Configure(b *config.Config, replicas ...config.Replica) {
 	listed := register.Fields{}
 	for _, r := range replicas {
 		listed.Apply(config.Field(r.Name, r))
 	}
-	s.Put(config.ReplicasKey, listed)
-	s.Put(config.Key, b.Fields())
+	s.Publish(config.ReplicasKey, listed)
+	s.Publish(config.Key, b.Fields())
 	time.Sleep(time.Second)
 }
 
--- a/sim/traffic_test.go
+++ b/sim/traffic_test.go
@@ -77,7 +77,7 @@
 		owner := rendezvous.Pick("hold/a", []string{"core-1", "core-2", "core-3", "core-4"})
 		var i int
 		_, _ = fmt.Sscanf(owner, "core-%d", &i)
-		f.Net.Part([]string{CoreIP(i - 1)}, []string{CoreIP(0), CoreIP(1), CoreIP(2), CoreIP(3), ProxyIP(0), ProxyIP(1), ProxyIP(2)}, true) // it hears, and is heard by, nobody
+		f.Net.PartitionGroups([]string{CoreIP(i - 1)}, []string{CoreIP(0), CoreIP(1), CoreIP(2), CoreIP(3), ProxyIP(0), ProxyIP(1), ProxyIP(2)}, true) // it hears, and is heard by, nobody
 		go f.Ask(0, "a", "", chat("light"))
 		spread := f.Until(6*time.Second, "every proxy holds a", func() bool { return f.holding("a") == 3 })
 		t.Logf("with the scope's owner gone every proxy holds after %v", spread)
--- a/sim/twice_test.go
+++ b/sim/twice_test.go
@@ -88,7 +88,7 @@
 func (d *doubled) doubles(path string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if news := strings.HasSuffix(path, "/pull") || path == "/core/whole"; news && d.random.IntN(20) > 0 {
+	if changed := strings.HasSuffix(path, "/pull") || path == "/core/whole"; changed && d.random.IntN(20) > 0 {
 		return false
 	}
 	d.copies[path]++
@@ -173,7 +173,7 @@
 	calls := newDoubled(320, 6*time.Second)
 	o.Wrap, o.Core.Lease = calls.wrap, loadLease
 	later := false
-	o.PlaceCore = func(_ int, p *daemon.Host) { p.Bootstrapped = later }
+	o.ChangeCoreHost = func(_ int, p *daemon.Host) { p.Bootstrapped = later }
 	inNumbered(t, o, func(is *is.I, f *Fleet) {
 		f.untilMembership(10*time.Second, "core-1 core-2 core-3")
 		later = true
@@ -291,7 +291,7 @@
 func TestAgeOfAClaimIsItsOwn(t *testing.T) {
 	t.Parallel()
 	o := options(311)
-	o.ClaimAge = 20 * time.Second
+	o.ClaimRetention = 20 * time.Second
 	inBubble(t, o, func(is *is.I, f *Fleet) {
 		claim := func(nonce, state string) error {
 			o := claim.Request{Claim: router.Claim{Tenant: "a", Key: "k", Nonce: nonce, State: state}, Proxy: "proxy-1.gone"}
@@ -315,7 +315,7 @@
 	t.Parallel()
 	inBubble(t, options(312), func(is *is.I, f *Fleet) {
 		tell := func(core int, state string) {
-			text := fmt.Appendf(nil, `{"replicas":[%s]}`, f.told(0, state))
+			text := fmt.Appendf(nil, `{"replicas":[%s]}`, f.replicaUpdate(0, state))
 			must(f.Order(core, "replicas", controlplane.ReplicasChange{Text: json.RawMessage(text)}))
 		}
 		state := func(core int) string {
