--- a/linearizability/history.go
+++ b/linearizability/history.go
@@ -25,8 +25,8 @@
 	Rejected
 )
 
-// Declaration is a configuration as an operator sends it.
-type Declaration struct {
+// Write is a configuration as an operator sends it.
+type Write struct {
 	Number  uint64
 	Base    uint64
 	Digest  string
@@ -41,15 +41,15 @@
 	digest       string
 }
 
-func (d Declaration) identity() identity { return identity{d.Number, d.Base, d.Digest} }
+func (d Write) identity() identity { return identity{d.Number, d.Base, d.Digest} }
 
-func (d Declaration) String() string {
+func (d Write) String() string {
 	return fmt.Sprintf("number %d on %d (%s)", d.Number, d.Base, d.Digest)
 }
 
 // call is one declaration sent. Events are numbered from 1; a call that never ended has no end.
 type call struct {
-	Declaration
+	Write
 	outcome    Outcome
 	begin, end int
 }
@@ -70,11 +70,11 @@
 }
 
 // Declare notes that a declaration is being sent; done notes its outcome. Without done the outcome stays unclear.
-func (r *Recorder) Declare(d Declaration) (done func(Outcome)) {
+func (r *Recorder) Declare(d Write) (done func(Outcome)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.event++
-	c := &call{Declaration: d, begin: r.event, end: math.MaxInt}
+	c := &call{Write: d, begin: r.event, end: math.MaxInt}
 	r.calls = append(r.calls, c)
 	return func(outcome Outcome) {
 		r.mu.Lock()
@@ -120,12 +120,12 @@
 
 // version is a declaration that may have been taken, with all identical calls.
 type version struct {
-	Declaration
+	Write
 	calls        []*call
 	acknowledged bool
 }
 
-const mostTries = 2000
+const maxAttempts = 2000
 
 // checker tries chains of versions. Each version names its base, so the chain back from the newest known version is nearly determined: only
 // where no call was acknowledged is there a choice among unclear ones.
@@ -152,7 +152,7 @@
 		}
 		v := all[made.identity()]
 		if v == nil {
-			v = &version{Declaration: made.Declaration}
+			v = &version{Write: made.Write}
 			all[made.identity()] = v
 			c.byNumber[made.Number] = append(c.byNumber[made.Number], v)
 			c.byBase[made.Base] = append(c.byBase[made.Base], v)
@@ -250,8 +250,8 @@
 // refused because of them.
 func (c *checker) isExplainedOn(chain []*version) bool {
 	c.tries++
-	if c.tries > mostTries {
-		return c.fail("gave up after %d chains", mostTries)
+	if c.tries > maxAttempts {
+		return c.fail("gave up after %d chains", maxAttempts)
 	}
 	if c.isTimely(chain) {
 		return true
@@ -280,11 +280,11 @@
 // isTimely says whether moments can be given to the versions of a chain, in its order, that fit all calls and reads. Lower bounds rise to
 // their least fixed point: a refusal's base must come later only once it is sure that it cannot have been replaced earlier.
 func (c *checker) isTimely(chain []*version) bool {
-	t, place := begin(chain)
-	if !c.boundByReads(chain, place, &t) {
+	t, position := begin(chain)
+	if !c.boundByReads(chain, position, &t) {
 		return false
 	}
-	choices := c.boundByRefusals(chain, place, &t)
+	choices := c.boundByRefusals(chain, position, &t)
 	for moving := true; moving; {
 		moving = false
 		raise := func(i, to int) {
@@ -311,12 +311,12 @@
 }
 
 // begin bounds each version by its own calls. The first of the chain is the empty one that was always there.
-func begin(chain []*version) (t timing, place map[uint64]int) {
+func begin(chain []*version) (t timing, position map[uint64]int) {
 	t = timing{make([]int, len(chain)), make([]int, len(chain)), make([]string, len(chain))}
-	place = map[uint64]int{}
+	position = map[uint64]int{}
 	t.why[0] = "it was there from the beginning"
 	for i, v := range chain {
-		place[v.Number] = i
+		position[v.Number] = i
 		if i == 0 {
 			continue
 		}
@@ -328,7 +328,7 @@
 			}
 		}
 	}
-	return t, place
+	return t, position
 }
 
 // bound lets a version take effect before an event.
@@ -339,7 +339,7 @@
 	}
 }
 
-func (c *checker) boundByReads(chain []*version, place map[uint64]int, t *timing) bool {
+func (c *checker) boundByReads(chain []*version, position map[uint64]int, t *timing) bool {
 	contents := make([]map[string]string, len(chain))
 	for i, v := range chain {
 		contents[i] = map[string]string{}
@@ -352,7 +352,7 @@
 		maps.Copy(contents[i], v.Items)
 	}
 	for _, r := range c.reads {
-		i := place[r.number] // all numbers read are in the chain
+		i := position[r.number] // all numbers read are in the chain
 		if !maps.Equal(contents[i], r.items) {
 			return c.fail("a read shows %v under number %d, which is %v", r.items, r.number, contents[i])
 		}
@@ -366,9 +366,9 @@
 	return true
 }
 
-func (c *checker) boundByRefusals(chain []*version, place map[uint64]int, t *timing) (choices []either) {
+func (c *checker) boundByRefusals(chain []*version, position map[uint64]int, t *timing) (choices []either) {
 	for _, made := range c.refused {
-		i, ok := place[made.Base]
+		i, ok := position[made.Base]
 		taken := ok && i+1 < len(chain) && chain[i+1].identity() == made.identity()
 		switch {
 		case !ok || made.Number <= made.Base:
--- a/linearizability/history_test.go
+++ b/linearizability/history_test.go
@@ -10,8 +10,8 @@
 )
 
 // amendment is a declaration that adds one item of its own.
-func amendment(number, base uint64, digest string) Declaration {
-	return Declaration{Number: number, Base: base, Digest: digest, Items: map[string]string{fmt.Sprint("item-", number): digest}}
+func amendment(number, base uint64, digest string) Write {
+	return Write{Number: number, Base: base, Digest: digest, Items: map[string]string{fmt.Sprint("item-", number): digest}}
 }
 
 // contents are the items after the amendments of these numbers, all with the same digest.
@@ -23,7 +23,7 @@
 	return items
 }
 
-func (r *Recorder) declared(d Declaration, outcome Outcome) { r.Declare(d)(outcome) }
+func (r *Recorder) declared(d Write, outcome Outcome) { r.Declare(d)(outcome) }
 
 func (r *Recorder) shown(number uint64, items map[string]string) { r.Read()(number, items) }
 
@@ -44,8 +44,8 @@
 	}},
 	{"a whole one replaces all", "", func(r *Recorder) {
 		r.declared(amendment(1, 0, "a"), Acknowledged)
-		r.declared(Declaration{Number: 2, Base: 1, Digest: "b", Full: true, Items: contents("b", 2)}, Acknowledged)
-		r.declared(Declaration{Number: 3, Base: 2, Digest: "c", Removed: []string{"item-2"}}, Acknowledged)
+		r.declared(Write{Number: 2, Base: 1, Digest: "b", Full: true, Items: contents("b", 2)}, Acknowledged)
+		r.declared(Write{Number: 3, Base: 2, Digest: "c", Removed: []string{"item-2"}}, Acknowledged)
 		r.shown(3, nil)
 	}},
 	{"one of two wins, the other is refused", "", func(r *Recorder) {
@@ -171,7 +171,7 @@
 	taken  map[identity]bool
 }
 
-func (s *truth) take(d Declaration) Outcome {
+func (s *truth) take(d Write) Outcome {
 	switch {
 	case s.taken[d.identity()]:
 		return Acknowledged
--- a/linearizability/recorder.go
+++ b/linearizability/recorder.go
@@ -8,12 +8,12 @@
 )
 
 // Of gives a declaration as the checker sees it: its items are the texts that a read shows.
-func Of(d config.NumberedConfig) Declaration {
+func Of(d config.NumberedConfig) Write {
 	items := map[string]string{}
 	for _, name := range d.Order {
 		items[name] = string(d.Texts[name])
 	}
-	return Declaration{Number: d.Number, Base: d.BasedOn, Digest: d.Digest, Full: d.Full, Items: items, Removed: d.Removed}
+	return Write{Number: d.Number, Base: d.BasedOn, Digest: d.Digest, Full: d.Full, Items: items, Removed: d.Removed}
 }
 
 // Items gives what a read showed as the checker sees it.
--- a/relaytest/client.go
+++ b/relaytest/client.go
@@ -167,12 +167,12 @@
 // pipeline sends two or three at once.
 func (k *caller) pipeline(tag string) (open bool) {
 	var all []*Sent
-	var whole string
+	var complete string
 	for i := range 2 + k.w.draw(2) {
 		s, text := k.w.compose(fmt.Sprintf("%s.%d", tag, i))
-		all, whole = append(all, s), whole+text
+		all, complete = append(all, s), complete+text
 	}
-	k.write(whole)
+	k.write(complete)
 	for _, s := range all {
 		if !k.read(s, Got{Patient: true}) {
 			return false
--- a/relaytest/judge.go
+++ b/relaytest/judge.go
@@ -30,7 +30,7 @@
 // promises are the statuses that say: not run, and never will be.
 var promises = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
-type judge struct {
+type check struct {
 	*World
 	byStamp map[string]*Run
 	byTag   map[string][]*Run
@@ -41,7 +41,7 @@
 func (w *World) judge() []Finding {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	j := &judge{World: w, byStamp: map[string]*Run{}, byTag: map[string][]*Run{}}
+	j := &check{World: w, byStamp: map[string]*Run{}, byTag: map[string][]*Run{}}
 	for _, r := range w.runs {
 		j.byStamp[r.Stamp] = r
 		j.byTag[r.Tag] = append(j.byTag[r.Tag], r)
@@ -58,7 +58,7 @@
 	return j.found
 }
 
-func (j *judge) add(rule Rule, tag, format string, args ...any) {
+func (j *check) add(rule Rule, tag, format string, args ...any) {
 	var acts []string
 	for _, r := range j.byTag[tag] {
 		acts = append(acts, r.Act)
@@ -66,7 +66,7 @@
 	j.found = append(j.found, Finding{rule, fmt.Sprintf("%s: %s; replicas: %s", tag, fmt.Sprintf(format, args...), strings.Join(acts, ", "))})
 }
 
-func (j *judge) run(r *Run) {
+func (j *check) run(r *Run) {
 	s := j.sent[r.Tag]
 	switch {
 	case s == nil:
@@ -78,11 +78,11 @@
 	}
 }
 
-func (j *judge) twice(s *Sent) {
-	ran, promised := 0, 0
+func (j *check) twice(s *Sent) {
+	executed, promised := 0, 0
 	for _, r := range j.byTag[s.Tag] {
 		if r.HasRun {
-			ran++
+			executed++
 		}
 	}
 	for _, g := range j.got {
@@ -93,14 +93,14 @@
 	if s.IsRepeatable() {
 		return
 	}
-	if ran > s.Times {
-		j.add(Twice, s.Tag, "%d runs of %d sends", ran, s.Times)
-	} else if promised > s.Times-ran {
-		j.add(Refused, s.Tag, "%d runs of %d sends, %d promises", ran, s.Times, promised)
+	if executed > s.Times {
+		j.add(Twice, s.Tag, "%d runs of %d sends", executed, s.Times)
+	} else if promised > s.Times-executed {
+		j.add(Refused, s.Tag, "%d runs of %d sends, %d promises", executed, s.Times, promised)
 	}
 }
 
-func (j *judge) answer(g Got) {
+func (j *check) answer(g Got) {
 	s := j.sent[g.Tag]
 	switch {
 	case g.Stray != "":
@@ -119,7 +119,7 @@
 }
 
 // silence judges a connection that ended, or stayed open, without an answer.
-func (j *judge) silence(g Got) {
+func (j *check) silence(g Got) {
 	if !g.Patient {
 		return
 	}
@@ -132,7 +132,7 @@
 }
 
 // stamped judges an answer that is said to be a replica's.
-func (j *judge) stamped(s *Sent, g Got) {
+func (j *check) stamped(s *Sent, g Got) {
 	r := j.byStamp[g.Stamp]
 	switch {
 	case r == nil || r.Tag != g.Tag:
@@ -154,7 +154,7 @@
 }
 
 // stream judges the pieces of a stream: a prefix of what is due, and all of it if the answer looks complete.
-func (j *judge) stream(s *Sent, r *Run, g Got) {
+func (j *check) stream(s *Sent, r *Run, g Got) {
 	due := r.Answer
 	if s.Kind == Resumable {
 		due = ""
--- a/relaytest/replica.go
+++ b/relaytest/replica.go
@@ -84,10 +84,10 @@
 				return
 			}
 		}
-		kept := a.do(l, r, q)
+		connection := a.do(l, r, q)
 		l.w.note(func() { r.Ended = time.Now() })
 		l.carried = append(l.carried, q.Header.Get(l.w.Speech.IDHeader))
-		if !kept {
+		if !connection {
 			return
 		}
 	}
@@ -210,12 +210,12 @@
 
 func (l *line) refusal(r *Run, q *http.Request, id string) string {
 	w := l.w
-	said := w.Speech.Refusals[w.draw(len(w.Speech.Refusals))]
+	answered := w.Speech.Refusals[w.draw(len(w.Speech.Refusals))]
 	bare := *r
 	bare.Stamp = ""
-	text := w.head(said.Status, id, &bare, append([]string{fmt.Sprintf("Content-Length: %d", len(said.Body))}, said.Lines...)...)
+	text := w.head(answered.Status, id, &bare, append([]string{fmt.Sprintf("Content-Length: %d", len(answered.Body))}, answered.Lines...)...)
 	if q.Method != http.MethodHead {
-		text += said.Body
+		text += answered.Body
 	}
 	return text
 }
