--- a/cmd/asterridgectl/main.go
+++ b/cmd/asterridgectl/main.go
@@ -57,7 +57,7 @@
 	}
 	set.Usage = func() { explain(os.Stderr) }
 	_ = set.Parse(os.Args[1:]) // ExitOnError
-	s := &shell{wire: rpc.NewClient(*fleet, &rpc.TCP{}), out: os.Stdout, jSON: *format == "json", explain: explain}
+	s := &session{wire: rpc.NewClient(*fleet, &rpc.TCP{}), out: os.Stdout, jSON: *format == "json", explain: explain}
 	for _, core := range strings.Split(*cores, ",") {
 		if core = strings.TrimSpace(core); core != "" {
 			s.cores = append(s.cores, core)
@@ -86,7 +86,7 @@
 	os.Exit(worst)
 }
 
-type shell struct {
+type session struct {
 	wire    *rpc.Client
 	cores   []string
 	out     io.Writer
@@ -95,7 +95,7 @@
 }
 
 // line runs one command and gives its exit code.
-func (s *shell) line(text string) int {
+func (s *session) line(text string) int {
 	c, err := parse(text)
 	if err == nil && c.file != "" {
 		err = readInto(c)
@@ -113,14 +113,14 @@
 	case c.quit:
 		return 0
 	case c.query != nil:
-		a, err := ask[controlplane.QueryResponse](s, "/query", c.query)
+		a, err := call[controlplane.QueryResponse](s, "/query", c.query)
 		if err != nil {
 			return s.failed(err)
 		}
 		s.print(a)
 		return 0
 	}
-	a, err := ask[controlplane.Accepted](s, "/op/"+c.order, c.body)
+	a, err := call[controlplane.Accepted](s, "/op/"+c.order, c.body)
 	if err != nil {
 		return s.failed(err)
 	}
@@ -144,7 +144,7 @@
 	return nil
 }
 
-func (s *shell) failed(err error) int {
+func (s *session) failed(err error) int {
 	if s.jSON {
 		_ = json.NewEncoder(s.out).Encode(apierror.ToBody(err)) // a terminal that is gone has nobody to tell
 	}
@@ -155,8 +155,8 @@
 	return 1
 }
 
-// ask tries the cores in turn until one answers.
-func ask[A any](s *shell, path string, q any) (A, error) {
+// call tries the cores in turn until one answers.
+func call[A any](s *session, path string, q any) (A, error) {
 	var none A
 	err := error(apierror.New(apierror.Unreachable, "no core given: use -cores"))
 	for _, core := range s.cores {
@@ -175,7 +175,7 @@
 	return none, err
 }
 
-func (s *shell) print(a controlplane.QueryResponse) {
+func (s *session) print(a controlplane.QueryResponse) {
 	if s.jSON {
 		_ = json.NewEncoder(s.out).Encode(a) // a terminal that is gone has nobody to tell
 		return
--- a/cmd/fakebackend/main.go
+++ b/cmd/fakebackend/main.go
@@ -169,7 +169,7 @@
 			}
 			if !json.Valid(text) {
 				s.Host.Log.Warn().Str("file", *file).Msg("file is not JSON")
-			} else if string(text) != told && tell(ctx, wire, strings.Split(*cores, ","), text, s.Host.Log) {
+			} else if string(text) != told && sendUpdate(ctx, wire, strings.Split(*cores, ","), text, s.Host.Log) {
 				told = string(text)
 			}
 			select {
@@ -181,7 +181,7 @@
 	})
 }
 
-func tell(ctx context.Context, wire *rpc.Client, cores []string, text []byte, log zerolog.Logger) bool {
+func sendUpdate(ctx context.Context, wire *rpc.Client, cores []string, text []byte, log zerolog.Logger) bool {
 	for _, core := range cores {
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
 		a, err := rpc.Call[controlplane.Accepted](short, wire, core, "/op/replicas", controlplane.ReplicasChange{Text: text})
--- a/cmd/localfleet/chaos.go
+++ b/cmd/localfleet/chaos.go
@@ -75,20 +75,20 @@
 	return func() error { return c.ensure(names...) }, c.end(s, names...)
 }
 
-func (c *chaos) tell(name string, order any) {
+func (c *chaos) sendReplicaUpdate(name string, order any) {
 	c.orders.Go(func() { _, _ = c.order(c.ctx, name, order) }) // the fact log has how it ended
 }
 
-// say is the platform's word on a replica; its words come one after another.
-func (c *chaos) say(name, state string) {
+// reportReplica is the platform's word on a replica; its words come one after another.
+func (c *chaos) reportReplica(name, state string) {
 	pool, _, _ := strings.Cut(name, "-")
 	c.orders.Wait()
-	c.tell("replicas", controlplane.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[{"name":%q,"address":%q,"pool":%q,"zone":"zone-1","limit":8,"state":%q}]}`,
+	c.sendReplicaUpdate("replicas", controlplane.ReplicasChange{Text: fmt.Appendf(nil, `{"replicas":[{"name":%q,"address":%q,"pool":%q,"zone":"zone-1","limit":8,"state":%q}]}`,
 		name, c.replicas[name], pool, state)})
 }
 
 func (c *chaos) partial(format string, args ...any) {
-	c.tell(config.Key, controlplane.ConfigChange{Partial: true, Text: fmt.Appendf(nil, format, args...)})
+	c.sendReplicaUpdate(config.Key, controlplane.ConfigChange{Partial: true, Text: fmt.Appendf(nil, format, args...)})
 }
 
 // wipe loses a core's disk and starts the core anew, as a joiner.
@@ -103,7 +103,7 @@
 	return c.ensure(c.harmed)
 }
 
-func (c *chaos) cut(from, to string) (func() error, error) {
+func (c *chaos) partition(from, to string) (func() error, error) {
 	c.relays.cut(from, to, true)
 	return func() error { c.relays.cut(from, to, false); return nil }, nil
 }
--- a/cmd/localfleet/faults.go
+++ b/cmd/localfleet/faults.go
@@ -30,11 +30,11 @@
 		c.relays.part(ip, true)
 		return func() error { c.relays.part(ip, false); return nil }, nil
 	}},
-	{"one-way", "a machine hears, and is not heard", false, func(c *chaos) (func() error, error) { return c.cut(c.machine(), "") }},
+	{"one-way", "a machine hears, and is not heard", false, func(c *chaos) (func() error, error) { return c.partition(c.machine(), "") }},
 	{"lost-link", "one link is broken and cut", false, func(c *chaos) (func() error, error) {
 		a, b := c.machine(), c.machine()
 		c.relays.reset(a)
-		return c.cut(a, b)
+		return c.partition(a, b)
 	}},
 	{"slow-link", "one link takes 300 ms", false, func(c *chaos) (func() error, error) {
 		a, b := c.machine(), c.machine()
@@ -42,7 +42,7 @@
 		return func() error { c.relays.slow(a, b, 0); return nil }, nil
 	}},
 	{"cut-replica", "a proxy is cut from a replica", false, func(c *chaos) (func() error, error) {
-		return c.cut(ipOf(c.proxies[c.pair()]), ipOf(c.replicas[c.replica()]))
+		return c.partition(ipOf(c.proxies[c.pair()]), ipOf(c.replicas[c.replica()]))
 	}},
 	{"split", "the core is split two and two", false, func(c *chaos) (func() error, error) {
 		all := c.present()
@@ -214,14 +214,14 @@
 	{"revoke-spare", "a tenant's second key is revoked", false, func(c *chaos) (func() error, error) {
 		tenant := c.tenant()
 		c.spared++
-		c.tell("keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(c.spare(tenant)), Revoked: true})
-		c.tell("keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(fmt.Sprint(tenant, c.spared))})
+		c.sendReplicaUpdate("keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(c.spare(tenant)), Revoked: true})
+		c.sendReplicaUpdate("keys", controlplane.AccessKeyChange{Tenant: tenant, Hash: config.HashKey(fmt.Sprint(tenant, c.spared))})
 		return nothing, nil
 	}},
 	{"leave", "a replica leaves and comes back", false, func(c *chaos) (func() error, error) {
 		name := c.replica()
-		c.say(name, "leaving")
-		return func() error { c.say(name, "present"); return nil }, nil
+		c.reportReplica(name, "leaving")
+		return func() error { c.reportReplica(name, "present"); return nil }, nil
 	}},
 	{"pool", "replicas are replaced: new ones come and warm up, old ones leave and end", false, func(c *chaos) (func() error, error) {
 		var old, made []string
@@ -232,19 +232,19 @@
 			if err := c.startReplica(made[n], "model", 150+len(c.replicas)); err != nil {
 				return nothing, err
 			}
-			c.say(made[n], "warming")
+			c.reportReplica(made[n], "warming")
 		}
 		return func() error {
 			for n, name := range old {
-				c.say(made[n], "present")
-				c.say(name, "leaving")
+				c.reportReplica(made[n], "present")
+				c.reportReplica(name, "leaving")
 			}
 			after(c.ctx, 3*time.Second)
 			for _, name := range old {
 				if _, err := c.kill(syscall.SIGKILL, name); err != nil {
 					return err
 				}
-				c.say(name, "gone")
+				c.reportReplica(name, "gone")
 			}
 			return nil
 		}, nil
--- a/cmd/localfleet/fleet.go
+++ b/cmd/localfleet/fleet.go
@@ -21,7 +21,7 @@
 
 type fleet struct {
 	options   options
-	wire      *rpc.Client
+	rpc       *rpc.Client
 	processes map[string]*process
 	started   []string
 	cores     []string // addresses, of relays
@@ -69,7 +69,7 @@
 
 // start brings up cores, replicas, agents and proxies, and has the deployment's configuration accepted.
 func start(ctx context.Context, o options) (*fleet, error) {
-	f := &fleet{options: o, wire: rpc.NewClient(fleetName, &rpc.TCP{}), processes: map[string]*process{}, replicas: map[string]string{}, relays: newRelays(), gone: map[int]bool{}}
+	f := &fleet{options: o, rpc: rpc.NewClient(fleetName, &rpc.TCP{}), processes: map[string]*process{}, replicas: map[string]string{}, relays: newRelays(), gone: map[int]bool{}}
 	for i := range 4 {
 		if err := f.placeCore(i); err != nil {
 			return f, err
@@ -91,7 +91,7 @@
 			return f, err
 		}
 	}
-	if err := f.declare(ctx); err != nil {
+	if err := f.configure(ctx); err != nil {
 		return f, err
 	}
 	err := eventually(ctx, 15*time.Second, "all proxies have the configuration and are ready", func() bool { return f.areReady(1) })
@@ -178,8 +178,8 @@
 		"-address", at[2], "-agent", at[1], "-admin", at[3], "-grace_ms", "3000", "-index", strconv.Itoa(f.options.index))
 }
 
-// declare gives the fleet its configuration, keys and replicas.
-func (f *fleet) declare(ctx context.Context) error {
+// configure gives the fleet its configuration, keys and replicas.
+func (f *fleet) configure(ctx context.Context) error {
 	text, err := os.ReadFile(filepath.Join(f.options.examples, f.options.deployment, "config.json"))
 	if err != nil {
 		return err
@@ -210,11 +210,11 @@
 			return err
 		}
 	}
-	var told []config.Replica
+	var updates []config.Replica
 	for name, at := range f.replicas {
-		told = append(told, config.Replica{Name: name, Address: at, Pool: strings.SplitN(name, "-", 2)[0], Zone: "zone-1", State: "present", Limit: 8})
+		updates = append(updates, config.Replica{Name: name, Address: at, Pool: strings.SplitN(name, "-", 2)[0], Zone: "zone-1", State: "present", Limit: 8})
 	}
-	raw, _ := json.Marshal(map[string]any{"replicas": told})
+	raw, _ := json.Marshal(map[string]any{"replicas": updates})
 	if err := os.WriteFile(f.path("replicas.json"), raw, 0o644); err != nil {
 		return err
 	}
--- a/cmd/localfleet/orders.go
+++ b/cmd/localfleet/orders.go
@@ -20,7 +20,7 @@
 	var last error
 	for _, core := range f.cores {
 		short, stop := context.WithTimeout(ctx, 5*time.Second)
-		a, err := rpc.Call[controlplane.Accepted](short, f.wire, core, "/op/"+name, q)
+		a, err := rpc.Call[controlplane.Accepted](short, f.rpc, core, "/op/"+name, q)
 		stop()
 		if err == nil || apierror.Of(err).Code.Executed != apierror.NotRun {
 			f.factLog.Order(name, q, a.Version, err != nil)
@@ -36,18 +36,18 @@
 // query asks the first core that answers.
 func (f *fleet) query(what string) []router.Row {
 	for _, core := range f.cores {
-		if all := f.ask(core, what); all != nil {
+		if all := f.queryCore(core, what); all != nil {
 			return all
 		}
 	}
 	return nil
 }
 
-// ask gives one core's rows; nil if it does not answer.
-func (f *fleet) ask(core, what string) []router.Row {
+// queryCore gives one core's rows; nil if it does not answer.
+func (f *fleet) queryCore(core, what string) []router.Row {
 	short, stop := context.WithTimeout(context.Background(), 3*time.Second)
 	defer stop()
-	a, _ := rpc.Call[controlplane.QueryResponse](short, f.wire, core, "/query", controlplane.Query{Kind: what})
+	a, _ := rpc.Call[controlplane.QueryResponse](short, f.rpc, core, "/query", controlplane.Query{Kind: what})
 	return a.Rows
 }
 
--- a/cmd/localfleet/report.go
+++ b/cmd/localfleet/report.go
@@ -41,7 +41,7 @@
 		if f.gone[i] {
 			continue
 		}
-		f.rest = append(f.rest, fake.States(rows(f.ask(core, "fields")))...)
+		f.rest = append(f.rest, fake.States(rows(f.queryCore(core, "fields")))...)
 	}
 	f.rest = append(f.rest, fake.States(rows(f.query("proxyfields")))...)
 	return err
@@ -93,18 +93,18 @@
 		l.Runs = append(l.Runs, readLines[fake.Run](f.path(name+".ledger"))...)
 	}
 	fmt.Println("at the end every proxy's first whole answer came after:", fake.Returns(l))
-	hit, fetched, blocks, ran, refused := 0, 0, 0, 0, 0
+	hit, fetched, blocks, executed, rejected := 0, 0, 0, 0, 0
 	for _, r := range fake.LastOfEach(l.Runs) {
 		if r.HasRun {
-			ran++
+			executed++
 			hit += r.Hit
 			fetched += r.Fetched
 			blocks += r.Size
 		} else {
-			refused++
+			rejected++
 		}
 	}
-	fmt.Printf("replicas: ran %d, refused %d, cache hit share %.3f, %.3f of it fetched\n", ran, refused,
+	fmt.Printf("replicas: ran %d, refused %d, cache hit share %.3f, %.3f of it fetched\n", executed, rejected,
 		float64(hit)/float64(max(1, blocks)), float64(fetched)/float64(max(1, hit)))
 	for _, figure := range f.figures {
 		fmt.Println(figure)
--- a/cmd/scalebench/backend.go
+++ b/cmd/scalebench/backend.go
@@ -16,17 +16,17 @@
 type hollowBackend struct {
 	setup setup
 	mu    sync.Mutex
-	news  map[string]*keptNews
+	news  map[string]*cacheUpdates
 }
 
-// keptNews is what one replica keeps: a window of numbered blocks that moves on.
-type keptNews struct {
+// cacheUpdates is what one replica keeps: a window of numbered blocks that moves on.
+type cacheUpdates struct {
 	first, next int
 	at          time.Time
 }
 
 func newHollowBackend(s setup) *hollowBackend {
-	return &hollowBackend{setup: s, news: map[string]*keptNews{}}
+	return &hollowBackend{setup: s, news: map[string]*cacheUpdates{}}
 }
 
 func replicaName(i int) string { return fmt.Sprintf("replica-%04d", i+1) }
@@ -65,7 +65,7 @@
 	b.mu.Lock()
 	k, first := b.news[address], from == controlplane.CacheOffset{}
 	if k == nil {
-		k = &keptNews{next: b.setup.Blocks / b.setup.Replicas, at: time.Now()}
+		k = &cacheUpdates{next: b.setup.Blocks / b.setup.Replicas, at: time.Now()}
 		b.news[address] = k
 	}
 	b.mu.Unlock()
--- a/cmd/scalebench/child.go
+++ b/cmd/scalebench/child.go
@@ -289,11 +289,11 @@
 	return c.runCore(i, l)
 }
 
-// toldDialect is that of a fleet whose replicas do not report to agents: the cores tell of them.
-type toldDialect struct{ router.ChatProtocol }
+// reportingProtocol is that of a fleet whose replicas do not report to agents: the cores tell of them.
+type reportingProtocol struct{ router.ChatProtocol }
 
 // ReportPath is empty.
-func (toldDialect) ReportPath() string { return "" }
+func (reportingProtocol) ReportPath() string { return "" }
 
 // platformBounds are such as the users' deployments have.
 var platformBounds = deployment.Bounds{RevocationClosed: true, KeyRevocation: 5 * time.Second, ConfigApply: 12 * time.Second, ModelVersion: 20 * time.Second, Lease: 3 * time.Second,
@@ -312,7 +312,7 @@
 		options := agent.Options{}
 		if c.setup.Platform {
 			options = platformBounds.Agent()
-			options.Protocol, options.Grace = toldDialect{}, 0
+			options.Protocol, options.Grace = reportingProtocol{}, 0
 		}
 		agent := agent.New(c.place("agent", i, zones, outer.Addr().String()), nil, options)
 		c.all.Go(func() { _ = agent.Serve(c.ctx, local, outer) }) // it ends with the child
@@ -327,7 +327,7 @@
 		host := c.place("proxy", i, zones, agent)
 		options := router.Options{Name: host.Name, Zone: host.Zone, Fleet: fleetName, Agent: agent, Net: host.Net, Log: host.Log, PrefixIndexSize: c.setup.Index, Seed: uint64(i)}
 		if c.setup.Platform {
-			options.Protocol, options.AgentWatchWait = toldDialect{}, platformBounds.Proxy().AgentWatchWait
+			options.Protocol, options.AgentWatchWait = reportingProtocol{}, platformBounds.Proxy().AgentWatchWait
 		}
 		r := router.New(options)
 		c.all.Go(func() { r.Run(c.ctx) })
--- a/cmd/scalebench/fleet.go
+++ b/cmd/scalebench/fleet.go
@@ -28,8 +28,8 @@
 	operatorIP = "127.0.0.1" // who starts the fleet and changes its configuration
 )
 
-// part is a child with its orders' way.
-type part struct {
+// childProcess is a child with its orders' way.
+type childProcess struct {
 	asked   *json.Encoder
 	answers *json.Decoder
 	started started
@@ -60,12 +60,12 @@
 	return in, out, end, cmd.Start()
 }
 
-func startPart(start starter, s setup) (*part, error) {
+func startChild(start starter, s setup) (*childProcess, error) {
 	in, out, end, err := start()
 	if err != nil {
 		return nil, err
 	}
-	p := &part{asked: json.NewEncoder(in), answers: json.NewDecoder(out), end: end}
+	p := &childProcess{asked: json.NewEncoder(in), answers: json.NewDecoder(out), end: end}
 	if err = p.asked.Encode(s); err == nil {
 		err = p.answers.Decode(&p.started)
 	}
@@ -79,7 +79,7 @@
 	return p, nil
 }
 
-func (p *part) do(o order) (sample, error) {
+func (p *childProcess) do(o order) (sample, error) {
 	var s sample
 	if err := p.asked.Encode(o); err != nil {
 		return s, err
@@ -106,9 +106,9 @@
 	size    size
 	folder  string
 	wire    *rpc.Client
-	cores   *part
-	agents  *part
-	proxies *part
+	cores   *childProcess
+	agents  *childProcess
+	proxies *childProcess
 	hosts   hosts
 	number  uint64
 	reports net.Listener
@@ -131,7 +131,7 @@
 	common := setup{Platform: s.platform, Replicas: s.replicas, Models: s.models, Blocks: s.blocks, Events: s.events, Index: s.index}
 	made := common
 	made.Role, made.Count, made.Folder = "cores", coreCount, f.folder
-	if f.cores, err = startPart(start, made); err != nil {
+	if f.cores, err = startChild(start, made); err != nil {
 		return f, err
 	}
 	if err = eventually(ctx, "the cores found a fleet", f.isFounded); err != nil {
@@ -142,11 +142,11 @@
 	}
 	made = common
 	made.Role, made.Count, made.Cores = "agents", s.daemons, f.cores.started.Addresses
-	if f.agents, err = startPart(start, made); err != nil {
+	if f.agents, err = startChild(start, made); err != nil {
 		return f, err
 	}
 	made.Role, made.Agents = "proxies", f.agents.started.Locals
-	if f.proxies, err = startPart(start, made); err != nil {
+	if f.proxies, err = startChild(start, made); err != nil {
 		return f, err
 	}
 	var now state
@@ -161,7 +161,7 @@
 }
 
 func (f *fleet) stop() {
-	for _, p := range []*part{f.proxies, f.agents, f.cores} {
+	for _, p := range []*childProcess{f.proxies, f.agents, f.cores} {
 		if p != nil {
 			p.end()
 		}
@@ -174,7 +174,7 @@
 
 func (f *fleet) look(do string) (now state, err error) {
 	for _, one := range []struct {
-		part *part
+		part *childProcess
 		into *sample
 	}{{f.cores, &now.cores}, {f.agents, &now.agents}, {f.proxies, &now.proxies}} {
 		if err == nil {
@@ -234,12 +234,12 @@
 		f.reports, address = l, l.Addr().String()
 		go serveReports(l)
 	}
-	var told []map[string]any
+	var updates []map[string]any
 	for i := range f.size.replicas {
 		r := hollowReplica(i, f.size.models, address)
-		told = append(told, map[string]any{"name": r.Name, "address": r.Address, "pool": r.Pool, "zone": r.Zone, "limit": r.Limit})
+		updates = append(updates, map[string]any{"name": r.Name, "address": r.Address, "pool": r.Pool, "zone": r.Zone, "limit": r.Limit})
 	}
-	text, err := json.Marshal(map[string]any{"replicas": told})
+	text, err := json.Marshal(map[string]any{"replicas": updates})
 	if err != nil {
 		return err
 	}
--- a/cmd/scalebench/main.go
+++ b/cmd/scalebench/main.go
@@ -117,7 +117,7 @@
 		print(out, s)
 	}
 	if err == nil && o.folder != "" {
-		err = drawSlope(s, o.folder)
+		err = plotSlope(s, o.folder)
 	}
 	return err
 }
--- a/cmd/scalebench/measure.go
+++ b/cmd/scalebench/measure.go
@@ -157,8 +157,8 @@
 
 // agentTraffic is what one agent exchanges a second.
 func agentTraffic(states []state, s size) (figures []figure) {
-	rate := func(name, unit string, drawn bool, of func(t traffic) float64, paths ...string) {
-		figures = append(figures, spread(name, unit, drawn, states, func(b, now state) float64 {
+	rate := func(name, unit string, plotted bool, of func(t traffic) float64, paths ...string) {
+		figures = append(figures, spread(name, unit, plotted, states, func(b, now state) float64 {
 			return of(trafficBetween(b.agents, now.agents, paths...)) / float64(s.daemons) / now.agents.At.Sub(b.agents.At).Seconds()
 		}))
 	}
@@ -188,9 +188,9 @@
 // memory is what is in use when garbage is collected, and what else the processes hold at the end.
 func memory(calm, last state, s size) (figures []figure) {
 	n := float64(s.daemons)
-	add := func(name, unit string, drawn bool, value float64) {
+	add := func(name, unit string, plotted bool, value float64) {
 		f := one(name, unit, value)
-		f.drawn = drawn
+		f.drawn = plotted
 		figures = append(figures, f)
 	}
 	add("a core's heap and stacks", "kB", true, used(calm.cores)/coreCount)
@@ -268,8 +268,8 @@
 		processors = append(processors, (now.Processor-before.Processor)*1000/count)
 		files = append(files, float64(now.FileBytes-before.FileBytes)/count/coreCount)
 	}
-	drawn := among("claims taken", "1/s", true, taken)
-	return []figure{drawn, among("a claim takes", "ms", true, means), among("processor of all cores for a claim", "ms", false, processors),
+	plotted := among("claims taken", "1/s", true, taken)
+	return []figure{plotted, among("a claim takes", "ms", true, means), among("processor of all cores for a claim", "ms", false, processors),
 		among("more on a core's disk for a claim", "B", false, files)}, nil
 }
 
@@ -329,21 +329,21 @@
 }
 
 // among is the mean of some samples with their least and most.
-func among(name, unit string, drawn bool, samples []float64) figure {
+func among(name, unit string, plotted bool, samples []float64) figure {
 	sum := 0.0
 	for _, v := range samples {
 		sum += v
 	}
-	return figure{name, unit, sum / float64(len(samples)), slices.Min(samples), slices.Max(samples), drawn}
+	return figure{name, unit, sum / float64(len(samples)), slices.Min(samples), slices.Max(samples), plotted}
 }
 
 // spread is a rate over the whole time, with its least and most among the windows.
-func spread(name, unit string, drawn bool, states []state, of func(before, now state) float64) figure {
+func spread(name, unit string, plotted bool, states []state, of func(before, now state) float64) figure {
 	var samples []float64
 	for i := range states[1:] {
 		samples = append(samples, of(states[i], states[i+1]))
 	}
-	f := among(name, unit, drawn, samples)
+	f := among(name, unit, plotted, samples)
 	f.value = of(states[0], states[len(states)-1])
 	return f
 }
--- a/cmd/scalebench/plot.go
+++ b/cmd/scalebench/plot.go
@@ -65,8 +65,8 @@
 	return f.value - f.low, f.high - f.value
 }
 
-// drawSlope makes one picture of a slope with a small plot for each figure that is to be drawn.
-func drawSlope(s series, folder string) error {
+// plotSlope makes one picture of a slope with a small plot for each figure that is to be drawn.
+func plotSlope(s series, folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
--- a/cmd/scalebench/scalebench_test.go
+++ b/cmd/scalebench/scalebench_test.go
@@ -93,7 +93,7 @@
 // On the machine's own network and disk a child opens its daemons' ports on addresses of their own, writes to its disks, and tells of itself.
 func TestChildRunsOnLoopback(t *testing.T) {
 	is, folder := is.New(t), t.TempDir()
-	cores, err := startPart(startHere(onLoopback), setup{Role: "cores", Count: 2, Folder: folder, Platform: true})
+	cores, err := startChild(startHere(onLoopback), setup{Role: "cores", Count: 2, Folder: folder, Platform: true})
 	is.NoErr(err)
 	defer cores.end()
 	is.Equal(len(cores.started.Addresses), 2)
