--- a/throttle/delay.go
+++ b/throttle/backoff.go
@@ -10,8 +10,12 @@
 	"asterridge/config"
 )
 
-// RetryAfter parses the header's values (§4.3). now is the wall clock, used for dates alone.
-func RetryAfter(values []string, now time.Time, limit time.Duration) (time.Duration, bool) {
+// maxDoublings bounds how often a backoff doubles.
+const maxDoublings = 6
+
+// RetryAfter parses the values of the header, in both of its forms: whole seconds, or a date that is compared with now, the wall clock. The
+// delay is limit at most. ok is false for no value, values that differ, a date that is not ahead, and anything else.
+func RetryAfter(values []string, now time.Time, limit time.Duration) (delay time.Duration, ok bool) {
 	if len(values) == 0 {
 		return 0, false
 	}
@@ -34,9 +38,10 @@
 	return 0, false
 }
 
-// Backoff draws the fallback delay for an attempt, counted from 0.
+// Backoff draws the delay after an attempt, counted from 0, where the replica named none: the rule's base, doubled with each attempt up to
+// its cap, less a random part up to its jitter.
 func Backoff(rule config.ThrottleRule, attempt int, random *rand.Rand) time.Duration {
-	step := time.Duration(rule.BaseMs) * time.Millisecond << min(attempt, 6)
+	step := time.Duration(rule.BaseMs) * time.Millisecond << min(attempt, maxDoublings)
 	step = min(step, time.Duration(rule.CapMs)*time.Millisecond)
 	least := time.Duration(float64(step) * (1 - rule.Jitter))
 	return least + time.Duration(random.Int64N(int64(step-least)+1))
--- a/throttle/signals.go
+++ b/throttle/signals.go
@@ -6,179 +6,211 @@
 	"time"
 )
 
-// Signals tells a throttled tenant from a sick replica (§4.3). Names are dense indices given at the door.
+const (
+	// rejectionWindow is the time beyond which rejections are not seen together.
+	rejectionWindow = 10 * time.Second
+	// recentlyServed is how long ago another tenant was served for the replicas to count as serving.
+	recentlyServed = time.Second
+	// sampleRetention is the age at which a delay says nothing any more.
+	sampleRetention = 30 * time.Second
+	// slowSamples is how many slow delays in a row are a signal.
+	slowSamples = 6
+	// smoothing is the weight of a new sample.
+	smoothing = 0.25
+	// calmRatio is the ratio to the others' delay below which a tenant is at its usual pace.
+	calmRatio = 1.5
+	// maxRatio bounds what one sample counts.
+	maxRatio = 20
+	// minGapSeconds is the least difference in delay that matters, minBaseSeconds the least delay to compare with.
+	minGapSeconds  = 0.1
+	minBaseSeconds = 0.001
+)
+
+// Signals tells a throttled tenant from an unhealthy replica, by whom a replica rejects or slows while it serves others. Replicas, tenants and
+// request kinds are dense indices.
 type Signals struct {
-	mu       sync.Mutex
-	refusals map[int]*refusals    // by tenant
-	served   map[[2]int]time.Time // replica and tenant → when the last request that was served was sent
-	rejected map[[2]int]time.Time // replica and tenant → last refusal
-	baseline map[[2]int]*baseline // replica and kind
-	tenants  map[int]*slowness
+	mu sync.Mutex // guards what follows
+	// rejections are those of a tenant since it was last served, by tenant.
+	rejections map[int]*rejections
+	// served is when the last request that was served was sent, rejected when the last rejection came.
+	served   map[replicaTenant]time.Time
+	rejected map[replicaTenant]time.Time
+	// delays has the tenants' delays on one replica for one kind of request.
+	delays  map[replicaKind]map[int]*average
+	tenants map[int]*slowness
 }
 
-// refusals of one tenant since it was last served anywhere.
-type refusals struct {
+type replicaTenant struct{ replica, tenant int }
+
+type replicaKind struct{ replica, kind int }
+
+// rejections of one tenant since it was last served anywhere.
+type rejections struct {
 	count int
 	last  time.Time
 	first map[int]time.Time // by replica
 }
 
-// baseline has each tenant's moving first-piece delay on one replica for one kind.
-type baseline struct{ delays map[int]*moving }
-
-type moving struct {
+// average is an exponentially smoothed value.
+type average struct {
 	value float64
-	count int
-	at    time.Time
+	at    time.Time // of the last sample
 }
 
+func (a *average) add(value float64, now time.Time) {
+	if a.at.IsZero() {
+		a.value = value
+	}
+	a.value += smoothing * (value - a.value)
+	a.at = now
+}
+
+// slowness is how a tenant's delays compare with the others'.
 type slowness struct {
-	ratio moving
-	run   int       // slow samples in a row
-	began time.Time // of the run
+	ratio average
+	// run is the number of slow samples in a row, began when the run did.
+	run   int
+	began time.Time
 	slow  bool
 }
 
-const (
-	window   = 10 * time.Second // refusals further apart are not seen together
-	lately   = time.Second
-	memory   = 30 * time.Second
-	needed   = 6
-	smoothed = 0.25
-	calm     = 1.5
-	leastGap = 0.1 // seconds
-)
-
 // NewSignals makes an empty observer.
 func NewSignals() *Signals {
-	return &Signals{refusals: map[int]*refusals{}, served: map[[2]int]time.Time{}, rejected: map[[2]int]time.Time{},
-		baseline: map[[2]int]*baseline{}, tenants: map[int]*slowness{}}
+	return &Signals{
+		rejections: map[int]*rejections{},
+		served:     map[replicaTenant]time.Time{},
+		rejected:   map[replicaTenant]time.Time{},
+		delays:     map[replicaKind]map[int]*average{},
+		tenants:    map[int]*slowness{},
+	}
 }
 
-// Rejected takes a refusal that does not name its ground, and says whether the tenant is it. Refused twice and not served since, it is, if a
-// replica that refused it serves another tenant; or if two different replicas refused it and nobody else has lately been served at all:
-// while others are served, but not by those who refuse, those may be sick.
+// Rejected takes a rejection that does not name its ground, and reports whether the ground is the tenant. A tenant that was rejected twice
+// and not served since is throttled if a replica that rejected it serves another tenant; or if two replicas rejected it and nobody else was
+// served lately at all: while others are served, but not by those that reject, these may be unhealthy.
 func (s *Signals) Rejected(replica, tenant int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	r := s.refusals[tenant]
-	if r == nil || now.Sub(r.last) > window {
-		r = &refusals{first: map[int]time.Time{}}
-		s.refusals[tenant] = r
+	r := s.rejections[tenant]
+	if r == nil || now.Sub(r.last) > rejectionWindow {
+		r = &rejections{first: map[int]time.Time{}}
+		s.rejections[tenant] = r
 	}
 	r.count++
 	r.last = now
 	if r.first[replica].IsZero() {
 		r.first[replica] = now
 	}
-	s.rejected[[2]int{replica, tenant}] = now
+	s.rejected[replicaTenant{replica, tenant}] = now
 	if r.count < 2 {
 		return false
 	}
 	anotherServed := false
 	for at, sent := range s.served {
-		first, refuser := r.first[at[0]]
-		if at[1] != tenant && refuser && sent.After(first) && now.Sub(s.rejected[at]) > window {
+		first, rejecting := r.first[at.replica]
+		if at.tenant != tenant && rejecting && sent.After(first) && now.Sub(s.rejected[at]) > rejectionWindow {
 			return true
 		}
-		anotherServed = anotherServed || at[1] != tenant && now.Sub(sent) < lately
+		anotherServed = anotherServed || at.tenant != tenant && now.Sub(sent) < recentlyServed
 	}
 	return len(r.first) > 1 && !anotherServed
 }
 
-// HasRejected says whether a replica refused the tenant, which was not served since.
+// HasRejected reports whether a replica rejected the tenant, which was not served since.
 func (s *Signals) HasRejected(replica, tenant int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.refusals[tenant]
-	return r != nil && !r.first[replica].IsZero() && time.Since(r.last) < window
+	r := s.rejections[tenant]
+	return r != nil && !r.first[replica].IsZero() && time.Since(r.last) < rejectionWindow
 }
 
-// Began takes the delay to the first piece of a request. cold is how long reading the whole prompt anew may take: a delay that this explains
-// is no signal. It says whether the tenant has just shown as slowed.
+// Began takes the delay to the first chunk of a request, and reports whether the tenant has just shown as slowed. prefill is how long reading
+// the whole prompt may take: a delay that this explains is no signal.
 func (s *Signals) Began(replica, kind, tenant int, delay, prefill time.Duration, slowRatio float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	sent := now.Add(-delay)
-	s.served[[2]int{replica, tenant}] = sent
-	if r := s.refusals[tenant]; r != nil && sent.After(r.last) {
-		delete(s.refusals, tenant) // what was sent before the last refusal says nothing of it
+	s.served[replicaTenant{replica, tenant}] = sent
+	if r := s.rejections[tenant]; r != nil && sent.After(r.last) {
+		delete(s.rejections, tenant) // what was sent before the last rejection says nothing of it
+	}
+	others, ok := s.othersDelay(replicaKind{replica, kind}, tenant, delay, now)
+	if !ok {
+		return false
+	}
+	base := max(others, prefill.Seconds(), minBaseSeconds)
+	ratio := delay.Seconds() / base
+	if delay.Seconds()-base < minGapSeconds {
+		ratio = min(ratio, 1) // too small a gap to matter, however large the ratio
 	}
-	at := [2]int{replica, kind}
-	b := s.baseline[at]
-	if b == nil {
-		b = &baseline{delays: map[int]*moving{}}
-		s.baseline[at] = b
+	return s.addRatio(tenant, ratio, slowRatio, now)
+}
+
+// othersDelay gives the median delay of the other tenants there, in seconds, and adds the tenant's own; not ok if there are no others.
+func (s *Signals) othersDelay(at replicaKind, tenant int, delay time.Duration, now time.Time) (median float64, ok bool) {
+	delays := s.delays[at]
+	if delays == nil {
+		delays = map[int]*average{}
+		s.delays[at] = delays
 	}
 	var others []float64
-	for other, m := range b.delays {
-		if other != tenant && now.Sub(m.at) < memory {
-			others = append(others, m.value)
+	for other, a := range delays {
+		if other != tenant && now.Sub(a.at) < sampleRetention {
+			others = append(others, a.value)
 		}
 	}
-	own := b.delays[tenant]
-	if own == nil {
-		own = &moving{}
-		b.delays[tenant] = own
+	if delays[tenant] == nil {
+		delays[tenant] = &average{}
 	}
-	own.add(delay.Seconds(), now)
+	delays[tenant].add(delay.Seconds(), now)
 	if len(others) == 0 {
-		return false
+		return 0, false
 	}
 	slices.Sort(others)
-	base := max(others[(len(others)-1)/2], prefill.Seconds(), 0.001)
+	return others[(len(others)-1)/2], true
+}
+
+// addRatio takes a tenant's ratio to the others, and reports whether it completes a run of slow samples while another tenant is calm.
+func (s *Signals) addRatio(tenant int, ratio, slowRatio float64, now time.Time) bool {
 	t := s.tenants[tenant]
-	if t == nil || now.Sub(t.ratio.at) > memory {
+	if t == nil || now.Sub(t.ratio.at) > sampleRetention {
 		t = &slowness{}
 		s.tenants[tenant] = t
 	}
-	ratio := delay.Seconds() / base
-	if delay.Seconds()-base < leastGap {
-		ratio = min(ratio, 1) // too small a gap to matter, however large the ratio
-	}
-	t.ratio.add(min(ratio, 20), now)
-	if t.ratio.value < calm {
+	t.ratio.add(min(ratio, maxRatio), now)
+	if t.ratio.value < calmRatio {
 		t.slow = false
 	}
-	if ratio < calm {
+	if ratio < calmRatio {
 		t.run = 0
 		return false
 	}
 	if t.run++; t.run == 1 {
 		t.began = now
 	}
-	if t.run < needed || t.ratio.value <= slowRatio || !s.isAnotherCalm(tenant, t.began) {
+	if t.run < slowSamples || t.ratio.value <= slowRatio || !s.anotherCalm(tenant, t.began) {
 		return false
 	}
-	t.slow, t.run = true, 0 // each full run that is still slow is a signal of its own
+	t.slow, t.run = true, 0 // each complete run that is still slow is a signal of its own
 	return true
 }
 
-// isAnotherCalm says whether some other tenant was served at its usual pace since: else everyone is slow.
-func (s *Signals) isAnotherCalm(tenant int, since time.Time) bool {
+// anotherCalm reports whether some other tenant was served at its usual pace since a time: else everyone is slow.
+func (s *Signals) anotherCalm(tenant int, since time.Time) bool {
 	for other, t := range s.tenants {
-		if other != tenant && t.ratio.at.After(since) && t.ratio.value < calm {
+		if other != tenant && t.ratio.at.After(since) && t.ratio.value < calmRatio {
 			return true
 		}
 	}
 	return false
 }
 
-// IsSlow says whether a tenant is between the two marks of the hysteresis.
+// IsSlow reports whether a tenant has shown as slowed and not as calm since.
 func (s *Signals) IsSlow(tenant int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.tenants[tenant]
 	return t != nil && t.slow
 }
-
-func (m *moving) add(value float64, now time.Time) {
-	if m.count == 0 && m.at.IsZero() {
-		m.value = value
-	}
-	m.value += smoothed * (value - m.value)
-	m.count++
-	m.at = now
-}
