--- a/prefixindex/index_test.go
+++ b/prefixindex/index_test.go
@@ -10,9 +10,9 @@
 
 func TestChainsMeetOnlyWithinADomainAndUpToTheFirstDifference(t *testing.T) {
 	is := is.New(t)
-	opening := strings.Repeat("o", 4*Fine)
-	one := Blocks(Domain("a", 1, false, "w1"), opening+strings.Repeat("x", Fine))
-	two := Blocks(Domain("b", 1, false, "w1"), opening+strings.Repeat("y", Fine)+"rest")
+	opening := strings.Repeat("o", 4*FineSize)
+	one := Blocks(Domain("a", 1, false, "w1"), opening+strings.Repeat("x", FineSize))
+	two := Blocks(Domain("b", 1, false, "w1"), opening+strings.Repeat("y", FineSize)+"rest")
 	is.Equal(len(one), 5)
 	is.Equal(one[:4], two[:4]) // the common domain
 	is.True(one[4] != two[4])
@@ -25,7 +25,7 @@
 	long := strings.Repeat("l", 1<<20)
 	blocks := Blocks("d", long)
 	is.True(len(blocks) < 600) // fine ones, then coarse ones
-	is.True(Covered(len(blocks)) > len(long)-Coarse && Covered(len(blocks)) <= len(long))
+	is.True(Covered(len(blocks)) > len(long)-CoarseSize && Covered(len(blocks)) <= len(long))
 	is.Equal(len(Blocks("d", strings.Repeat("l", 9<<20))), MaxBlocks)
 }
 
@@ -72,7 +72,7 @@
 	x.Add("r2", chain[2:])
 	x.Update("r3", "s/a", 16)
 	is.Equal(x.Cached(chain), map[string]int{"r1": 1460, "r2": 928, "r3": 16})
-	x.Update("r1", "s/b", 0) // Whole
+	x.Update("r1", "s/b", 0) // Complete
 	x.Forget("r1", []string{"s/a"})
 	is.Equal(x.Cached(chain), map[string]int{"r2": 928, "r3": 16})
 }
--- a/queue/due_test.go
+++ b/queue/overdue_test.go
@@ -99,7 +99,7 @@
 		}
 		again.Due = time.Now().Add(time.Hour)
 		b := d.queue()
-		b.nextPosition = 10 // they come after it
+		b.lastPosition = 10 // they come after it
 		var granted []string
 		var waiting sync.WaitGroup
 		var mu sync.Mutex
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,39 +1,31 @@
-// Package queue holds waiting requests: a bounded queue for each tenant and pool, served by deficit round robin, paid for with
-// credits, and never spinning (docs/design.md §5.3, §4.4).
+// Package queue holds waiting requests: a bounded queue for each tenant and pool, served by deficit round robin (docs/design.md §5.3).
+//
+// A request leaves the queue when its tenant's turn has come, its scope is not throttled, and Options.Pick gives it a credit: a slot at a
+// replica. Nothing polls: the queue looks again when a credit comes free or a throttle changes (Wake), and at the moment when a throttle ends.
+// After a throttle a flow is released in steps that double, so that the replicas are not met by all that has piled up (docs/design.md §4.4).
 package queue
 
 import (
 	"context"
-	"slices"
-	"sort"
 	"sync"
 	"time"
 
 	"asterridge/apierror"
 )
 
-// Item is a waiting request. Place is set on first entry and kept when it comes again.
-type Item struct {
-	Tenant, Pool int
-	Weight       int
-	Limit        int // how many of the tenant may wait
-	Cost         int
-	Scope        string
-	Deadline     time.Time // a hold that outlasts it ends the wait at once; zero: none
-	Due          time.Time // after it, those that are not due yet go first; zero: never
-	Body         any       // what Pick needs to know
-
-	position     uint64
-	entered      time.Time
-	granted      chan struct{}
-	throttledFor time.Duration // the wait was ended: its hold outlasts the deadline by being so long yet
-}
+const (
+	// paceStep is the time between two steps of release after a throttle; 1, 2, 4 … requests may go by then, and after paceSteps all.
+	paceStep  = 100 * time.Millisecond
+	paceSteps = 8
+	// paceMemory is how long after its end a throttle still matters.
+	paceMemory = 5 * time.Second
+)
 
-// Options of a queue whose credits are of type G.
+// Options of a queue whose credits are of type G; all functions are needed.
 type Options[G any] struct {
 	// Pick takes a credit for the item, if there is one. It is called under the queue's lock.
 	Pick func(item *Item) (G, bool)
-	// Return gives back a credit whose item left in the moment of the grant.
+	// Return gives back a credit whose item left in the moment of the grant. It is called under the queue's lock.
 	Return func(credit G)
 	// NotBefore gives the scope's latest not-before moment, passed or not; zero if there was none.
 	NotBefore func(scope string) time.Time
@@ -43,287 +35,206 @@
 
 // Queue holds all waiting requests of one proxy.
 type Queue[G any] struct {
-	options      Options[G]
-	mu           sync.Mutex
-	nextPosition uint64
-	pools        map[int]*tenantRing
-	flows        map[[2]int]*flow
-	grants       map[*Item]G
-	wake         *time.Timer
-	wakeAt       time.Time
-}
-
-type tenantRing struct {
-	flows  []*flow
-	cursor int
-	new    bool // the cursor has just come to its flow
-}
+	options Options[G]
 
-type flow struct {
-	tenant, pool   int
-	items          []*Item // by place
-	weight         int
-	deficit        int
-	throttledUntil time.Time
-	released       int           // grants since the hold ended
-	granted        time.Time     // the last time
-	gap            time.Duration // between two grants while others waited, smoothed
-	wasWaiting     bool          // somebody waited at the last grant
+	mu           sync.Mutex // guards what follows
+	lastPosition uint64
+	rings        map[int]*flowRing // by pool
+	flows        map[flowKey]*flow
+	// grants are the credits of items that have not woken up yet.
+	grants map[*Item]G
+	// wake is the timer that looks at all pools again, wakeAt when.
+	wake   *time.Timer
+	wakeAt time.Time
 }
 
-// drain tells when, at the pace of late, so many that wait now will have gone, after any hold.
-func (f *flow) drain(waiting int, until time.Time) time.Duration {
-	gap := f.gap
-	if idle := time.Since(f.granted); !f.granted.IsZero() && idle > gap && !time.Now().Before(until) {
-		gap = idle // it has slowed
-	}
-	return min(max(time.Duration(waiting)*gap, time.Second), maxDrain) + max(0, time.Until(until))
-}
-
-// grant notes a grant's time.
-func (f *flow) grant() {
-	now := time.Now()
-	if f.wasWaiting {
-		f.gap += (now.Sub(f.granted) - f.gap) / 8
-	}
-	f.granted, f.wasWaiting = now, len(f.items) > 0
-	f.released++
-}
-
-const (
-	quantum   = 4
-	paceStep  = 100 * time.Millisecond
-	paceSteps = 8
-	maxDrain  = time.Minute
-	maxPace   = 5 * time.Second // a hold longer past than this is forgotten
-)
+type flowKey struct{ tenant, pool int }
 
 // New makes an empty queue.
 func New[G any](options Options[G]) *Queue[G] {
-	return &Queue[G]{options: options, pools: map[int]*tenantRing{}, flows: map[[2]int]*flow{}, grants: map[*Item]G{}}
+	return &Queue[G]{options: options, rings: map[int]*flowRing{}, flows: map[flowKey]*flow{}, grants: map[*Item]G{}}
 }
 
-// Take waits for the item's turn and gives its credit. An item that comes again keeps its place and is never rejected for a full queue.
-func (b *Queue[G]) Take(ctx context.Context, item *Item) (G, error) {
+// Take waits for the item's turn and gives its credit. An item that comes again keeps its position and is never rejected for a full queue. The
+// errors are apierror.QueueFull and Throttled, which say when to come back, and Stale if the context ended first.
+func (q *Queue[G]) Take(ctx context.Context, item *Item) (G, error) {
 	var none G
-	b.mu.Lock()
-	f := b.flow(item)
-	again := item.position != 0
-	if !again {
-		if waiting := len(f.items); waiting >= item.Limit {
-			full := apierror.New(apierror.QueueFull, "%d requests wait", waiting)
-			full.Again = f.drain(waiting, b.options.NotBefore(item.Scope))
-			b.mu.Unlock()
-			return none, full
-		}
-		b.nextPosition++
-		item.position, item.entered = b.nextPosition, time.Now()
+	if err := q.enter(item); err != nil {
+		return none, err
 	}
-	item.granted = make(chan struct{})
-	i := sort.Search(len(f.items), func(i int) bool { return f.items[i].position > item.position })
-	f.items = append(f.items, nil)
-	copy(f.items[i+1:], f.items[i:])
-	f.items[i] = item
-	b.pump(item.Pool)
-	b.mu.Unlock()
 	select {
 	case <-item.granted:
 	case <-ctx.Done():
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if credit, granted := b.grants[item]; granted {
-		delete(b.grants, item)
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if credit, granted := q.grants[item]; granted {
+		delete(q.grants, item)
 		if ctx.Err() == nil {
 			return credit, nil
 		}
-		b.options.Return(credit)
-		b.pump(item.Pool)
+		q.options.Return(credit)
+		q.serve(item.Pool)
 		return none, apierror.Wrap(ctx.Err(), apierror.Stale, "left in the moment of its turn")
 	}
 	if item.throttledFor > 0 {
-		f := apierror.New(apierror.Throttled, "%s is held for longer than the request may wait", item.Scope)
-		f.Again, item.throttledFor = item.throttledFor, 0
-		return none, f
+		err := apierror.New(apierror.Throttled, "%s is held for longer than the request may wait", item.Scope)
+		err.Again, item.throttledFor = item.throttledFor, 0
+		return none, err
 	}
-	b.remove(item)
+	q.flow(item).remove(item)
 	return none, apierror.Wrap(ctx.Err(), apierror.Stale, "waited in the backlog")
 }
 
-func (b *Queue[G]) flow(item *Item) *flow {
-	at := [2]int{item.Tenant, item.Pool}
-	f := b.flows[at]
-	if f == nil {
-		f = &flow{tenant: item.Tenant, pool: item.Pool}
-		b.flows[at] = f
-		r := b.pools[item.Pool]
-		if r == nil {
-			r = &tenantRing{new: true}
-			b.pools[item.Pool] = r
+// enter puts an item at its position, and looks at its pool.
+func (q *Queue[G]) enter(item *Item) error {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	f := q.flow(item)
+	if item.position == 0 {
+		if waiting := len(f.items); waiting >= item.Limit {
+			full := apierror.New(apierror.QueueFull, "%d requests wait", waiting)
+			full.Again = f.drainTime(waiting, q.options.NotBefore(item.Scope))
+			return full
 		}
-		r.flows = append(r.flows, f)
+		q.lastPosition++
+		item.position, item.entered = q.lastPosition, time.Now()
 	}
-	f.weight = item.Weight
-	return f
+	item.granted = make(chan struct{})
+	f.insert(item)
+	q.serve(item.Pool)
+	return nil
 }
 
-func (b *Queue[G]) remove(item *Item) {
-	f := b.flow(item)
-	for i, other := range f.items {
-		if other == item {
-			f.items = append(f.items[:i], f.items[i+1:]...)
-			return
+// flow gives the item's flow, a new one at the end of its pool's ring if there is none.
+func (q *Queue[G]) flow(item *Item) *flow {
+	key := flowKey{tenant: item.Tenant, pool: item.Pool}
+	f := q.flows[key]
+	if f == nil {
+		f = &flow{tenant: item.Tenant, pool: item.Pool}
+		q.flows[key] = f
+		ring := q.rings[item.Pool]
+		if ring == nil {
+			ring = &flowRing{arrived: true}
+			q.rings[item.Pool] = ring
 		}
+		ring.flows = append(ring.flows, f)
 	}
+	f.weight = item.Weight
+	return f
 }
 
-// Wake is called when credits of a pool may have come free, or a hold has changed.
-func (b *Queue[G]) Wake(pool int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.pump(pool)
-}
-
-// WakeAll is Wake for every pool.
-func (b *Queue[G]) WakeAll() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.pumpAll()
+// Wake is to be called when credits of a pool may have come free.
+func (q *Queue[G]) Wake(pool int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.serve(pool)
 }
 
-func (b *Queue[G]) pumpAll() {
-	for pool := range b.pools {
-		b.pump(pool)
+// WakeAll is Wake for every pool; also when a throttle has changed.
+func (q *Queue[G]) WakeAll() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for pool := range q.rings {
+		q.serve(pool)
 	}
 }
 
-// pump grants what can be granted now, in turn, and sets the timer for what a hold keeps back. Those that can still be in time go first.
-func (b *Queue[G]) pump(pool int) {
-	if r := b.pools[pool]; r != nil && b.grant(r, false) {
-		b.grant(r, true)
+// serve grants what can be granted now; those that can still be in time go first.
+func (q *Queue[G]) serve(pool int) {
+	if ring := q.rings[pool]; ring != nil && q.grantAll(ring, false) {
+		q.grantAll(ring, true)
 	}
 }
 
-// grant goes round the flows until nothing is left to grant, or no credit; then it says no.
-func (b *Queue[G]) grant(r *tenantRing, overdue bool) bool {
+// grantAll goes round the flows until nothing is left to grant; it reports false if there is no credit any more.
+func (q *Queue[G]) grantAll(ring *flowRing, overdue bool) bool {
 	now := time.Now()
-	for idle := 0; idle < len(r.flows); {
-		f := r.flows[r.cursor]
-		if r.new {
-			f.deficit += quantum * f.weight
-			r.new = false
-		}
-		at := -1
-		if len(f.items) > 0 && b.isReleased(f) {
-			at = f.next(now, overdue)
+	for idle := 0; idle < len(ring.flows); {
+		f := ring.current()
+		next := -1
+		if len(f.items) > 0 && q.isReleased(f) {
+			next = f.next(now, overdue)
 		}
-		if at < 0 {
+		if next < 0 {
 			f.deficit = 0
-			r.advance()
+			ring.advance()
 			idle++
 			continue
 		}
-		item := f.items[at]
+		item := f.items[next]
 		if f.deficit < item.Cost {
-			r.advance()
+			ring.advance()
 			idle = 0 // it has work: its deficit grows each time round
 			continue
 		}
-		credit, paid := b.options.Pick(item)
-		if !paid {
+		credit, ok := q.options.Pick(item)
+		if !ok {
 			return false // the turn stays here until a credit comes free
 		}
-		f.deficit -= item.Cost
-		f.items = slices.Delete(f.items, at, at+1)
-		f.grant()
+		f.take(next)
 		idle = 0
-		b.grants[item] = credit
+		q.grants[item] = credit
 		close(item.granted)
 	}
 	return true
 }
 
-// next finds the first item that can still be in time, or the first of all.
-func (f *flow) next(now time.Time, overdue bool) int {
-	if overdue && len(f.items) > 0 {
-		return 0
-	}
-	return slices.IndexFunc(f.items, func(item *Item) bool { return item.Due.IsZero() || now.Before(item.Due) })
-}
-
-func (r *tenantRing) advance() {
-	r.cursor = (r.cursor + 1) % len(r.flows)
-	r.new = true
-}
-
-// isReleased looks at the flow's hold and at its pacer (§4.4).
-func (b *Queue[G]) isReleased(f *flow) bool {
+// isReleased looks at the flow's throttle and at the pace of its release.
+func (q *Queue[G]) isReleased(f *flow) bool {
 	now, scope := time.Now(), f.items[0].Scope
-	until := b.options.NotBefore(scope)
-	if until.IsZero() || now.Sub(until) > maxPace {
+	until := q.options.NotBefore(scope)
+	if until.IsZero() || now.Sub(until) > paceMemory {
 		return true
 	}
 	if !until.Equal(f.throttledUntil) {
-		f.throttledUntil, f.released = until, 0
+		f.throttledUntil, f.releasedSince = until, 0
 	}
 	if now.Before(until) {
 		f.giveUp(until)
-		b.setTimer(until)
+		q.wakeNoLaterThan(until)
 		return false
 	}
-	begin := until.Add(b.options.ReleaseDelay(scope))
+	begin := until.Add(q.options.ReleaseDelay(scope))
 	if now.Before(begin) {
-		b.setTimer(begin)
+		q.wakeNoLaterThan(begin)
 		return false
 	}
 	step := int(now.Sub(begin) / paceStep)
-	if step >= paceSteps || f.released < 1<<step {
+	if step >= paceSteps || f.releasedSince < 1<<step {
 		return true
 	}
-	b.setTimer(begin.Add(time.Duration(step+1) * paceStep))
+	q.wakeNoLaterThan(begin.Add(time.Duration(step+1) * paceStep))
 	return false
 }
 
-// giveUp ends the wait of those that the hold outlasts: their answer is known, and they can be told when to come back.
-func (f *flow) giveUp(until time.Time) {
-	f.items = slices.DeleteFunc(f.items, func(item *Item) bool {
-		over := !item.Deadline.IsZero() && !item.Deadline.After(until)
-		if over {
-			item.throttledFor = time.Until(until)
-			close(item.granted)
-		}
-		return over
-	})
-}
-
-// setTimer wakes the queue at the earliest moment asked for.
-func (b *Queue[G]) setTimer(at time.Time) {
+// wakeNoLaterThan sets the timer to a moment, unless it is set to a sooner one.
+func (q *Queue[G]) wakeNoLaterThan(at time.Time) {
 	now := time.Now()
-	if b.wakeAt.After(now) && !at.Before(b.wakeAt) {
+	if q.wakeAt.After(now) && !at.Before(q.wakeAt) {
 		return
 	}
-	b.wakeAt = at
-	if b.wake != nil {
-		b.wake.Stop()
+	q.wakeAt = at
+	if q.wake != nil {
+		q.wake.Stop()
 	}
-	b.wake = time.AfterFunc(at.Sub(now), b.WakeAll)
+	q.wake = time.AfterFunc(at.Sub(now), q.WakeAll)
 }
 
-// Depth is how many wait, by tenant and pool, and since when the oldest waits.
+// Depth is how many requests of a tenant wait for a pool, and for how long the oldest has.
 type Depth struct {
 	Tenant, Pool, Count int
 	Oldest              time.Duration
 }
 
 // Depths lists the queues that are not empty.
-func (b *Queue[G]) Depths() []Depth {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var all []Depth
-	for _, f := range b.flows {
+func (q *Queue[G]) Depths() (depths []Depth) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, f := range q.flows {
 		if len(f.items) > 0 {
-			all = append(all, Depth{f.tenant, f.pool, len(f.items), time.Since(f.items[0].entered)})
+			depths = append(depths, Depth{Tenant: f.tenant, Pool: f.pool, Count: len(f.items), Oldest: time.Since(f.items[0].entered)})
 		}
 	}
-	return all
+	return depths
 }
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -150,7 +150,7 @@
 		}
 		first := item(1, 1, 1, "held")
 		first.position = 1 // it was here before, and comes again after the others
-		b.nextPosition = 1
+		b.lastPosition = 1
 		for n := 2; n <= 8; n++ {
 			take(n, item(1, 1, 1, "held"))
 		}
--- a/router/draw_test.go
+++ b/router/draw_test.go
@@ -15,7 +15,7 @@
 func TestFetchIsChosenByWhatWasMeasured(t *testing.T) {
 	is := is.New(t)
 	r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop()})
-	text := make([]byte, 40*prefixindex.Fine)
+	text := make([]byte, 40*prefixindex.FineSize)
 	x := &Exchange{Prompt: Prompt{Text: string(text)}}
 	made := func(name string, fetch map[string]float64) *replica {
 		rep := &replica{Replica: config.Replica{Name: name, Address: name + ":1", State: "present", Limit: 4}, load: newLoad()}
@@ -24,7 +24,7 @@
 	}
 	peer, store := made("peer", nil), made("store", nil)
 	v := &View{stores: []*replica{store}}
-	cached := map[string]int{"peer": 20 * prefixindex.Fine, "store": 40 * prefixindex.Fine} // in bytes, as the index counts now
+	cached := map[string]int{"peer": 20 * prefixindex.FineSize, "store": 40 * prefixindex.FineSize} // in bytes, as the index counts now
 	for _, c := range []struct {
 		name   string
 		fetch  map[string]float64
@@ -34,9 +34,9 @@
 		{"nothing measured: the one that keeps most is tried", nil, cached, "store:1"},
 		{"the store is slow: the peer's half", map[string]float64{"store": 30, "peer": 900}, cached, "peer:1"},
 		{"all links are slow: read anew", map[string]float64{"store": 30, "peer": 30}, cached, ""},
-		{"the store came back empty", map[string]float64{"store": 900, "peer": 900}, map[string]int{"peer": 20 * prefixindex.Fine}, "peer:1"},
+		{"the store came back empty", map[string]float64{"store": 900, "peer": 900}, map[string]int{"peer": 20 * prefixindex.FineSize}, "peer:1"},
 		{"no news of anybody", nil, nil, ""},
-		{"it keeps as much itself", nil, map[string]int{"own": 40 * prefixindex.Fine, "store": 40 * prefixindex.Fine}, ""},
+		{"it keeps as much itself", nil, map[string]int{"own": 40 * prefixindex.FineSize, "store": 40 * prefixindex.FineSize}, ""},
 	} {
 		own := made("own", c.fetch)
 		p := &pool{replicas: []*replica{own, peer}}
