--- a/router/adapter.go
+++ b/router/adapter.go
@@ -10,13 +10,13 @@
 	"asterridge/register"
 )
 
-// AdapterReport is what a replica says of the bases beside its weights and of the adapters upon them (§6.6).
+// AdapterReport is what a replica reports of the bases beside its weights and of the adapters on them (docs/design.md §6.6).
 type AdapterReport struct {
 	Bases    map[string]Base    `json:"bases,omitempty"`
 	Adapters map[string]Adapter `json:"adapters,omitempty"` // by NAME@BASE
 }
 
-// Base is a base model that a replica has, or is loading.
+// Base is a base model that a replica has or is loading.
 type Base struct {
 	Loading bool `json:"loading,omitempty"`
 	Running int  `json:"running,omitempty"`
@@ -37,7 +37,7 @@
 	AdapterBad     = "bad"
 )
 
-// compileAdapters takes the routes of the adapters.
+// compileAdapters adds the routes of the adapters to the view.
 func (v *View) compileAdapters(plan *config.Config, read func(key string) (register.Revision, register.Fields)) error {
 	_, fields := read(config.RetirementKey)
 	retirements, _, err := config.ParseRetirements(fields)
@@ -52,13 +52,13 @@
 	return nil
 }
 
-// adapter is a route, and who may use it; none named: everybody.
+// adapter is a route, and the tenants that may use it; none named: everybody.
 type adapter struct {
 	tenants   []string
 	placement config.Placement
 }
 
-// mayUse refuses a tenant that may not use the path's adapter.
+// mayUse rejects a tenant that may not use the path's adapter, with apierror.NoAdapter.
 func (v *View) mayUse(t *tenant, p *path) error {
 	if a := v.adapters[p.Adapter]; len(a.tenants) > 0 && !slices.Contains(a.tenants, t.Name) {
 		return apierror.New(apierror.NoAdapter, "adapter %s is not for %s", p.Adapter, t.Name)
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// placement gives the base and adapter that the path's requests run on now, and whether the replica has it. A stream that is taken up again
-// goes on where it began, or not at all.
+// placement gives the base and adapter that the path's requests run on now, and reports whether the replica has them. A stream that is
+// resumed goes on where it began, or not at all.
 func (v *View) placement(x *Exchange, p *path, rep *replica) (on config.Placement, fit bool) {
 	if p.Adapter == "" {
 		return on, true
@@ -81,10 +81,10 @@
 	return on, on.Build != "" && has.Build == on.Build && has.State == AdapterTried
 }
 
-// isPlacementMissing says whether a refusal's ground is a base or adapter that the replica has not.
+// isPlacementMissing reports whether a rejection's reason is a base or adapter that the replica does not have.
 func isPlacementMissing(reason string) bool { return reason == "base_gone" || reason == "adapter_gone" }
 
-// forgetPlacement takes a replica at its word, until its next report, that it has not what a request was to run on.
+// forgetPlacement notes, until the replica's next report, that it does not have what a request was to run on.
 func (x *Exchange) forgetPlacement() {
 	if report := x.replica.report.Load(); report != nil {
 		less := *report
@@ -94,8 +94,8 @@
 	}
 }
 
-// firstGain has a replica picked first that has not answered a caller from the adapter yet: whether it does is soon known everywhere, though
-// kept prompts would lead all callers to a few.
+// firstGain is what the cost of a replica is lowered by that has not answered a client from the adapter yet. Cached prefixes would lead all
+// clients to a few replicas, and a move waits until more than half have answered.
 func firstGain(rep *replica, on config.Placement) float64 {
 	if on.Adapter != "" && rep.report.Load().Adapters[on.Key()].Live == 0 {
 		return oldCost
@@ -103,7 +103,7 @@
 	return 0
 }
 
-// domainOf adds the base and the adapter to what separates kept prompts (§6.3).
+// domainOf adds the base and the adapter to the cache domain (docs/design.md §6.3).
 func domainOf(weights string, on config.Placement) string {
 	if on.Adapter == "" {
 		return weights
@@ -118,7 +118,7 @@
 	buildHeader   = "X-Adapter-Build"
 )
 
-// setPlacementHeaders says to the replica what the request runs on; a caller does not say it for us.
+// setPlacementHeaders tells the replica what the request runs on, in place of anything that the client set.
 func setPlacementHeaders(h http.Header, on config.Placement) {
 	for name, value := range map[string]string{baseHeader: on.Base, adapterHeader: on.Adapter, buildHeader: on.Build} {
 		h.Del(name)
@@ -131,14 +131,15 @@
 // AdapterPath is where replicas take orders for bases and adapters.
 const AdapterPath = "/adapters"
 
-// AdapterOrder has a replica load or drop a base, or load or try an adapter; one under a lower lease than the replica has met is refused.
+// AdapterOrder has a replica load or drop a base, or load or try an adapter. A replica refuses an order under a lower lease than it has
+// met.
 type AdapterOrder struct {
 	config.Placement
 	Do    string `json:"do"`
 	Lease uint64 `json:"term"`
 }
 
-// What an order may ask for.
+// The actions of an order.
 const (
 	LoadBase    = "load base"
 	DropBase    = "drop base" // refused while work runs on it
@@ -146,5 +147,5 @@
 	TryAdapter  = "try adapter" // the replica answers a trial prompt with it
 )
 
-// SendTime is W + A: a request whose last look was so long ago is with its replica, or never will be (§3.2).
+// SendTime is W + A: a request that was checked so long ago is with its replica, or never will be (docs/design.md §3.2).
 const SendTime = writeLimit + ackLimit
--- a/router/answer_time.go
+++ b/router/answer_time.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
+// Bounds and smoothing of the expected time of an answer.
 const (
 	answerTimeLeast = time.Second // expected until an answer has been seen, and the least
 	answerTimeGain  = 0.125       // of a sample in the mean, as for a transport's round trips (RFC 6298)
 )
 
-// answerTime is how long a pool's replicas take from the sending of a request to the end of its answer, their queues included.
+// answerTime is how long a pool's replicas take from the sending of a request to the end of its answer, their own queues included.
 type answerTime struct {
 	mu   sync.Mutex
 	mean float64
 }
 
-// observe takes the time of a whole answer.
+// observe adds the time of a complete answer.
 func (a *answerTime) observe(took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/router/body_memory.go
+++ b/router/body_memory.go
@@ -12,6 +12,7 @@
 	"asterridge/apierror"
 )
 
+// Bounds on clients' bodies.
 const (
 	defaultBodyMemory = 256 << 20 // bytes of callers' bodies that a router holds, unless its options say otherwise
 	tenantShare       = 4         // no tenant holds more than this part of them
@@ -20,7 +21,7 @@
 	bodyRate          = 256 << 10        // bytes a second
 )
 
-// memoryBudget is the memory for bodies, in reading, waiting or being sent (§5.3).
+// memoryBudget is the memory for clients' bodies while they are read, wait or are being sent (docs/design.md §5.3).
 type memoryBudget struct {
 	mu       sync.Mutex
 	limit    int64
@@ -28,7 +29,7 @@
 	byTenant map[int]int64
 }
 
-// take gives room for more bytes of a tenant, if there is any.
+// take reserves memory for a tenant, and reports whether there was enough.
 func (m *memoryBudget) take(tenant int, n int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,6 +41,7 @@
 	return true
 }
 
+// give returns reserved memory.
 func (m *memoryBudget) give(tenant int, n int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,13 +49,14 @@
 	m.byTenant[tenant] -= n
 }
 
+// inUse is how much is reserved now.
 func (m *memoryBudget) inUse() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.used
 }
 
-// clientConn is the caller's side of one request's connection.
+// clientConn is the client's side of one request's connection.
 type clientConn struct {
 	id      string
 	header  ClientHeader
@@ -62,9 +65,10 @@
 	onDone  []func() // when the request is over
 }
 
+// clientConnKey is the key of a clientConn in a request's context.
 type clientConnKey struct{}
 
-// readBody takes a body within bounds of size, room and time.
+// readBody reads a body within bounds of size, memory and time. The errors are apierror.Oversize, NoMemory, TooSlow and Malformed.
 func (r *Router) readBody(x *Exchange) ([]byte, error) {
 	q, limit := x.Request, max(defaultBodyBytes, x.View.limits.BodyBytes)
 	if q.ContentLength > int64(limit) {
--- a/router/claims.go
+++ b/router/claims.go
@@ -8,7 +8,7 @@
 	"asterridge/rpc"
 )
 
-// Claim asks for a caller's key, or settles it (§5.5).
+// Claim asks for a client's idempotency key, or reports how the request that holds it ended (docs/design.md §5.5).
 type Claim struct {
 	Tenant string `json:"tenant"`
 	Key    string `json:"key"`
@@ -16,7 +16,7 @@
 	State  string `json:"state"` // "running", "ran", "unknown", or "free" to give it back
 }
 
-// Handle claims the caller's key before the first send of a request that may not be repeated.
+// Handle claims the client's idempotency key before the first attempt of a request that is not idempotent.
 func (f claimFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	if x.Key == "" || x.Idempotent || x.claimed {
 		return onward(ctx, x)
@@ -36,7 +36,7 @@
 	return again(apierror.New(apierror.NoClaim, "%v", err), time.Second)
 }
 
-// releaseClaim gives the key back if the request is rejected as not run, or else notes that its outcome is unknown.
+// releaseClaim releases the key if the request ended without being executed, and else reports that its outcome is unknown.
 func (r *Router) releaseClaim(x *Exchange, err error) {
 	state := "free"
 	if apierror.Of(err).Code.Executed != apierror.NotRun {
@@ -45,6 +45,7 @@
 	r.reportClaim(x, state)
 }
 
+// reportClaim reports a claim's new state in the background.
 func (r *Router) reportClaim(x *Exchange, state string) {
 	if !x.claimed {
 		return
--- a/router/compile.go
+++ b/router/compile.go
@@ -11,9 +11,10 @@
 	"asterridge/rendezvous"
 )
 
-// indices gives out dense numbers for names, for good.
+// indices gives dense numbers to names. A name keeps its number.
 type indices struct{ byName map[string]int }
 
+// of gives a name's number, a new one if it has none.
 func (x *indices) of(name string) int {
 	i, ok := x.byName[name]
 	if !ok {
@@ -23,7 +24,7 @@
 	return i
 }
 
-// oldWeightsTime is how long old weights may start work after the new ones were learned, if the options do not say.
+// oldWeightsTime is how long work may begin on old weights after the new ones were learned, if the options do not say.
 const oldWeightsTime = 12 * time.Second
 
 // readRegister gives a register's revision and content, as the agent has told it; nothing if there is none.
@@ -66,6 +67,7 @@
 	return c.view, nil
 }
 
+// newView makes a view that has what the configuration itself says, and no tenants, pools, paths or replicas yet.
 func (r *Router) newView(revision register.Revision, plan *config.Config) *View {
 	return &View{
 		Version:  revision,
@@ -81,12 +83,14 @@
 	}
 }
 
+// compileModels takes the published versions of the models.
 func (c *compilation) compileModels() (err error) {
 	_, versions := c.read(config.ModelsKey)
 	c.view.models, err = config.Load[config.Model](versions)
 	return err
 }
 
+// compileProxies takes the names of the proxies that share the replicas.
 func (c *compilation) compileProxies() {
 	_, proxies := c.read(ProxiesKey)
 	for name := range proxies {
@@ -143,6 +147,7 @@
 	}
 }
 
+// oldPool gives the pool of that name in the view before; nil if there was none.
 func (c *compilation) oldPool(name string) *pool {
 	if c.old == nil {
 		return nil
@@ -173,6 +178,7 @@
 	}
 }
 
+// precedes reports whether a path is tried before another one of its host.
 func (p *path) precedes(other *path) bool {
 	if len(p.Address) != len(other.Address) {
 		return len(p.Address) > len(other.Address)
@@ -211,6 +217,7 @@
 	return nil
 }
 
+// newReplica makes a replica with its last order and this router's share of its slots.
 func (c *compilation) newReplica(name string, configured config.Replica, orders map[string]config.LoadOrder) *replica {
 	rep := &replica{Replica: configured, load: newLoad(), index: c.router.names.of("replica/" + name)}
 	rep.share = share(configured.Limit, c.view.proxies, c.router.options.Name, name)
@@ -233,7 +240,7 @@
 	}
 }
 
-// share is this proxy's fixed part of a replica's slots; over all proxies the shares add up to the limit (§5.3).
+// share is this router's fixed part of a replica's slots; over all routers the shares add up to the limit (docs/design.md §5.3).
 func share(limit int, proxies []string, own, replica string) int {
 	if len(proxies) == 0 {
 		return limit
--- a/router/concurrency_window.go
+++ b/router/concurrency_window.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// The sizes are in requests; shares are parts of the latency target or of a request's time.
 const (
 	initialWindow     = 32.0
 	minWindow         = 2.0
@@ -20,8 +21,9 @@
 	waitShare         = 0.4 // of a request's time that it may wait here: what is not sent by then is told when to come back
 )
 
-// concurrencyWindow bounds how many requests are with a pool's replicas before their first pieces: beyond it they wait here, where those that can
-// still be in time go first (§5.3). It shrinks while replicas take long beyond their reading, and grows while it is full and they do not.
+// concurrencyWindow bounds how many requests are at a pool's replicas before their first chunks. Beyond it they wait in the queue, where
+// those that can still be in time go first (docs/design.md §5.3). It shrinks when replicas take long beyond the prefill, and grows while
+// it is full and they do not.
 type concurrencyWindow struct {
 	mu          sync.Mutex
 	size        float64
@@ -32,8 +34,8 @@
 	lastCut     time.Time
 }
 
-// arrived counts a request. The least size follows what arrives here: a proxy with more callers has a larger part of what the replicas read,
-// and replicas that have nothing to read stand idle.
+// arrived counts a request. The least size follows the rate of arrivals: a proxy with more clients needs a larger part of the replicas'
+// prefill, and replicas without prefill stand idle.
 func (w *concurrencyWindow) arrived(target time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,7 +45,7 @@
 	w.minSize = max(minWindow, windowTargets*float64(target)*w.arrivals/float64(rateTime))
 }
 
-// enter takes a place if there is one.
+// enter takes a place in the window, and reports whether there was one.
 func (w *concurrencyWindow) enter() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,13 +59,14 @@
 	return true
 }
 
+// release gives a place back.
 func (w *concurrencyWindow) release() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.inFlight--
 }
 
-// observe takes how long a request has waited at its replica beyond what it had to read.
+// observe adds how long a request waited at its replica beyond its prefill.
 func (w *concurrencyWindow) observe(waited, target time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/router/cost.go
+++ b/router/cost.go
@@ -7,8 +7,8 @@
 	"asterridge/config"
 )
 
-// work estimates the milliseconds until the replica has the whole prompt: what it lacks is read anew, or fetched from a peer or store
-// that is thought to keep more of it, if that was measured to be quicker (§6.1).
+// work estimates the milliseconds until a replica has the whole prompt. What it lacks is computed anew, or fetched from a peer or store
+// that is thought to have more of it cached, if that was measured to be quicker (docs/design.md §6.1). source names the peer or store.
 func (r *Router) work(x *Exchange, v *View, p *pool, rep *replica, cached map[string]int) (ms float64, source string) {
 	has, size, rate := cached[rep.Name], x.Prompt.Size(), rep.rate()
 	ms = float64(size-has) / rate
@@ -32,8 +32,8 @@
 	return ms, source
 }
 
-// backUp names a store that keeps as much of the prompt as the replica is thought to: should the replica have dropped it, it need not read
-// it again.
+// backUp names a store that has as much of the prompt as the replica is thought to: if the replica has dropped it since, it need not
+// compute it anew.
 func (r *Router) backUp(v *View, rep *replica, cached map[string]int) string {
 	for _, store := range v.stores {
 		if theirs := cached[store.Name]; theirs > 0 && theirs >= cached[rep.Name]/2 {
@@ -43,7 +43,7 @@
 	return ""
 }
 
-// sinkFor names a store that answers and lacks some of what others may share.
+// sinkFor names a store that answers and lacks some of what other requests may share.
 func (r *Router) sinkFor(x *Exchange, v *View, d *cacheState) string {
 	for _, store := range v.stores {
 		if _, up := r.sources.Load(store.Name); up && d.cached[store.Name] < d.shared {
@@ -53,7 +53,8 @@
 	return ""
 }
 
-// fetchRate is how much of a prompt a replica gets from a source per ms: as it has measured, or as the pool's links are declared.
+// fetchRate is how much of a prompt a replica gets from a source per millisecond: as it has measured, or as the pool's links are
+// configured.
 func (r *Router) fetchRate(v *View, p *pool, rep, other *replica) float64 {
 	if report := rep.report.Load(); report != nil {
 		if rate, tried := report.Fetch[other.Name]; tried {
@@ -74,7 +75,7 @@
 	return rate
 }
 
-// cost adds the replica's load and warm-up to the work.
+// cost adds the replica's load and warm-up to the work, in milliseconds.
 func (r *Router) cost(rep *replica, size int, work float64, now time.Time) float64 {
 	busy, warm := float64(rep.running.Load()), rep.State != config.ReplicaWarming
 	if report := rep.report.Load(); report != nil {
@@ -96,7 +97,7 @@
 	return cost
 }
 
-// occupied takes a replica's word for its load; what this proxy sent since counts beside it.
+// occupied takes a replica's report of its load; what this router sends from then on counts beside it.
 func (rep *replica) occupied(o *Occupancy) {
 	if before := rep.seen.Load(); before == nil || before.at.Before(o.at) {
 		rep.seen.Store(o)
@@ -104,7 +105,7 @@
 	}
 }
 
-// rate is how fast the replica reads a prompt anew, in its units per ms: as it tells, or as was learned.
+// rate is how fast the replica prefills, in the prompt's units per millisecond: as it reports, or as was observed.
 func (rep *replica) rate() float64 {
 	if report := rep.report.Load(); report != nil {
 		return report.rate()
@@ -115,18 +116,18 @@
 	return segmentRate
 }
 
-// observePrefillRate takes the time to a first piece as a sample of the reading rate. What slows a replica is more than its reading, so that a
+// observePrefillRate takes the time to a first chunk as a sample of the prefill rate. A replica is slowed by more than its prefill, so a
 // quick sample counts for more than a slow one.
 func (r *Router) observePrefillRate(x *Exchange, delay time.Duration) {
 	rep := x.replica
 	work := x.prefill.work
 	if target := time.Duration(x.Path.LatencyTargetMs) * time.Millisecond; target > 0 {
-		x.prefill.pool.window.observe(delay-readBase-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), target)
+		x.prefill.pool.window.observe(delay-prefillBase-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), target)
 	}
-	if work < leastSample || x.source != "" || rep.pending.Load() > work || delay <= readBase {
+	if work < minSample || x.source != "" || rep.pending.Load() > work || delay <= prefillBase {
 		return
 	}
-	sample, before := float64(work)/float64((delay-readBase).Milliseconds()+1), rep.rate()
+	sample, before := float64(work)/float64((delay-prefillBase).Milliseconds()+1), rep.rate()
 	element := 0.05
 	if sample > before {
 		element = 0.3
@@ -134,7 +135,7 @@
 	rep.rateBits.Store(math.Float64bits(before + element*(min(sample, 4*before)-before)))
 }
 
-// rate is how fast the replica reads a prompt anew, in bytes per ms.
+// rate is the reported prefill rate in bytes per millisecond, or the default.
 func (report *report) rate() float64 {
 	if report.Rate <= 0 {
 		return defaultRate
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -26,7 +26,7 @@
 	Stale     State = "stale"      // its deadline passed while it waited
 )
 
-// next lists the steps that a request may take.
+// next lists the states that may follow each state.
 var next = map[State][]State{
 	Received:  {Eligible, Failed, Stale},
 	Eligible:  {Submitted, Failed, Stale},
@@ -34,7 +34,7 @@
 	RetryWait: {Eligible, Failed, Stale},
 }
 
-// Event is one step of a request.
+// Event is one step of a request, for the audit.
 type Event struct {
 	Request string    `json:"request"`
 	Tenant  string    `json:"tenant,omitempty"`
@@ -46,15 +46,17 @@
 	Replica string    `json:"replica,omitempty"`
 }
 
-// audit is a bounded ring of events.
+// audit is a bounded ring of events; the oldest are overwritten.
 type audit struct {
 	mu     sync.Mutex
 	events []Event
 	at     int
 }
 
+// newAudit makes an audit of so many events.
 func newAudit(size int) *audit { return &audit{events: make([]Event, 0, size)} }
 
+// add notes an event.
 func (a *audit) add(e Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -66,7 +68,7 @@
 	a.at = (a.at + 1) % len(a.events)
 }
 
-// find lists the events that fit, oldest first.
+// find lists the events that match, the oldest first.
 func (a *audit) find(fits func(Event) bool) []Event {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -79,56 +81,64 @@
 	return events
 }
 
-// Exchange is one request on its way through the chain.
+// Exchange is one request on its way through the filters.
 type Exchange struct {
 	ID        string
 	Request   *http.Request
 	Body      []byte
 	Prompt    Prompt
-	Key       string // the caller's idempotency key, if any
+	Key       string // the client's idempotency key; empty: none
 	Access    string // hash of the access key
 	View      *View
 	Tenant    *tenant
 	Path      *path
 	Deadline  time.Time
 	Received  time.Time
-	Sent      time.Time     // the last attempt
-	remaining time.Duration // that the replica was told
+	Sent      time.Time     // when the last attempt was written
+	remaining time.Duration // the time that the replica was told it has
 
 	Idempotent  bool
 	Attempt     int
 	State       State
 	Answer      *Answer
-	Pool        *pool  // that the path's split gave it
-	LastEventID uint64 // of a stream that is taken up: the last event that the caller has
-
-	connection       *clientConn
-	blocks           map[string][]prefixindex.Block
-	item             queue.Item
-	replica          *replica
-	write            *requestWrite // of the last attempt, on its connection
-	weights          string
-	placement        config.Placement
-	resumedPlacement config.Placement // of a stream that is taken up again: its pieces are all from there
-	source           string
-	sink             string
-	prefill          credit // until the first piece
-	unsentAttempts   int    // draws whose request was not written
-	claimed          bool
-	mayHaveExecuted  bool // some attempt may have run
+	Pool        *pool  // the one that the path's weights gave it
+	LastEventID uint64 // of a stream that is resumed: the last event that the client has
+
+	connection *clientConn
+	// blocks are the prompt's blocks by cache domain, made once each.
+	blocks map[string][]prefixindex.Block
+	item   queue.Item
+	// What the present attempt has: the replica and its weights, where the request runs on it, where it fetches the prefix from and leaves it
+	// at, and its write on the replica's connection.
+	replica   *replica
+	weights   string
+	placement config.Placement
+	source    string
+	sink      string
+	write     *requestWrite
+	// resumedPlacement is that of a stream that is resumed: all its chunks come from there.
+	resumedPlacement config.Placement
+	// prefill is the credit until the first chunk; then it is empty.
+	prefill credit
+	// unsentAttempts counts the replicas that the request was given and not written to.
+	unsentAttempts int
+	// claimed: the idempotency key may be held by this request.
+	claimed bool
+	// mayHaveExecuted: some attempt may have been executed.
+	mayHaveExecuted bool
 }
 
 // Replica names the replica that the request is sent to.
 func (x *Exchange) Replica() string { return x.replica.Name }
 
-// end finishes an answer, once.
+// end finishes the answer: the replica's connection is released. Only the first call counts.
 func (a *Answer) end(err error) {
 	finish := a.finish
 	a.finish = func(error) {}
 	finish(err)
 }
 
-// Answer is a replica's answer whose first piece is here.
+// Answer is a replica's answer whose first chunk has arrived.
 type Answer struct {
 	Status     int
 	Header     http.Header
@@ -140,7 +150,7 @@
 	finish     func(err error)
 }
 
-// step moves a request to its next state and notes it.
+// step moves a request to its next state, and notes the step in audit, counters and log.
 func (r *Router) step(x *Exchange, to State, reason string) {
 	lawful := x.State == "" && to == Received
 	for _, s := range next[x.State] {
--- a/router/filters.go
+++ b/router/filters.go
@@ -11,10 +11,11 @@
 	"asterridge/throttle"
 )
 
-// handle is the rest of the chain.
+// handle is the part of the chain after a filter.
 type handle func(ctx context.Context, x *Exchange) error
 
-// Filter is one policy on a request's way (§5.2). It may answer with an error, change the exchange, and call onward.
+// Filter is one policy on a request's way (docs/design.md §5.2). It may end the request with an error, change the exchange, and call
+// onward.
 type Filter interface {
 	Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error
 }
@@ -29,12 +30,13 @@
 	sendFilter     struct{ r *Router }
 )
 
+// Bounds on requests where the configuration sets none, and the sizes of a header's fixed parts.
 const (
 	defaultHeaderBytes = 64 << 10 // of a request, where the configuration does not say
 	defaultBodyBytes   = 16 << 20
 )
 
-// headerSize is what a request's line and headers take up on the wire.
+// headerSize is the size in bytes of a request's line and header on the wire.
 func headerSize(q *http.Request) int {
 	const spaces, lineEnd, separator, hostName = 2, 2, 2, 4
 	size := len(q.Method) + len(q.RequestURI) + len(q.Proto) + spaces + lineEnd
@@ -47,7 +49,7 @@
 	return size
 }
 
-// checkHeader holds a request's header to the configuration's bound.
+// checkHeader rejects a header above the configuration's bound, with apierror.HeaderOversize.
 func (v *View) checkHeader(q *http.Request) error {
 	limit := defaultHeaderBytes
 	if v.limits.HeaderBytes > 0 {
@@ -59,13 +61,13 @@
 	return nil
 }
 
-// decode makes an exchange of a caller's request; the body is read later, when its bound is known.
+// decode makes an exchange of a client's request. The body is read later, when its bound is known.
 func (r *Router) decode(ctx context.Context, q *http.Request) (any, error) {
 	door := ctx.Value(clientConnKey{}).(*clientConn)
 	return &Exchange{ID: door.id, Request: q, Received: time.Now(), LastEventID: door.header.LastEventID, connection: door}, nil
 }
 
-// Handle rejects new work while this router cannot prove that it is current, or stops.
+// Handle rejects new work while this router is not current, or stops.
 func (f currencyFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	if err := f.r.admits(); err != nil {
 		return err
@@ -73,6 +75,7 @@
 	return onward(ctx, x)
 }
 
+// admits gives the reason why this router may not act now; nil if it may. The errors are apierror.Stopping and NotCurrent.
 func (r *Router) admits() error {
 	if r.stopping.Load() {
 		return again(apierror.New(apierror.Stopping, "this proxy is stopping"), time.Second)
@@ -83,6 +86,7 @@
 	return nil
 }
 
+// again adds to an error when to come back.
 func again(f *apierror.Error, after time.Duration) error {
 	f.Again = after
 	return f
@@ -107,9 +111,10 @@
 	return apierror.New(apierror.BadKey, "unknown or revoked key")
 }
 
+// noSecret is the hash of an empty access key.
 var noSecret = config.HashKey("")
 
-// tenantOf gives the tenant that holds the request's key, or everybody's where none is needed.
+// tenantOf gives the tenant that holds the request's key, or the public one where no key is needed; nil if there is none.
 func (v *View) tenantOf(x *Exchange) *tenant {
 	if t := v.access[x.Access]; t != nil {
 		return t
@@ -157,7 +162,7 @@
 	return onward(ctx, x)
 }
 
-// lead takes a view's word for what becomes of the request: its tenant, path, pool and place among others. A request that waited is led anew.
+// lead takes tenant, path, pool and queue from a view. A request that has waited is led anew by the view of that time.
 func (x *Exchange) lead(v *View) error {
 	t := v.tenantOf(x)
 	if t == nil || x.Tenant != nil && (t.Name != x.Tenant.Name || t.CreatedVersion != x.Tenant.CreatedVersion) {
@@ -186,16 +191,16 @@
 	return nil
 }
 
-// errPickAgain sends a request back to the queue: nothing was sent, the replica it was given will not do.
+// errPickAgain sends a request back to the queue: nothing was sent, and the replica that it was given will not do.
 var errPickAgain = errors.New("draw another replica")
 
-// errAgain is an attempt that did not run, or may be repeated; the cause is what the caller hears if there is no other.
+// errAgain is an attempt that was not executed, or that may be repeated. Its cause is the client's answer if there is no other attempt.
 type errAgain struct{ cause error }
 
 func (e errAgain) Error() string { return e.cause.Error() }
 func (e errAgain) Unwrap() error { return e.cause }
 
-// Handle shoots, and shoots again where that is allowed and paid for (§5.4).
+// Handle makes attempts as long as that is allowed and paid for (docs/design.md §5.4).
 func (f attemptsFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	r := f.r
 	waiting, stop := context.WithDeadline(ctx, x.Deadline)
@@ -211,12 +216,13 @@
 	return err
 }
 
+// attempt runs the rest of the chain once; a replica that will not do is no attempt.
 func (r *Router) attempt(ctx context.Context, x *Exchange, onward handle) error {
 	for {
 		if err := x.lead(r.view.Load()); err != nil {
 			return err
 		}
-		if err := r.heldTooLong(x); err != nil {
+		if err := r.checkThrottle(x); err != nil {
 			return err
 		}
 		if !x.Pool.isStaffed() {
@@ -254,6 +260,7 @@
 	}
 }
 
+// maxUnsent bounds the attempts of one request of which no byte was written.
 const maxUnsent = 6
 
 // errUnsent is an attempt of which no byte was written.
@@ -262,7 +269,7 @@
 func (e errUnsent) Error() string { return e.cause.Error() }
 func (e errUnsent) Unwrap() error { return e.cause }
 
-// payRetry takes a retry from the budget and from the path's tries, and makes the request eligible again.
+// payRetry takes a retry from the budget and from the path's attempts, and makes the request eligible again.
 func (r *Router) payRetry(x *Exchange, cause error) error {
 	if x.Path.Tries > 0 && x.Attempt+1 >= x.Path.Tries {
 		return r.givenUp(x, cause)
@@ -278,8 +285,8 @@
 	return nil
 }
 
-// heldTooLong rejects a request at once whose hold outlasts its deadline.
-func (r *Router) heldTooLong(x *Exchange) error {
+// checkThrottle rejects a request at once whose throttle outlasts its deadline, with apierror.Throttled.
+func (r *Router) checkThrottle(x *Exchange) error {
 	until := r.throttles.Until(x.item.Scope)
 	if until.IsZero() || until.Before(x.Deadline) {
 		return nil
--- a/router/framing.go
+++ b/router/framing.go
@@ -12,10 +12,10 @@
 // RFC has such a request be the last on its connection: whoever goes by the length takes what follows the chunks for the request's own
 // body, so that it must not be read as a request. A Watched connection counts what the handler is not shown.
 
-// lengthHeader is the header's name after a line's end, in small letters.
+// lengthHeader is the header's name after a line's end, in lower case.
 var lengthHeader = []byte("\ncontent-length")
 
-// watched is a caller's connection that counts the lines which look like a length, wherever they stand.
+// watched is a client's connection that counts the lines which look like a Content-Length, wherever they stand.
 type watched struct {
 	net.Conn
 	lengths atomic.Int64
@@ -49,7 +49,7 @@
 	return n, err
 }
 
-// CloseWrite is what net/http ends a connection with that is not reused.
+// CloseWrite is what net/http calls to end a connection that is not used again.
 func (c *watched) CloseWrite() error {
 	if half, canHalf := c.Conn.(interface{ CloseWrite() error }); canHalf {
 		return half.CloseWrite()
@@ -57,6 +57,7 @@
 	return nil
 }
 
+// watchedListener wraps the connections that it accepts.
 type watchedListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -68,11 +69,12 @@
 	return &watched{Conn: c}, nil
 }
 
+// watchedName is the key of a watched connection in a request's context.
 type watchedName struct{}
 
-// Watch has a server tell its handler which requests are framed in two ways. A connection that wraps one of the listener's gives it by a method
-// NetConn, as TLS does. Where a server is not watched, each request in chunks is the
-// last on its connection.
+// Watch has a server tell its handler which requests are framed in two ways, which is how requests are smuggled. A connection that wraps
+// one of the listener's gives it by a method NetConn, as TLS does. Where a server is not watched, each chunked request is the last on its
+// connection.
 func Watch(server *http.Server, listener net.Listener) net.Listener {
 	server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		for {
@@ -86,7 +88,7 @@
 	return watchedListener{listener}
 }
 
-// isFramedTwice says whether a request in chunks may have had a length too.
+// isFramedTwice reports whether a chunked request may have had a Content-Length too.
 func isFramedTwice(q *http.Request) bool {
 	c, isWatched := q.Context().Value(watchedName{}).(*watched)
 	if len(q.TransferEncoding) == 0 {
--- a/router/load.go
+++ b/router/load.go
@@ -6,38 +6,45 @@
 	"time"
 )
 
+// load is what this router knows of a replica's load; it lives on from view to view.
 type load struct {
-	bad         atomic.Int64 // refusals of everyone and failures in a row
-	coolUntil   atomic.Pointer[time.Time]
-	running     atomic.Int64 // sent by this proxy and not ended
-	sent        atomic.Int64 // by this proxy since the report
+	// bad counts failures and rejections of everyone in a row; the replica is left alone until coolUntil.
+	bad       atomic.Int64
+	coolUntil atomic.Pointer[time.Time]
+	// running are the requests that this router has sent and that have not ended, sent those since the last report.
+	running atomic.Int64
+	sent    atomic.Int64
+	// pending is what the replica has to prefill of this router's requests before their first chunks, in the prompts' units.
+	pending atomic.Int64
+	// rateBits is the observed prefill rate, a float64 in units per millisecond; zero: not observed.
+	rateBits atomic.Uint64
+	// report is the last report, seen the last load that an answer told, seenVersion the highest model version that one told.
 	report      atomic.Pointer[report]
-	pending     atomic.Int64  // of prompts sent by this proxy, what the replica has to read before their first pieces
-	rateBits    atomic.Uint64 // learned: units of prompt read per ms
 	seen        atomic.Pointer[Occupancy]
 	seenVersion atomic.Uint64
 }
 
-// Occupancy is what a replica tells of its load: in an answer, or to the core that asks it for all.
+// Occupancy is what a replica reports of its load: in an answer, or to the core that asks it for all.
 type Occupancy struct {
 	Running, Waiting, Slots int
-	Free                    int // units of prompts that fit beside what runs; 0: not told
+	Free                    int // units of prompts that fit into the memory beside what runs; 0: not told
 	at                      time.Time
 }
 
-// Taken is the part of it that is told to all, as one field.
+// Taken is the part of it that is sent to all proxies, as one field.
 func (o Occupancy) Taken() json.RawMessage {
 	raw, _ := json.Marshal([]int{o.Running, o.Waiting, o.Free}) // whole numbers always encode
 	return raw
 }
 
+// newLoad makes a load of which nothing is known.
 func newLoad() *load {
 	l := &load{}
 	l.coolUntil.Store(&time.Time{})
 	return l
 }
 
-// Report is what a replica says of itself; Number rises with each within a run.
+// Report is what a replica reports of itself. Number rises with each report of a run.
 type Report struct {
 	Run     string  `json:"run"`
 	Number  uint64  `json:"number"`
@@ -50,6 +57,7 @@
 	AdapterReport
 }
 
+// report is a replica's last report, and when it came.
 type report struct {
 	Report
 	at time.Time
--- a/router/model_versions.go
+++ b/router/model_versions.go
@@ -10,8 +10,8 @@
 	"asterridge/register"
 )
 
-// ModelVersionsKey has, for each version of a model that operators have named, how long ago a core took it: MODEL/VERSION → ms when it was put. Who
-// starts while replicas load learns by it how long old versions may still be used (§6.5).
+// ModelVersionsKey has, for each published version of a model, how long ago a core took it: MODEL/VERSION → milliseconds when it was
+// published. A router that starts while replicas load learns by it how long old versions may still be used (docs/design.md §6.5).
 const ModelVersionsKey = "named"
 
 // ModelVersionField is the field of a model's version.
@@ -19,13 +19,13 @@
 	return model + "/" + strconv.FormatUint(version, 10)
 }
 
-// ModelVersions remembers since when versions are named; of several words the oldest counts.
+// ModelVersions remembers since when versions are published; of several ages the oldest counts. The zero value is ready to use.
 type ModelVersions struct {
 	mu    sync.Mutex
 	since map[string]map[uint64]time.Time
 }
 
-// Apply takes a link's entry, and gives the fields that moved with what is known of them now.
+// Apply takes a watch update, and gives the fields whose time moved, with what is known of them now.
 func (n *ModelVersions) Apply(fields register.Fields, agesMs map[string]int64) register.Fields {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -58,10 +58,10 @@
 	return moved
 }
 
-// versionAgeSlack is how much older a word must be to count as news: the way of a word differs a little each time.
+// versionAgeSlack is how much older an age must be to move a time: updates take a little longer or shorter each time.
 const versionAgeSlack = 100 * time.Millisecond
 
-// Superseded says since when there is a newer version of a model than this one.
+// Superseded gives since when there is a newer version of a model than this one; not ok if none is known.
 func (n *ModelVersions) Superseded(model string, version uint64) (since time.Time, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,9 +74,9 @@
 	return n.since[model][next], next > 0
 }
 
-// beginBy gives when work on a version of a model must have begun at the latest. A newer version than we have heard of is newer all the same:
-// only an older one isOld. It may be used for a term from when it was superseded, which counts anew from when the cores were last disturbed;
-// if nobody knows since when, its time is over.
+// beginBy gives when work on a version of a model must have begun at the latest; old is false for the newest version. A version above the
+// one that we know of is newer all the same. An old one may be used for a time from when it was superseded, or from when the cores were
+// last disturbed if that was later. If nobody knows since when, its time is over.
 func (r *Router) beginBy(v *View, model string, version uint64) (end time.Time, old bool) {
 	if version >= v.models[model].Version {
 		return time.Time{}, false
@@ -91,15 +91,15 @@
 	return since.Add(r.options.OldWeightsLimit), true
 }
 
-// mayStart says whether work may be sent to a replica on a version of a model: on an old one as long as an answer is likely to be whole
-// before no work may begin.
+// mayStart reports whether work may be sent to a replica on a version of a model. On an old version it may as long as an answer is likely
+// to be complete before no work may begin.
 func (r *Router) mayStart(v *View, p *pool, model string, version uint64, now time.Time) bool {
 	end, old := r.beginBy(v, model, version)
 	return !old || now.Add(p.answers.expected(r.options.OldWeightsLimit/2)).Before(end)
 }
 
-// remainingTime is what a replica is told that it has for a request. It drops what has not begun by then, and an old version ends there: that, and
-// not what is expected of it, keeps work from beginning too late.
+// remainingTime is the time that a replica is told it has for a request: up to the request's deadline, and no longer than its version may
+// be used. The replica drops what it has not begun by then. That, and not what is expected of it, keeps work from beginning too late.
 func (r *Router) remainingTime(v *View, x *Exchange) time.Duration {
 	left := time.Until(x.Deadline)
 	if end, old := r.endOf(v, x); old {
@@ -108,8 +108,8 @@
 	return left
 }
 
-// isPastOldVersion says whether a request that is written now would have time beyond the end of the old version that it goes to: it sought a connection
-// since it was told its time, or the version has become an old one.
+// isPastOldVersion reports whether a request that is written now would have time beyond the end of the old version that it goes to: it has
+// waited for a connection since it was told its time, or the version has become an old one.
 func (r *Router) isPastOldVersion(v *View, x *Exchange) bool {
 	end, old := r.endOf(v, x)
 	return old && time.Now().Add(x.remaining).After(end.Add(sendSlack))
--- a/router/pool.go
+++ b/router/pool.go
@@ -12,45 +12,64 @@
 	"asterridge/rendezvous"
 )
 
-// credit is one slot of one replica.
+// credit is one slot of one replica, with what the request is to find there.
 type credit struct {
 	replica *replica
 	weights string
-	source  string // address of a peer or store that the replica should fetch the prefix from; "" to read it anew
-	sink    string // address of a store that it should leave the prefix at
-	work    int64  // what it has to read of the prompt
-	pool    *pool
-
-	windowed bool
-
+	// source is the address of a peer or store to fetch the prefix from; empty: it is computed anew.
+	source string
+	// sink is the address of a store to leave the prefix at; empty: none.
+	sink string
+	// work is what the replica has to prefill of the prompt, in the prompt's units.
+	work int64
+	pool *pool
+	// windowed: the request has a place in the pool's window.
+	windowed  bool
 	placement config.Placement
 }
 
+// Costs are in milliseconds of prefill, rates in the prompt's units per millisecond.
 const (
-	reportAge    = 1500 * time.Millisecond
-	maxBorrowed  = 0.75 // of a replica's slots may be taken by its report, beyond one's own share
+	// reportAge is the age at which a report no longer counts, seenAge that of a load that an answer told.
+	reportAge = 1500 * time.Millisecond
+	seenAge   = 2 * time.Second
+	// maxBorrowed is the part of a replica's slots that may be taken by its report, beyond one's own share; it moves by borrowedStep.
+	maxBorrowed  = 0.75
 	borrowedStep = 0.01
-	defaultRate  = 4.0   // bytes of prompt per ms, until a replica tells
-	segmentRate  = 100.0 // units of a prompt in parts per ms, until it is learned
-	homeGain     = 20.0  // ms: the replica on which proxies without news agree for a prompt's opening
-	againCost    = 2.0   // times its reading: what others may share, and nobody has been heard to keep yet, is best read in one place
-	zoneCost     = 4.0   // ms: a replica in another zone
-	waitCost     = 40.0  // ms for each request that a replica has said to be waiting
-	seenAge      = 2 * time.Second
-	fullCost     = 300.0 // ms: a replica whose memory does not hold the prompt beside what runs
-	unseenLimit  = 2     // requests that a proxy sends to a replica of which it knows nothing, whatever its share
-	leastSample  = 1000  // units of a prompt from which the reading rate is learned
-	readBase     = 25 * time.Millisecond
-	loadWeight   = 40.0
-	fetchDelay   = 5.0   // ms before the first byte of a fetched prefix
-	fetchTry     = 200.0 // bytes per ms expected of a source that was not tried yet
-	oldCost      = 400.0 // ms: a replica on old weights, which will be told to load at any moment, or one that has refused the tenant
-	newestWarm   = 3 * time.Second
-	cooldownStep = 50 * time.Millisecond
-	maxCooldown  = 2 * time.Second
+	// unseenLimit is how many requests a router sends to a replica of which it knows nothing, whatever its share.
+	unseenLimit = 2
+
+	// defaultRate is the prefill rate of texts in bytes until a replica reports, segmentRate that of segments until it is observed.
+	defaultRate = 4.0
+	segmentRate = 100.0
+	// minSample is the size from which a prefill is a sample of the rate, prefillBase the time that a first chunk takes without any.
+	minSample   = 1000
+	prefillBase = 25 * time.Millisecond
+
+	// homeGain lowers the cost of the replica on which routers without cache updates agree.
+	homeGain = 20.0
+	// againCost is a factor of the prefill of what others may share and nobody is known to have cached: it is best computed in one place.
+	againCost = 2.0
+	// zoneCost is for a replica in another zone, waitCost for each request that a replica reports to be waiting.
+	zoneCost = 4.0
+	waitCost = 40.0
+	// fullCost is for a replica whose memory does not hold the prompt beside what runs.
+	fullCost = 300.0
+	// oldCost is for a replica on old weights, which will be told to load at any moment, or one that has rejected the tenant.
+	oldCost    = 400.0
+	loadWeight = 40.0
+	newestWarm = 3 * time.Second
+	// fetchDelay is the time before the first byte of a fetched prefix, fetchTry the rate expected of a source that was not tried yet.
+	fetchDelay = 5.0
+	fetchTry   = 200.0
+
+	// cooldownStep is the first time for which a replica is left alone, maxCooldown the longest; it doubles up to maxCooldownDoublings times.
+	cooldownStep         = 50 * time.Millisecond
+	maxCooldown          = 2 * time.Second
+	maxCooldownDoublings = 6
 )
 
-// canServe says whether a replica may start work for the pool now (§6.1).
+// canServe reports whether a replica may start work for the pool now, with its weights (docs/design.md §6.1).
 func (r *Router) canServe(v *View, p *pool, rep *replica, model string, now time.Time) (weights string, fit bool) {
 	if rep.State == config.ReplicaDraining {
 		return "", false
@@ -75,7 +94,7 @@
 	return report.Weights, true
 }
 
-// pick takes a credit for a waiting request: the replica with the least estimated cost among those with room.
+// pick takes a credit for a waiting request: at the replica with the least estimated cost among those that can serve and have capacity.
 func (r *Router) pick(item *queue.Item) (credit, bool) {
 	x := item.Body.(*Exchange)
 	v := r.view.Load()
@@ -137,7 +156,7 @@
 	return best, true
 }
 
-// candidate is a replica that may serve a request, and what is kept of its prompt in the replica's domain.
+// candidate is a replica that can serve a request, with what is cached of its prompt in the replica's domain.
 type candidate struct {
 	replica   *replica
 	weights   string
@@ -155,6 +174,7 @@
 	weight    uint64
 }
 
+// cacheStateOf looks a prompt up in one cache domain.
 func (r *Router) cacheStateOf(x *Exchange, p *pool, domain string) *cacheState {
 	d := &cacheState{anchor: x.anchor(domain)}
 	if p.Kind != config.ModelPool {
@@ -170,14 +190,14 @@
 	return d
 }
 
-// meet has a replica compete for being the home.
+// meet has a replica compete for being the home: the one on which routers without cache updates agree.
 func (d *cacheState) meet(name string) {
 	if w := rendezvous.Weight(d.anchor, name); d.home == "" || w > d.weight {
 		d.home, d.weight = name, w
 	}
 }
 
-// endPrefill ends a request's part in what its replica has yet to read, and its place in the pool's window.
+// endPrefill ends a request's part in its replica's prefill, and its place in the pool's window.
 func (r *Router) endPrefill(x *Exchange) {
 	c := x.prefill
 	x.prefill = credit{}
@@ -187,7 +207,7 @@
 	}
 }
 
-// endPrefill takes back what a credit stands for until the first piece.
+// endPrefill takes back what a credit stands for until the first chunk.
 func (c credit) endPrefill() {
 	if c.replica != nil {
 		c.replica.pending.Add(-c.work)
@@ -197,15 +217,16 @@
 	}
 }
 
-// coolDown leaves a replica alone for a while that refuses everyone, or fails; longer each time until it serves again.
+// coolDown leaves a replica alone for a while that rejects everyone, or fails; longer each time until it serves again.
 func (r *Router) coolDown(rep *replica) {
-	backoff := min(cooldownStep<<min(rep.bad.Add(1)-1, 6), maxCooldown)
+	backoff := min(cooldownStep<<min(rep.bad.Add(1)-1, maxCooldownDoublings), maxCooldown)
 	until := time.Now().Add(backoff)
 	rep.coolUntil.Store(&until)
 	time.AfterFunc(backoff+time.Millisecond, r.queue.WakeAll)
 }
 
-// hasCapacity looks at this proxy's share, and beyond it at what the replica's report leaves free (§5.3).
+// hasCapacity looks at this router's share of a replica's slots, and beyond it at what the replica's report leaves free (docs/design.md
+// §5.3).
 func (r *Router) hasCapacity(rep *replica, now time.Time) bool {
 	own := int(rep.running.Load())
 	if own < rep.share {
@@ -220,19 +241,21 @@
 	return r.options.Protocol.ReportPath() == "" && own < unseenLimit
 }
 
-// borrowedShare is the part of a replica's slots up to which this proxy goes beyond its share. Reports are old by the time of several requests,
-// and all proxies look at the same ones: who meets a full replica halves its part, and each answer gives a little back.
+// borrowedShare is the part of a replica's slots up to which this router goes beyond its share. Reports are several requests old, and all
+// routers look at the same ones: who meets a full replica halves its part, and each answer gives a little back.
 type borrowedShare struct {
 	mu  sync.Mutex
 	now float64
 }
 
+// share is the part now.
 func (b *borrowedShare) share() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.now
 }
 
+// observe takes whether a replica was met full.
 func (b *borrowedShare) observe(full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -252,7 +275,7 @@
 	c.endPrefill()
 }
 
-// chain gives the prompt's blocks in a cache domain, made once.
+// chain gives the prompt's blocks in a cache domain; they are computed once.
 func (x *Exchange) chain(domain string) []prefixindex.Block {
 	if x.blocks == nil {
 		x.blocks = map[string][]prefixindex.Block{}
@@ -270,7 +293,8 @@
 	return chain
 }
 
-// anchor stands for the prompt's opening, on which proxies without news agree. The last part of a prompt is its own.
+// anchor stands for the beginning of the prompt, by which routers without cache updates agree on a replica. The last segment of a prompt is
+// its own.
 func (x *Exchange) anchor(domain string) string {
 	chain := x.chain(domain)
 	if x.Prompt.Segments != nil {
--- a/router/protocol.go
+++ b/router/protocol.go
@@ -14,7 +14,7 @@
 	"asterridge/rpc"
 )
 
-// ClientHeader is what a dialect reads of a caller's request before its body.
+// ClientHeader is what a protocol reads of a client's request before its body.
 type ClientHeader struct {
 	ID          string        // the caller's own id of this attempt; empty: the router gives one
 	Secret      string        // the access key
@@ -24,7 +24,7 @@
 	LastEventID uint64        // of a stream that the caller takes up again: the last event that it has
 }
 
-// Prompt is what the router reads of a request's prompt: its text, or the parts that it is made of.
+// Prompt is what the router reads of a request's prompt: its text, or the segments that it is made of.
 type Prompt struct {
 	Model    string
 	Text     string
@@ -32,13 +32,13 @@
 	Stream   bool
 }
 
-// Segment is a piece of a prompt that may be shared with others; Size is in the replicas' own units.
+// Segment is a part of a prompt that other prompts may share; Size is in the replicas' own units.
 type Segment struct {
 	ID   string
 	Size int
 }
 
-// Size is the whole prompt's.
+// Size is that of the whole prompt, in bytes or in the segments' units.
 func (p Prompt) Size() int {
 	if p.Segments == nil {
 		return len(p.Text)
@@ -50,7 +50,7 @@
 	return sum
 }
 
-// ReplicaHeader is what a dialect tells a replica with a request.
+// ReplicaHeader is what a protocol tells a replica with a request.
 type ReplicaHeader struct {
 	Domain      string // of kept prompts
 	Weights     string // the version that the replica is to have; empty: any
@@ -71,7 +71,7 @@
 	Reason      string
 }
 
-// Protocol is the one place that knows how callers and replicas speak.
+// Protocol is the one place that knows how clients and replicas speak.
 type Protocol interface {
 	ReadHeader(q *http.Request) (ClientHeader, error)
 	ReadPrompt(q *http.Request, body []byte) (Prompt, error)
@@ -97,7 +97,7 @@
 // ChatProtocol speaks the widely published chat completions: JSON in, JSON or an event stream out.
 type ChatProtocol struct{}
 
-// Headers that the dialect adds.
+// Headers that the protocol adds.
 const (
 	idHeader      = "X-Request-Id"
 	tenantHeader  = "X-Tenant"
@@ -106,6 +106,7 @@
 	sourceHeader  = "X-Prefix-From"
 )
 
+// chatBody is what is read of a chat request's body.
 type chatBody struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -155,7 +156,7 @@
 	return Prompt{Model: b.Model, Text: prefixindex.Text(parts...), Stream: b.Stream}, nil
 }
 
-// SetHeaders puts the router's words to the replica on a request.
+// SetHeaders sets the router's headers on a request to a replica.
 func (ChatProtocol) SetHeaders(h http.Header, x *Exchange, s ReplicaHeader) {
 	for _, ours := range []string{"Authorization", domainHeader, weightsHeader, sourceHeader} {
 		h.Del(ours) // a caller does not say them for us
@@ -176,19 +177,19 @@
 	}
 }
 
-// Occupancy is told in reports.
+// Occupancy is told in reports, not in answers.
 func (ChatProtocol) Occupancy(*http.Response) (Occupancy, bool) { return Occupancy{}, false }
 
-// ModelVersion is told in reports.
+// ModelVersion is told in reports, not in answers.
 func (ChatProtocol) ModelVersion(*http.Response) uint64 { return 0 }
 
-// IDHeader bears the request's id.
+// IDHeader bears the request's ID.
 func (ChatProtocol) IDHeader() string { return idHeader }
 
 // RetryAfter writes whole seconds, rounded up.
 func (ChatProtocol) RetryAfter(d time.Duration) string { return rpc.RetryAfter(d) }
 
-// Classify reads the status; a refusal's body has {"error":{"type":…}}.
+// Classify reads the status; the body of a rejection has {"error":{"type":…}}.
 func (ChatProtocol) Classify(r *http.Response) Outcome {
 	if r.StatusCode != 429 && r.StatusCode != 503 && r.StatusCode != 412 {
 		return Outcome{Served: true}
@@ -215,7 +216,7 @@
 	return v
 }
 
-// AnswerID is the request id that the answer bears.
+// AnswerID is the request ID that the answer bears.
 func (ChatProtocol) AnswerID(r *http.Response) string { return r.Header.Get(idHeader) }
 
 // EndDetector looks for the event stream's end marker.
@@ -223,13 +224,13 @@
 	return func(tail []byte) bool { return bytes.HasSuffix(bytes.TrimRight(tail, "\r\n"), []byte("data: [DONE]")) }
 }
 
-// SendsDeadline is false: a deadline is for the first piece, and streams are as long as they are.
+// SendsDeadline is false: a deadline is for the first chunk, and streams are as long as they are.
 func (ChatProtocol) SendsDeadline() bool { return false }
 
-// ReportPath is where a replica tells its load.
+// ReportPath is where a replica reports its load.
 func (ChatProtocol) ReportPath() string { return "/report" }
 
-// LoadPath is where a replica takes the order to load weights; a lower order number than it has met is refused.
+// LoadPath is where a replica takes the order to load weights; it refuses a lower order number than it has met.
 func (ChatProtocol) LoadPath() string { return "/weights" }
 
 // Loading stands in a report in the place of the weights while new ones load.
--- a/router/query.go
+++ b/router/query.go
@@ -25,13 +25,13 @@
 	Name string `json:"name,omitempty"`
 }
 
-// streaks counts how often in a row a scope was throttled anew after its hold had ended.
+// streaks counts how often in a row a scope was throttled again after its throttle had ended.
 type streaks struct {
 	mu      sync.Mutex
 	byScope map[string]int
 }
 
-// streak is the scope's attempt for the fallback delay (§4.3).
+// streak is the scope's attempt for the backoff (docs/design.md §4.3).
 func (r *Router) streak(x *Exchange) int {
 	r.streaks.mu.Lock()
 	defer r.streaks.mu.Unlock()
@@ -41,7 +41,7 @@
 	return max(0, r.streaks.byScope[x.item.Scope]-1)
 }
 
-// calm forgets the streak when an answer begins and no hold stands.
+// calm forgets the streak when an answer begins and no throttle stands.
 func (r *Router) calm(x *Exchange) {
 	if !r.throttles.Until(x.item.Scope).IsZero() {
 		return
@@ -59,7 +59,7 @@
 	return mux
 }
 
-// Counts gives this router's figures by name.
+// Counts gives this router's counters by name.
 func (r *Router) Counts() map[string]int64 { return r.counts.all() }
 
 // Waiting gives how many requests wait, by tenant.
@@ -71,12 +71,13 @@
 	return waiting
 }
 
-// depth is a queue with its names.
+// depth is a queue's depth with the names of its tenant and pool.
 type depth struct {
 	queue.Depth
 	tenant, pool string
 }
 
+// depths gives the depths of the queues that are not empty.
 func (r *Router) depths() (all []depth) {
 	v := r.view.Load()
 	if v == nil {
@@ -95,7 +96,7 @@
 	return all
 }
 
-// FieldRows lists a register's content, as a daemon holds it.
+// FieldRows lists a register's content as a process has it.
 func FieldRows(where, key string, revision register.Revision, fields register.Fields) (rows []Row) {
 	for name, raw := range fields {
 		rows = append(rows, Row{"where": where, "key": key, "epoch": revision.Epoch, "version": revision.Version, "field": name, "value": raw})
@@ -131,6 +132,7 @@
 	return rows
 }
 
+// backlogRows shows the queues that are not empty.
 func (r *Router) backlogRows() (rows []Row) {
 	for _, d := range r.depths() {
 		rows = append(rows, Row{"proxy": r.options.Name, "tenant": d.tenant, "pool": d.pool, "waiting": d.Count, "oldest_ms": d.Oldest.Milliseconds()})
@@ -138,6 +140,7 @@
 	return rows
 }
 
+// throttleRows shows the throttles that stand here.
 func (r *Router) throttleRows() (rows []Row) {
 	for _, n := range r.throttles.All() {
 		rows = append(rows, Row{"where": r.options.Name, "scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason,
@@ -178,6 +181,7 @@
 	return serves
 }
 
+// registerRows shows what the agent has told of the configuration, the replicas and the access keys.
 func (r *Router) registerRows() (rows []Row) {
 	for _, key := range r.agent.Keys() {
 		if key == config.Key || key == config.ReplicasKey || strings.HasPrefix(key, config.KeysPrefix) {
@@ -188,6 +192,7 @@
 	return rows
 }
 
+// countRows shows the counters in one row.
 func (r *Router) countRows() []Row {
 	row := Row{"proxy": r.options.Name, "index": r.index.Len(), "room_used": r.bodyMemory.inUse()}
 	for name, n := range r.counts.all() {
--- a/router/relay.go
+++ b/router/relay.go
@@ -13,6 +13,7 @@
 	"asterridge/apierror"
 )
 
+// Sizes in bytes, and the times of a relayed answer.
 const (
 	tailSize            = 64
 	chunkSize           = 32 << 10
@@ -21,10 +22,11 @@
 	answerSlack = 200 * time.Millisecond
 )
 
-// chunkBuffers are buffers that streams share in turn.
+// chunkBuffers are buffers that streams use in turn.
 var chunkBuffers = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// relay passes the answer on as it comes (§5.6). A stream that breaks off aborts the caller's connection.
+// relay passes the answer on as it comes (docs/design.md §5.6). If a stream breaks off, the client's connection is aborted: an answer that
+// ends in order would look complete.
 func (r *Router) relay(_ context.Context, w http.ResponseWriter, response any) error {
 	x := response.(*Exchange)
 	a := x.Answer
@@ -59,8 +61,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// chunkTimeout is how long the next piece of an answer is waited for. A replica that is told the deadline ends its answer by then; until then its
-// silence is no reason to end it, and after that nothing is to be expected of it.
+// chunkTimeout is how long the next chunk of an answer is waited for. A replica that is told the deadline ends its answer by then. Until
+// then its silence is no reason to end the answer, and after that nothing is to be expected of it.
 func (r *Router) chunkTimeout(x *Exchange) time.Duration {
 	if r.options.Protocol.SendsDeadline() {
 		return max(0, time.Until(x.Deadline)+answerSlack)
@@ -74,8 +76,8 @@
 func (e errBroken) Error() string { return e.cause.Error() }
 func (e errBroken) Unwrap() error { return e.cause }
 
-// relayBody passes the answer's bytes on. A stream that may be resumed goes on at another replica, behind the last event that the caller has
-// whole (§5.7).
+// relayBody passes the answer's bytes on. A stream that may be resumed goes on at another replica, after the last event that the client has
+// in full (docs/design.md §5.7).
 func (r *Router) relayBody(w http.ResponseWriter, x *Exchange) error {
 	flush := http.NewResponseController(w)
 	stream := eventStream{lastID: x.LastEventID}
@@ -204,14 +206,14 @@
 	return err
 }
 
-// eventStream cuts a stream into whole events, and knows the last one's id.
+// eventStream cuts a stream into complete events, and knows the last one's ID.
 type eventStream struct {
 	lastID  uint64
 	buffer  []byte // what was taken last
 	partial []byte // of it, the event that is not whole yet
 }
 
-// eventEnd gives where the last whole event ends; 0: nowhere.
+// eventEnd gives where the last complete event ends; 0 if there is none.
 func eventEnd(b []byte) int {
 	last := 0
 	for _, end := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
@@ -222,7 +224,7 @@
 	return last
 }
 
-// complete gives the events that are whole now; they stay until the next call.
+// complete gives the events that are complete now; they stay valid until the next call.
 func (e *eventStream) complete(b []byte) []byte {
 	e.buffer = append(append(e.buffer[:0], e.partial...), b...)
 	at := eventEnd(e.buffer)
@@ -242,7 +244,7 @@
 	return complete
 }
 
-// dropPartial gives up the event that is not whole.
+// dropPartial gives up the event that is not complete, and returns it.
 func (e *eventStream) dropPartial() []byte {
 	partial := e.partial
 	e.partial = nil
--- a/router/replica_conn.go
+++ b/router/replica_conn.go
@@ -12,7 +12,7 @@
 	"asterridge/rpc"
 )
 
-// What bounds the time between the last look and the replica having the request (§3.2).
+// These bound the time between the last check and the replica having the request (docs/design.md §3.2).
 const (
 	dialLimit  = time.Second
 	writeLimit = 500 * time.Millisecond // W: the whole request is in the kernel, or the connection ends
@@ -20,9 +20,10 @@
 	sendBuffer = 256 << 10              // what the kernel takes beyond what it has sent
 )
 
+// errUnwritten is a request of which no byte was written.
 var errUnwritten = errors.New("not written")
 
-// replicaConn is a connection to a replica that looks again at everything in the moment of the write.
+// replicaConn is a connection to a replica. In the moment of a request's first write it checks again whether the request may still be sent.
 type replicaConn struct {
 	net.Conn
 	mu       sync.Mutex
@@ -32,8 +33,8 @@
 	count    int
 }
 
-// requestWrite is one request's on a connection. It outlasts the next one's beginning: a connection whose answer has no body is idle, and another
-// request's, before the first one's sender hears of the answer.
+// requestWrite is one request's write on a connection. It outlasts the beginning of the next one: a connection whose answer has no body is
+// idle, and another request's, before the sender of the first one hears of the answer.
 type requestWrite struct {
 	conn    *replicaConn
 	id      string
@@ -43,10 +44,10 @@
 	failure error
 }
 
-// rememberedWrites is of how many requests a connection knows that it has carried them.
+// rememberedWrites is how many of the requests that it has carried a connection remembers.
 const rememberedWrites = 32
 
-// dialGuarded connects to a replica, bounded in what the kernel may deliver late.
+// dialGuarded connects to a replica. The connection bounds what the kernel may deliver late.
 func (r *Router) dialGuarded(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, stop := context.WithTimeout(ctx, dialLimit)
 	defer stop()
@@ -61,8 +62,8 @@
 	return &replicaConn{Conn: c}, nil
 }
 
-// arm begins the turn of the next request. A request is not written twice on one connection: a second copy of what was answered to the
-// first attempt, a refusal say, could not be told from the answer to the second.
+// arm begins the write of the next request. A request is not written twice on one connection: a second copy of the answer to the first
+// attempt, a rejection say, could not be told from the answer to the second.
 func (g *replicaConn) arm(id string, check func() (*View, error)) *requestWrite {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,6 +83,7 @@
 	return g.Conn.Write(b)
 }
 
+// mayWrite makes the check of the request whose first bytes are being written; nil for all bytes after them.
 func (g *replicaConn) mayWrite() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// finish ends a request's turn: from now on nothing of it is written that was not. It gives the view under which it was written, or why it
+// finish ends a request's write: from now on nothing of it is written that was not. It gives the view under which it was written, or why it
 // was not.
 func (t *requestWrite) finish() (seen *View, at time.Time, failure error) {
 	t.conn.mu.Lock()
@@ -112,8 +114,8 @@
 	return t.view, t.at, t.failure
 }
 
-// discard ends the connection of a request that got an answer which is not its own: that may come yet, where another request's is due. If
-// another request has the connection already, it goes on, and looks at the answer's id like this one.
+// discard ends the connection of a request that got an answer which is not its own: its own may come yet, where another request's is due.
+// If another request has the connection already, it goes on, and checks the answer's ID as this one did.
 func (t *requestWrite) discard() {
 	g := t.conn
 	g.mu.Lock()
--- a/router/router.go
+++ b/router/router.go
@@ -1,5 +1,13 @@
-// Package router is the data plane as a library: a chain of filters that leads a caller's request to a replica under the shared
-// waiting rule. cmd/proxy is a thin daemon over it; a program of one's own may embed it (docs/design.md §5).
+// Package router is the data plane as a library: a chain of filters that takes a client's request to a replica under the shared throttles.
+// cmd/proxy is a thin program over it; a program of one's own may embed it (docs/design.md §5).
+//
+// A request is an Exchange. Its filters are in filters.go, claims.go and send.go, in the order of the chain: is this router current, whose
+// request is it, which path, the embedding program's own filters, attempts, queue, claim, send. pool.go and cost.go choose the replica;
+// replica_conn.go checks everything again in the moment of the first write; relay.go passes the answer on. The state that all of it goes by
+// is a View, which compile.go makes of the registers that the agent publishes (updates.go).
+//
+// What was surely not written to a replica was not executed; everything else may have been. This line decides what may be attempted again,
+// and what the client is told.
 package router
 
 import (
@@ -29,7 +37,7 @@
 	"asterridge/watch"
 )
 
-// Keys that an agent makes itself, besides the registers.
+// Keys that agents publish besides the registers.
 const (
 	ProxiesKey   = "proxies"
 	ThrottleKey  = "hold"
@@ -43,10 +51,10 @@
 	CacheUp      = "~up" // among what a source keeps: it answers
 )
 
-// StoreName is a declared store's name in the index of kept prompts.
+// StoreName is the name in the prefix index of a store that is configured as a pool.
 func StoreName(pool string) string { return storeName + pool }
 
-// Router is one data plane process's state.
+// Router is the state of one proxy's data plane.
 type Router struct {
 	options         Options
 	log             zerolog.Logger
@@ -83,17 +91,20 @@
 	stopped         chan struct{}
 }
 
+// lockedRandom is a random source for several goroutines.
 type lockedRandom struct {
 	mu sync.Mutex
 	r  *mathrand.Rand
 }
 
+// backoff draws a backoff.
 func (l *lockedRandom) backoff(rule config.ThrottleRule, attempt int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return throttle.Backoff(rule, attempt, l.r)
 }
 
+// Sizes of the router's own parts.
 const (
 	// idleReplicaConnections bounds the idle connections that are kept to each replica.
 	idleReplicaConnections = 64
@@ -165,13 +176,13 @@
 	}
 }
 
-// Run follows the agent and reports holds until the context ends.
+// Run watches the agent and reports throttles until the context ends.
 func (r *Router) Run(ctx context.Context) {
 	go r.reportThrottles(ctx)
 	r.agent.Run(ctx)
 }
 
-// Status is what a router tells its agent, and so the cores.
+// Status is what a router reports to its agent, and so to the cores.
 type Status struct {
 	Proxy   string           `json:"proxy"`
 	Run     string           `json:"run"` // one process's life
@@ -182,6 +193,7 @@
 	Counts  map[string]int64 `json:"counts"`
 }
 
+// watchRequest introduces this router to its agent.
 func (r *Router) watchRequest() watch.Request {
 	r.logCurrency()
 	status := Status{Proxy: r.options.Name, Run: r.runID, Zone: r.options.Zone, Admin: r.options.Admin, Current: r.IsCurrent(),
@@ -194,7 +206,7 @@
 	return request
 }
 
-// logCurrency logs when the router becomes current, or has ceased to be.
+// logCurrency logs when the router becomes current, or has ceased to be, and reports whether that has changed.
 func (r *Router) logCurrency() (changed bool) {
 	current := r.IsCurrent()
 	if changed = r.loggedCurrent.Swap(current) != current; changed {
@@ -203,14 +215,14 @@
 	return changed
 }
 
-// IsCurrent says whether this router can prove that it knows every accepted change.
+// IsCurrent reports whether this router can prove that it knows every accepted change.
 func (r *Router) IsCurrent() bool {
 	until := r.current.Load()
 	return until != nil && r.view.Load() != nil && time.Now().Before(*until)
 }
 
-// releaseDelay spreads the first releases after a hold over the proxies: the first by rendezvous rank goes at once, the second a step later,
-// then two, four and so on. If the first is refused again, the others hear of it before they send (§4.4).
+// releaseDelay spreads the first releases after a throttle over the proxies: the first by rendezvous rank goes at once, the second a step
+// later, then two, four and so on. If the first is rejected again, the others hear of it before they send (docs/design.md §4.4).
 func (r *Router) releaseDelay(scope string) time.Duration {
 	v := r.view.Load()
 	if v == nil {
@@ -225,18 +237,19 @@
 	return time.Duration(bits.Len(uint(before))) * turnStep
 }
 
+// turnStep is the time between two steps of release.
 const turnStep = 100 * time.Millisecond
 
-// IsReady is for the platform's check.
+// IsReady is the answer to readiness checks: current, and neither stopping nor draining.
 func (r *Router) IsReady() bool { return r.IsCurrent() && !r.stopping.Load() && !r.draining.Load() }
 
-// IsConfigured says whether this router has a configuration.
+// IsConfigured reports whether this router has a configuration.
 func (r *Router) IsConfigured() bool {
 	v := r.view.Load()
 	return v != nil && v.Version.Version > 0
 }
 
-// Limits are the bounds that the configuration in force sets for callers; a bound that it leaves open is 0.
+// Limits are the bounds that the configuration in force sets for clients; a bound that it leaves open is 0.
 func (r *Router) Limits() config.Limits {
 	if v := r.view.Load(); v != nil {
 		return v.limits
@@ -247,7 +260,7 @@
 // Drain makes the router unready; it goes on serving until Stop.
 func (r *Router) Drain() { r.draining.Store(true) }
 
-// throttle extends a scope's hold here at once, and has it told to all (§4.2).
+// throttle extends a scope's throttle here at once, and has it reported to all (docs/design.md §4.2).
 func (r *Router) throttle(x *Exchange, delay time.Duration, reason, raw string) {
 	rule := r.view.Load().hold
 	limit := time.Duration(rule.CapMs) * time.Millisecond
@@ -266,7 +279,7 @@
 	}
 }
 
-// reportThrottles reports holds to the agent; what cannot be told is tried again while it lasts.
+// reportThrottles reports throttles to the agent. What cannot be reported is tried again while it lasts.
 func (r *Router) reportThrottles(ctx context.Context) {
 	for {
 		select {
@@ -286,7 +299,7 @@
 	}
 }
 
-// Handler serves the callers, through a go-kit endpoint.
+// Handler serves clients, through a go-kit endpoint.
 func (r *Router) Handler() http.Handler {
 	serve := func(ctx context.Context, request any) (any, error) {
 		x := request.(*Exchange)
@@ -331,13 +344,14 @@
 	}
 }
 
-// running counts the requests inside; a request may still come while the end is waited for.
+// running counts the requests that are being served. A request may still come while the end is waited for.
 type running struct {
 	mu    sync.Mutex
 	count int
 	ended chan struct{} // closed at zero, if somebody waits
 }
 
+// add counts a request that comes (1) or goes (-1).
 func (o *running) add(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -347,7 +361,7 @@
 	}
 }
 
-// idle gives a channel that is closed when nothing is inside.
+// idle gives a channel that is closed when no request is being served.
 func (o *running) idle() <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -360,7 +374,7 @@
 	return ended
 }
 
-// encodeRejection also says whether the request ran.
+// encodeRejection writes an error, with what is known of whether the request was executed.
 func (r *Router) encodeRejection(ctx context.Context, err error, w http.ResponseWriter) {
 	f := apierror.Of(err)
 	if f.Again > 0 {
--- a/router/send.go
+++ b/router/send.go
@@ -18,7 +18,8 @@
 	"asterridge/throttle"
 )
 
-// recheck looks again at everything, before a connection is sought and in the moment of the write (§3.2). It changes nothing.
+// recheck checks everything again, before a connection is sought and in the moment of the write (docs/design.md §3.2). It changes nothing,
+// and gives the view that it checked by. The error is errPickAgain if the request is to be led anew.
 func (r *Router) recheck(x *Exchange) (*View, error) {
 	if err := r.admits(); err != nil {
 		return nil, err
@@ -46,7 +47,7 @@
 	return v, nil
 }
 
-// Handle sends the request to its replica and waits for the first piece of the answer.
+// Handle sends the request to its replica and waits for the first chunk of the answer.
 func (f sendFilter) Handle(_ context.Context, x *Exchange, _ func(context.Context, *Exchange) error) error {
 	r, rep := f.r, x.replica
 	domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.CreatedVersion, x.Tenant.Isolated, domainOf(x.weights, x.placement))
@@ -99,7 +100,8 @@
 	return nil
 }
 
-// matchResponse refuses an answer that is none, or another request's: whatever it says, it says nothing of this request, which may have run.
+// matchResponse rejects a response that is none, or another request's: whatever it says, it says nothing of this request, which may have
+// been executed.
 func (r *Router) matchResponse(x *Exchange, answer *http.Response) error {
 	if answer.StatusCode < http.StatusOK || answer.StatusCode > highestStatus {
 		return r.handleLostAttempt(x, apierror.New(apierror.ReplicaRejected, "status %d", answer.StatusCode))
@@ -115,9 +117,10 @@
 	return nil
 }
 
+// highestStatus is the highest HTTP status.
 const highestStatus = 599
 
-// observeResponse takes what an answer tells of its replica.
+// observeResponse takes what a response tells of its replica.
 func (r *Router) observeResponse(x *Exchange, answer *http.Response) {
 	if seen, reported := r.options.Protocol.Occupancy(answer); reported {
 		seen.at = time.Now()
@@ -131,7 +134,7 @@
 	}
 }
 
-// replicaRequest makes the replica's request of the caller's.
+// replicaRequest makes the request to the replica from the client's.
 func (r *Router) replicaRequest(ctx context.Context, x *Exchange, domain string) (*http.Request, error) {
 	q, err := http.NewRequestWithContext(ctx, x.Request.Method, "http://"+x.replica.Address+x.Request.URL.RequestURI(), nil)
 	if err != nil {
@@ -171,7 +174,8 @@
 	return q, nil
 }
 
-// send writes the request and waits for the answer's head. What was not written for sure did not run; all else may have (§3.2).
+// send writes the request and waits for the head of the response. What was surely not written was not executed; everything else may have
+// been (docs/design.md §3.2).
 func (r *Router) send(ctx context.Context, x *Exchange, domain string) (*http.Response, error) {
 	var now *requestWrite
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
@@ -211,7 +215,7 @@
 	return answer, nil
 }
 
-// unwritten says why a request was not written. An answer that was on the connection before is nobody's.
+// unwritten says why a request was not written. A response that was on the connection before belongs to no request.
 func unwritten(answer *http.Response, err error) error {
 	if answer != nil {
 		_ = answer.Body.Close() // nothing of it is passed on
@@ -220,7 +224,7 @@
 	return apierror.Wrap(err, apierror.ReplicaRejected, "no connection, or none that was written to")
 }
 
-// readFirstChunk reads the first piece of a stream, or a short answer whole.
+// readFirstChunk reads the first chunk of a stream, or a short answer in full.
 func (r *Router) readFirstChunk(x *Exchange, answer *http.Response) error {
 	response := x.Answer
 	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
@@ -251,12 +255,13 @@
 	return nil
 }
 
+// maxBufferedBody is the size in bytes up to which an answer is read in full before it is passed on.
 const maxBufferedBody = 1 << 20
 
 // errUnframed is an answer that only the connection's end would end: one that was cut off looks just like it.
 var errUnframed = apierror.New(apierror.StreamBroken, "an answer without an end of its own")
 
-// handleLostAttempt ends an attempt that may have run.
+// handleLostAttempt ends an attempt that may have been executed.
 func (r *Router) handleLostAttempt(x *Exchange, err error) error {
 	x.mayHaveExecuted = true
 	if x.Request.Context().Err() != nil {
@@ -271,7 +276,8 @@
 	return apierror.New(apierror.OutcomeLost, "%v", lost)
 }
 
-// handleRejection reads a refusal: a throttle holds the tenant's scope; all that the dialect defines as not run may be tried again.
+// handleRejection acts on a rejection: one for load throttles the tenant's scope, and all that the protocol defines as not executed may be
+// attempted again.
 func (r *Router) handleRejection(x *Exchange, answer *http.Response, v Outcome) error {
 	r.counts.add("refusals", 1)
 	cause := apierror.New(apierror.ReplicaRejected, "%s refused: %s", x.replica.Name, v.Reason)
@@ -314,7 +320,7 @@
 	return r.options.Clock()
 }
 
-// observeFirstChunk feeds the delay of the first piece to the signals.
+// observeFirstChunk gives the delay of the first chunk to the signals.
 func (r *Router) observeFirstChunk(x *Exchange, delay time.Duration) {
 	x.replica.bad.Store(0)
 	r.borrow.observe(false)
--- a/router/updates.go
+++ b/router/updates.go
@@ -49,6 +49,7 @@
 	r.queue.WakeAll()
 }
 
+// applyOccupancy takes the load of replicas as a core has asked it.
 func (r *Router) applyOccupancy(fields register.Fields, agesMs map[string]int64) {
 	v := r.view.Load()
 	if v == nil {
@@ -65,6 +66,7 @@
 	}
 }
 
+// applyReports takes the reports of replicas as the agent has polled them.
 func (r *Router) applyReports(fields register.Fields) {
 	v := r.view.Load()
 	if v == nil {
@@ -88,6 +90,7 @@
 	}
 }
 
+// applyCached takes what a replica or store has cached.
 func (r *Router) applyCached(replica string, fields register.Fields, snapshot bool) {
 	if snapshot {
 		r.index.Forget(replica, nil)
@@ -115,7 +118,7 @@
 	}
 }
 
-// fresh extends the time for which the agent vouches, counted from when the ask was sent (§3.2).
+// fresh extends the time for which the agent vouches, counted from when the request was sent (docs/design.md §3.2).
 func (r *Router) fresh(_ *watch.Client, sent time.Time, remaining time.Duration) {
 	until := sent.Add(remaining)
 	if remaining <= 0 {
--- a/router/view.go
+++ b/router/view.go
@@ -11,7 +11,7 @@
 	"asterridge/rendezvous"
 )
 
-// View is one compiled state of the world; it is never changed, only replaced. Names are dense indices here.
+// View is one compiled state of the registers. It is never changed, only replaced. Names are dense indices in it.
 type View struct {
 	Version  register.Revision
 	tenants  map[string]*tenant
@@ -19,28 +19,30 @@
 	paths    map[string][]*path // by host, longest address first
 	pools    map[string]*pool
 	replicas map[string]*replica
-	stores   []*replica // of pools that keep prompts for the others
+	stores   []*replica // of pools that cache prompts for the others
 	models   map[string]config.Model
-	public   *tenant // of those who need no key
-	open     bool    // a fleet declared by numbers without tenants: nobody needs a key
+	public   *tenant // of requests that need no access key
+	open     bool    // a numbered configuration without tenants: nobody needs an access key
 	hold     config.ThrottleRule
 	limits   config.Limits
 	proxies  []string
-	adapters map[string]adapter // by name (§6.6)
+	adapters map[string]adapter // by name
 }
 
+// tenant is a configured tenant with its index.
 type tenant struct {
 	config.Tenant
 	index int
 }
 
+// path is a configured path with its index and pools.
 type path struct {
 	config.Path
 	index int
 	pools []*pool // of the targets, in their order
 }
 
-// pick gives the request's pool by the targets' shares; a request draws the same one each time.
+// pick gives the request's pool by the targets' weights; a request gets the same one each time.
 func (p *path) pick(request string) *pool {
 	targets, sum := p.Path.Pools(), 0
 	for _, t := range targets {
@@ -55,14 +57,15 @@
 	return p.pools[0]
 }
 
+// pool is a configured pool with its replicas and what was learned of it.
 type pool struct {
 	config.Pool
 	index    int
 	replicas []*replica
-	names    []string // of the replicas that stay
+	names    []string // of the replicas that are not draining
 	window   *concurrencyWindow
 	answers  *answerTime
-	// Old weights may still be used until then (§6.2).
+	// oldWeights may still be used until oldUntil (docs/design.md §6.2).
 	oldWeights string
 	oldUntil   time.Time
 }
@@ -73,10 +76,10 @@
 	*load
 	index int
 	share int
-	order *config.LoadOrder // the last one, if any
+	order *config.LoadOrder // the last one; nil: none
 }
 
-// version is the newest version of a model that the replica is known to have; they only rise within a replica's life.
+// version is the newest version of a model that the replica is known to have. Versions only rise within a replica's incarnation.
 func (rep *replica) version(model string) uint64 {
 	version := max(1, rep.Models[model], rep.seenVersion.Load())
 	if rep.order != nil && rep.order.Done && rep.order.Model == model {
@@ -85,12 +88,13 @@
 	return version
 }
 
+// Names and sizes of what is not configured.
 const (
 	publicBacklog = 1024
 	storeName     = "store:" // in the index, before the pool's name
 )
 
-// find gives the path for a host, address and model. A path of the host goes before one of any host.
+// find gives the path for a host, address and model; nil if there is none. A path of the host goes before one of any host.
 func (v *View) find(host, address, model string) *path {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -106,18 +110,18 @@
 	return nil
 }
 
-// isPublic says whether some path at the address needs no access key.
+// isPublic reports whether the path at the address needs no access key.
 func (v *View) isPublic(host, address, model string) bool {
 	p := v.find(host, address, model)
 	return p != nil && p.Public
 }
 
-// isStaffed says whether the platform has told of a replica that is not leaving.
+// isStaffed reports whether the platform lists a replica that is not draining.
 func (p *pool) isStaffed() bool {
 	return slices.ContainsFunc(p.replicas, func(rep *replica) bool { return rep.State != config.ReplicaDraining })
 }
 
-// allows says whether a replica with these weights may start work for the pool now.
+// allows reports whether a replica with these weights may start work for the pool now.
 func (p *pool) allows(weights string, now time.Time) bool {
 	if p.Kind == config.WebPool || weights == p.Weights {
 		return true
