--- a/apierror/apierror.go
+++ b/apierror/apierror.go
@@ -11,7 +11,7 @@
 	"github.com/samber/oops"
 )
 
-// Execution says what is known of a request when an error ends it.
+// Execution says what is known of a request's execution when an error ends it.
 type Execution string
 
 // What is known, as the header X-Ran spells it.
@@ -30,8 +30,10 @@
 	Text     string
 }
 
+// table is the codes by number.
 var table = map[int]Code{}
 
+// code adds a row to the table.
 func code(number int, name string, status int, executed Execution, text string) Code {
 	c := Code{Number: number, Name: name, Status: status, Executed: executed, Text: text}
 	table[number] = c
@@ -142,7 +144,7 @@
 	return &Error{Code: c, err: oops.Code(c.Name).Errorf(format, args...)}
 }
 
-// Wrap names an error; one that has a code already keeps it.
+// Wrap adds words and a code to an error; one that has a code already keeps it. A nil error stays nil.
 func Wrap(err error, c Code, what string) error {
 	if err == nil {
 		return nil
@@ -156,7 +158,7 @@
 	return &Error{Code: c, err: oops.Code(c.Name).Wrapf(err, "%s", what)}
 }
 
-// Of finds the failure in an error; one without a code is internal.
+// Of finds the coded error in an error; one without a code is Internal.
 func Of(err error) *Error {
 	var f *Error
 	if errors.As(err, &f) {
@@ -196,7 +198,7 @@
 	return b
 }
 
-// FromBody makes an error of its wire form.
+// FromBody makes an error from its wire form; status is that of the answer.
 func FromBody(b Body, status int) error {
 	c, ok := table[b.Error.Number]
 	if !ok {
--- a/config/accepted.go
+++ b/config/accepted.go
@@ -12,7 +12,7 @@
 )
 
 // The accepted numbers are remembered in records of one size: the newest each in a field of its own, so that a change writes little beside
-// its items, and older ones in segments. There is room for so many segments; the oldest gives way (docs/design.md §2.9).
+// its items, and older ones in segments. Beyond maxSegments segments the oldest is forgotten (docs/design.md §2.9).
 const (
 	numberField    = "number"
 	acceptedPrefix = "accepted/"
@@ -21,32 +21,37 @@
 	maxRemembered  = 64  // digests in the former format
 )
 
-// fingerprint tells declarations of one number apart.
+// fingerprint tells numbered configurations of one number apart.
 type fingerprint [16]byte
 
+// fingerprintOf hashes a text.
 func fingerprintOf(parts ...any) (f fingerprint) {
 	sum := sha256.Sum256(fmt.Append(nil, parts...))
 	copy(f[:], sum[:])
 	return f
 }
 
-// fingerprint of the declaration: the same text as a whole configuration and as an amendment, or built on another number, is another one.
+// fingerprint is that of the configuration: the same text as a whole one and as an amendment, or built on another number, is another
+// configuration.
 func (d NumberedConfig) fingerprint() fingerprint {
 	return fingerprintOf("whole=", d.Full, " based on ", d.BasedOn, " ", d.Digest)
 }
 
-// acceptedRecord is one accepted number with what was declared under it.
+// acceptedRecord is one accepted number with the fingerprint of what was accepted under it.
 type acceptedRecord struct {
 	number      uint64
 	fingerprint fingerprint
 }
 
+// recordSize is the size of a stored record in bytes.
 const recordSize = 8 + len(fingerprint{})
 
+// append adds the stored record to bytes.
 func (r acceptedRecord) append(records []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(records, r.number), r.fingerprint[:]...)
 }
 
+// firstRecord reads a stored record.
 func firstRecord(records []byte) (r acceptedRecord) {
 	r.number = binary.BigEndian.Uint64(records)
 	copy(r.fingerprint[:], records[8:])
@@ -61,6 +66,7 @@
 	Digests   []formerDigest `json:"digests,omitempty"`   // the former format's memory, newest last
 }
 
+// formerDigest is an accepted number as an earlier build stored it.
 type formerDigest struct {
 	Number uint64 `json:"number"`
 	Digest string `json:"digest"`
@@ -72,7 +78,7 @@
 	fields register.Fields // of records
 }
 
-// readAccepted reads the memory out of a register's content, also in the former format.
+// readAccepted reads the memory from a register's content, also in the form of an earlier build.
 func readAccepted(content register.Fields) accepted {
 	a := accepted{fields: register.Fields{}}
 	_ = json.Unmarshal(content[numberField], &a.numbering) // none yet: 0
@@ -92,20 +98,23 @@
 	return a
 }
 
+// newestField is the field of a newest record.
 func newestField(at uint64) string  { return fmt.Sprint(acceptedPrefix, "newest/", at) }
+// segmentField is the field of a segment.
 func segmentField(at uint64) string { return fmt.Sprint(acceptedPrefix, "segment/", at) }
 
-// records gives a field's records, one behind the other. Bytes stand in JSON as a base64 string without escapes.
+// records gives a field's records, one after the other. Bytes stand in JSON as a base64 string without escapes.
 func (a accepted) records(field string) []byte {
 	records, _ := base64.StdEncoding.DecodeString(strings.Trim(string(a.fields[field]), `"`)) // no such field: no records
 	return records
 }
 
+// put stores a record under a field.
 func (a accepted) put(field string, records []byte) {
 	a.fields[field], _ = json.Marshal(records) // bytes always encode
 }
 
-// remember puts a number to memory. The last one of a segment takes those before it along.
+// remember adds a number to the memory. The last one of a segment takes those before it along.
 func (a *accepted) remember(r acceptedRecord) {
 	at, segment := a.Count%segmentSize, a.Count/segmentSize%maxSegments
 	a.Count++
@@ -124,7 +133,7 @@
 	a.put(segmentField(segment), r.append(records))
 }
 
-// has says whether just this declaration is remembered as accepted.
+// has reports whether just this configuration is remembered as accepted.
 func (a accepted) has(d NumberedConfig) bool {
 	wanted, former := d.fingerprint(), fingerprintOf(d.Digest)
 	for field := range a.fields {
@@ -137,7 +146,7 @@
 	return false
 }
 
-// mayHave says whether a declaration that is not remembered may have been accepted all the same, before the memory's end.
+// mayHave reports whether a configuration that is not remembered may have been accepted all the same, before the memory's end.
 func (a accepted) mayHave(d NumberedConfig) bool {
 	return d.BasedOn < d.Number && d.Number <= a.Forgotten
 }
--- a/config/adapter.go
+++ b/config/adapter.go
@@ -9,10 +9,10 @@
 	"asterridge/register"
 )
 
-// RetirementKey is the register of the retirements, by the old base (§6.6).
+// RetirementKey is the register of the retirements, by the old base (docs/design.md §6.6).
 const RetirementKey = "retirement"
 
-// Adapter is a small change upon a base model, built for each base that it runs on.
+// Adapter is a small change of a base model, built for each base that it runs on.
 type Adapter struct {
 	Name    string            `json:"name"`
 	Base    string            `json:"base"`              // where it was declared; retirements lead on from there
@@ -20,7 +20,7 @@
 	Tenants []string          `json:"tenants,omitempty"` // that may use it; none: all
 }
 
-// Phase of a retirement, or of one adapter in it.
+// Phase is that of a retirement, or of one adapter in it.
 type Phase string
 
 // The phases.
@@ -45,14 +45,14 @@
 	Moves  map[string]Move `json:"moves,omitempty"`
 }
 
-// Move is what has become of one adapter; one that is not there yet is being loaded.
+// Move is how far one adapter has moved; one without an entry is being loaded.
 type Move struct {
 	Phase Phase     `json:"phase"`
 	Build string    `json:"build"`
 	Since time.Time `json:"since"` // for operators alone
 }
 
-// With gives the retirement with one more step; what was there is not touched.
+// With gives the retirement with one more step; the receiver is not changed.
 func (t Retirement) With(phase Phase, adapter string, m Move) Retirement {
 	t.Moves = maps.Clone(t.Moves)
 	if adapter != "" {
@@ -67,25 +67,25 @@
 	return t
 }
 
-// IsRunning says whether there is something left to do.
+// IsRunning reports whether there is something left to do.
 func (t Retirement) IsRunning() bool { return t.Phase != Retired }
 
-// IsPast says whether the way back is gone.
+// IsPast reports whether the retirement cannot be undone any more.
 func (t Retirement) IsPast() bool { return t.Phase == Dropping || t.Phase == Retired }
 
-// Retirements are all there were, by the old base.
+// Retirements are all that there ever were, by the old base.
 type Retirements map[string]Retirement
 
-// RoleHolder is who last took up the retirements, and under which lease: older leases' steps are refused.
+// RoleHolder is who last took up the retirements, and under which lease: steps of older leases are rejected.
 type RoleHolder struct {
 	Holder string `json:"holder"`
 	Lease  uint64 `json:"term"`
 }
 
-// RoleHolderField of the register has the Duty; all others are retirements.
+// RoleHolderField is the register's field of the RoleHolder; all others are retirements.
 const RoleHolderField = "~duty"
 
-// ParseRetirements reads the register.
+// ParseRetirements reads the register's content.
 func ParseRetirements(fields register.Fields) (Retirements, RoleHolder, error) {
 	fields = maps.Clone(fields)
 	holder, err := Load[RoleHolder](register.Fields{RoleHolderField: orNull(fields[RoleHolderField])})
@@ -97,6 +97,7 @@
 	return all, holder[RoleHolderField], err
 }
 
+// orNull gives null in the place of nothing.
 func orNull(raw []byte) []byte {
 	if raw == nil {
 		return []byte("null")
@@ -104,7 +105,7 @@
 	return raw
 }
 
-// Route is the base and the build that an adapter's requests go to now.
+// Route gives the base and the build that an adapter's requests go to now.
 func (s Retirements) Route(a Adapter) (base, build string) {
 	base, build = a.Base, a.Builds[a.Base]
 	for range s { // each retirement leads on at most once
@@ -125,7 +126,7 @@
 	return base, build
 }
 
-// IsOn says whether an adapter is on a base, or was until a retirement led it on.
+// IsOn reports whether an adapter is on a base, or was until a retirement moved it.
 func (s Retirements) IsOn(a Adapter, base string) bool {
 	at := a.Base
 	for range len(s) + 1 {
@@ -141,7 +142,7 @@
 	return false
 }
 
-// Crossing gives a retirement that has one of the bases in hand.
+// Crossing gives a running retirement that concerns one of the bases.
 func (s Retirements) Crossing(bases ...string) (Retirement, bool) {
 	for _, old := range slices.Sorted(maps.Keys(s)) {
 		if t := s[old]; t.IsRunning() && (slices.Contains(bases, t.Old) || slices.Contains(bases, t.New)) {
@@ -151,6 +152,7 @@
 	return Retirement{}, false
 }
 
+// readAdapter reads an adapter field by field.
 func readAdapter(a *Adapter, field string, v Value) error {
 	switch field {
 	case "name":
@@ -213,7 +215,8 @@
 	return nil
 }
 
-// KeepBases refuses a configuration that moves an adapter by itself: what answers on a base is changed by a retirement alone (§6.6).
+// KeepBases rejects a configuration that moves an adapter by itself: what answers on a base is changed by a retirement alone
+// (docs/design.md §6.6).
 func (b *Config) KeepBases(before *Config) error {
 	for _, name := range slices.Sorted(maps.Keys(b.Adapters)) {
 		was, ok := before.Adapters[name]
@@ -236,7 +239,7 @@
 // Key names an adapter on a base among what a replica has.
 func (u Placement) Key() string { return u.Adapter + "@" + u.Base }
 
-// Desired lists, by pool, which adapters its replicas are to have on which bases.
+// Desired lists the placements that each pool's replicas are to have, by pool.
 func (b *Config) Desired(s Retirements) map[string][]Placement {
 	desired := map[string][]Placement{}
 	for _, name := range slices.Sorted(maps.Keys(b.Paths)) {
--- a/config/config.go
+++ b/config/config.go
@@ -13,7 +13,7 @@
 // Key is the register of the configuration.
 const Key = "blueprint"
 
-// MaxText bounds an operator's configuration.
+// MaxText bounds an operator's configuration, in bytes.
 const MaxText = 16 << 20
 
 // Tenant is a customer of the fleet.
@@ -52,7 +52,7 @@
 	Zone       string   `json:"zone,omitempty"`        // of such a store
 }
 
-// Path leads requests to a pool.
+// Path takes requests at an address to pools.
 type Path struct {
 	Name       string `json:"name"`
 	Address    string `json:"address"` // URL path; one that ends in / covers all below
@@ -74,13 +74,13 @@
 	Adapter         string   `json:"adapter,omitempty"`   // that the requests run on (§6.6)
 }
 
-// Target is a pool with its share of a path's requests.
+// Target is a pool with its weight among a path's pools.
 type Target struct {
 	Pool   string `json:"pool"`
 	Weight int    `json:"share"`
 }
 
-// Pools are the pools that a path may lead to.
+// Pools are the pools that a path may take requests to.
 func (p Path) Pools() []Target {
 	if len(p.Targets) > 0 {
 		return p.Targets
@@ -88,7 +88,7 @@
 	return []Target{{p.Pool, 1}}
 }
 
-// Limits bound what callers send; 0: the program's own bound.
+// Limits bound what clients send; 0: the program's own bound.
 type Limits struct {
 	HeaderBytes int `json:"header_bytes,omitempty"`
 	BodyBytes   int `json:"body_bytes,omitempty"`
@@ -96,7 +96,7 @@
 	IdleMs      int `json:"idle_ms,omitempty"`
 }
 
-// ThrottleRule has the settings of the shared waiting rule.
+// ThrottleRule has the settings of the shared throttles.
 type ThrottleRule struct {
 	BaseMs    int     `json:"base_ms"`
 	CapMs     int     `json:"cap_ms"`
@@ -105,7 +105,7 @@
 	SlowRatio float64 `json:"slow_ratio"`
 }
 
-// Config is the whole declaration.
+// Config is the whole configuration.
 type Config struct {
 	Adapters map[string]Adapter
 
@@ -117,7 +117,7 @@
 	Open     bool // declared without tenants: nobody needs an access key
 }
 
-// Empty is a configuration with the default hold.
+// Empty is a configuration with the usual throttle rule and nothing else.
 func Empty() *Config {
 	return &Config{
 		Tenants: map[string]Tenant{}, Pools: map[string]Pool{}, Paths: map[string]Path{}, Adapters: map[string]Adapter{},
@@ -125,7 +125,7 @@
 	}
 }
 
-// FromFields reads the register's content.
+// FromFields reads the register's content. The error is apierror.Internal if a stored item cannot be read.
 func FromFields(fields register.Fields) (*Config, error) {
 	b := Empty()
 	for name, raw := range fields {
@@ -154,6 +154,7 @@
 	return b, nil
 }
 
+// load reads the items of one kind.
 func load[T any](into map[string]T, name string, raw json.RawMessage) error {
 	var item T
 	if err := json.Unmarshal(raw, &item); err != nil {
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// Inherit has the tenants that were there keep the version that created them, and gives the others this one.
+// Inherit has the tenants that were in the base keep the version that created them, and gives the others this one.
 func (b *Config) Inherit(base *Config, version uint64) {
 	for name, t := range b.Tenants {
 		t.CreatedVersion = version
@@ -174,7 +175,7 @@
 	}
 }
 
-// Fields writes the configuration as register fields.
+// Fields gives the configuration as the register's fields.
 func (b *Config) Fields() register.Fields {
 	fields := register.Fields{}
 	put := func(name string, item any) {
@@ -203,7 +204,7 @@
 	return fields
 }
 
-// Delta gives only what differs between two contents.
+// Delta gives the change from one content to another.
 func Delta(old, now register.Fields) register.Fields {
 	change := register.Fields{}
 	for name, raw := range now {
--- a/config/declaration.go
+++ b/config/numbered.go
@@ -9,7 +9,8 @@
 	"asterridge/register"
 )
 
-// NumberedConfig is a configuration under a number of the operators' own, whole or partial upon the one before (docs/design.md §2.9).
+// NumberedConfig is a configuration under a number of the operators' own, whole or as an amendment of the one before (docs/design.md
+// §2.9).
 type NumberedConfig struct {
 	Number  uint64          `json:"number"`
 	BasedOn uint64          `json:"based_on"`
@@ -21,33 +22,34 @@
 	Removed []string        `json:"removed,omitempty"`
 }
 
+// textPrefix begins the fields that hold items as they were written.
 const textPrefix = "text/"
 
-// text is an item as it was written, with its place among the others.
+// text is an item as it was written, with its position among the others.
 type text struct {
 	Place int             `json:"place"`
 	Text  json.RawMessage `json:"text"`
 }
 
-// IsText says whether a field only keeps what operators wrote and were answered; the data plane has no use for it.
+// IsText reports whether a field only holds what operators wrote; the data plane has no use for it.
 func IsText(field string) bool {
 	return field == numberField || strings.HasPrefix(field, textPrefix) || strings.HasPrefix(field, acceptedPrefix)
 }
 
-// Number gives the accepted number; 0: the configuration is not declared by numbers.
+// Number gives the accepted number; 0: the configuration is not numbered.
 func Number(fields register.Fields) uint64 {
 	var n numbering
 	_ = json.Unmarshal(fields[numberField], &n) // none yet: 0
 	return n.Number
 }
 
-// Text is a declared item as it was written.
+// Text is a configured item as it was written.
 type Text struct {
 	Kind, Name string
 	Text       json.RawMessage
 }
 
-// Texts lists the declared items as they were written, in their order.
+// Texts lists the configured items as they were written, in their order.
 func Texts(fields register.Fields) (all []Text) {
 	places := map[string]int{}
 	for field, raw := range fields {
--- a/config/parse.go
+++ b/config/parse.go
@@ -7,7 +7,7 @@
 	"asterridge/apierror"
 )
 
-// Parse takes an operator's text: whole, or partial upon the present configuration. Nothing of a bad text is used.
+// Parse reads an operator's text: a whole configuration, or a partial one upon the present. Nothing of a bad text is used.
 func Parse(text []byte, base *Config, partial bool) (*Config, error) {
 	if len(text) > MaxText {
 		return nil, apierror.New(apierror.Oversize, "%d bytes, at most %d", len(text), MaxText)
@@ -60,7 +60,7 @@
 	return b, nil
 }
 
-// items reads a list of named things; one that is there already is changed field by field.
+// items reads a list of named items; one that exists already is changed field by field.
 func items[T any](v Value, into map[string]T, fresh T, read func(item *T, name string, field Value) error) error {
 	met := map[string]bool{}
 	return v.List(func(entry Value) error {
@@ -93,6 +93,7 @@
 	})
 }
 
+// remove reads a list of names, and removes them.
 func remove(v Value, b *Config) error {
 	return v.Object(func(kind string, list Value) error {
 		return list.List(func(item Value) error {
@@ -125,6 +126,7 @@
 	})
 }
 
+// set assigns a value that could be read.
 func set[T any](into *T, read func() (T, error)) error {
 	got, err := read()
 	if err == nil {
@@ -133,14 +135,17 @@
 	return err
 }
 
+// between reads a whole number within a range.
 func between(v Value, least, most int) func() (int, error) {
 	return func() (int, error) { return v.Integer(least, most) }
 }
 
+// oneOf reads one of the given texts.
 func oneOf(v Value, words ...string) func() (string, error) {
 	return func() (string, error) { return v.OneOf(words...) }
 }
 
+// readTenant reads a tenant field by field.
 func readTenant(t *Tenant, field string, v Value) error {
 	switch field {
 	case "name":
@@ -160,6 +165,7 @@
 	return v.Reject(apierror.UnknownField, "not a field of a tenant")
 }
 
+// readPool reads a pool field by field.
 func readPool(p *Pool, field string, v Value) error {
 	switch field {
 	case "name":
@@ -181,6 +187,7 @@
 	return v.Reject(apierror.UnknownField, "not a field of a pool")
 }
 
+// readPath reads a path field by field.
 func readPath(p *Path, field string, v Value) error {
 	switch field {
 	case "name":
@@ -241,6 +248,7 @@
 	return v.Reject(apierror.UnknownField, "not a field of a path")
 }
 
+// readThrottle reads the throttle rule field by field.
 func readThrottle(v Value, h *ThrottleRule) error {
 	return v.Object(func(field string, v Value) error {
 		switch field {
@@ -259,6 +267,7 @@
 	})
 }
 
+// readLimits reads the limits field by field.
 func readLimits(v Value, l *Limits) error {
 	return v.Object(func(field string, v Value) error {
 		switch field {
--- a/config/state.go
+++ b/config/registers.go
@@ -38,25 +38,25 @@
 	Models map[string]uint64 `json:"models,omitempty"`
 }
 
-// Model is a model's named version.
+// Model is a model's published version.
 type Model struct {
 	Version uint64 `json:"version"`
 }
 
-// LoadOrder is an order to a replica to take a version of a model.
+// LoadOrder reserves a replica that is to load a version of a model, and stays as the record of what it has loaded.
 type LoadOrder struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 	Done    bool   `json:"done,omitempty"`
 }
 
-// Access is what is kept of an access key, under its hash.
+// Access is what is stored of an access key, under its hash.
 type Access struct {
 	Revoked       bool   `json:"revoked"`
 	TenantVersion uint64 `json:"born,omitempty"` // the tenant's life that it was granted to
 }
 
-// Member is a core.
+// Member is a core on the list of members.
 type Member struct {
 	ID          uint32 `json:"id"`
 	Name        string `json:"name"`
@@ -65,13 +65,13 @@
 	Incarnation string `json:"incarnation"`
 }
 
-// HashKey is how an access key is kept.
+// HashKey is the hash under which an access key is stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte("asterridge key " + key))
 	return hex.EncodeToString(sum[:16])
 }
 
-// Load reads all fields as values of one type.
+// Load reads all fields of a register as values of one type.
 func Load[T any](fields register.Fields) (map[string]T, error) {
 	all := make(map[string]T, len(fields))
 	for name, raw := range fields {
@@ -82,13 +82,13 @@
 	return all, nil
 }
 
-// Field encodes one field.
+// Field encodes one value as a register's field.
 func Field(name string, item any) register.Fields {
 	raw, _ := json.Marshal(item) // plain structs always encode
 	return register.Fields{name: raw}
 }
 
-// ParseReplicas takes the platform's list of replicas, field by field.
+// ParseReplicas reads the platform's update of replicas, field by field.
 func ParseReplicas(text []byte) ([]Replica, error) {
 	doc, err := Document(text)
 	if err != nil {
--- a/config/value.go
+++ b/config/value.go
@@ -10,7 +10,7 @@
 	"asterridge/apierror"
 )
 
-// Value is one JSON value with its place in the operator's text.
+// Value is one JSON value with its position in the operator's text, so that errors can name it.
 type Value struct {
 	raw  jx.Raw
 	path string
@@ -33,7 +33,7 @@
 	return nested(text, jx.DecodeBytes(text), "", 1)
 }
 
-// nested takes the decoder's next value; its place shows in what is left of the text's capacity.
+// nested takes the decoder's next value; its position shows in what is left of the text's capacity.
 func nested(text []byte, d *jx.Decoder, path string, base int) (Value, error) {
 	raw, err := d.Raw()
 	if err != nil {
@@ -45,6 +45,7 @@
 // Raw is the value as it was written.
 func (v Value) Raw() []byte { return v.raw }
 
+// need rejects a value of another type.
 func (v Value) need(t jx.Type, name string) error {
 	if v.raw.Type() != t {
 		return v.Reject(apierror.WrongType, "needs %s, has %s", name, v.raw.Type())
@@ -71,6 +72,7 @@
 	})
 }
 
+// join makes the path of a field.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -103,6 +105,7 @@
 	return s, apierror.Wrap(err, apierror.Malformed, "read "+v.path)
 }
 
+// plainName is what the name of an item may be.
 var plainName = regexp.MustCompile(`^[\pL\pN][\pL\pN._-]{0,63}$`)
 
 // Name reads a string that may name a thing.
--- a/disk/disk.go
+++ b/disk/disk.go
@@ -21,6 +21,7 @@
 	Sync(folder string) error
 }
 
+// castagnoli is the polynomial of the checksums.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Seal puts a checksum line before the data.
@@ -29,7 +30,7 @@
 	return append([]byte(head), data...)
 }
 
-// Open checks a sealed file and gives its data.
+// Open checks a sealed file and gives its data. The error is apierror.Torn if the seal does not fit.
 func Open(sealed []byte) ([]byte, error) {
 	end := bytes.IndexByte(sealed, '\n')
 	if end < 0 {
--- a/disk/folder.go
+++ b/disk/folder.go
@@ -9,9 +9,10 @@
 	"asterridge/apierror"
 )
 
+// tempPrefix begins the names of files that are being written.
 const tempPrefix = ".aside-"
 
-// Folder is a Disk below one data folder of a file system.
+// Folder is a Disk in one data folder of a file system.
 type Folder struct {
 	Root  string
 	files Files
@@ -23,7 +24,7 @@
 // NewFolder opens a data folder of the machine, and makes it if need be.
 func NewFolder(root string) (*Folder, error) { return NewFolderOn(systemFiles{}, root) }
 
-// NewFolderOn opens a data folder of any file system, and makes it if need be.
+// NewFolderOn opens a data folder of any file system, and makes it if need be. The error is apierror.DiskFailed.
 func NewFolderOn(files Files, root string) (*Folder, error) {
 	d := &Folder{Root: root, files: files, durable: map[string]bool{}}
 	if err := files.MkdirAll(root); err != nil {
@@ -45,7 +46,7 @@
 	return d, nil
 }
 
-// Put writes aside, syncs, renames and syncs the folder.
+// Put writes the file under another name, syncs it, renames it and syncs the folder.
 func (d *Folder) Put(folder, name string, data []byte) error {
 	if err := d.ensure(folder); err != nil {
 		return err
@@ -92,6 +93,7 @@
 	return nil
 }
 
+// syncDir syncs the names of a folder.
 func (d *Folder) syncDir(path string) error {
 	return apierror.Wrap(d.files.SyncDir(path), apierror.DiskFailed, "sync folder")
 }
@@ -99,7 +101,7 @@
 // Sync syncs a folder's names.
 func (d *Folder) Sync(folder string) error { return d.syncDir(filepath.Join(d.Root, folder)) }
 
-// Get reads a file and checks its seal.
+// Get reads a file and checks its seal. The errors are apierror.NotFound, Torn and DiskFailed.
 func (d *Folder) Get(folder, name string) ([]byte, error) {
 	sealed, err := d.files.ReadFile(filepath.Join(d.Root, folder, name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -111,7 +113,7 @@
 	return Open(sealed)
 }
 
-// List names the files of a folder, or the folders; what was left aside is dropped.
+// List names the files of a folder, or the folders; files that were left half written are removed.
 func (d *Folder) List(folder string) ([]string, error) {
 	entries, err := d.files.ReadDir(filepath.Join(d.Root, folder))
 	if errors.Is(err, fs.ErrNotExist) {
