--- a/config/accepted.go
+++ b/config/accepted.go
@@ -99,7 +99,8 @@
 }
 
 // newestField is the field of a newest record.
-func newestField(at uint64) string  { return fmt.Sprint(acceptedPrefix, "newest/", at) }
+func newestField(at uint64) string { return fmt.Sprint(acceptedPrefix, "newest/", at) }
+
 // segmentField is the field of a segment.
 func segmentField(at uint64) string { return fmt.Sprint(acceptedPrefix, "segment/", at) }
 
