--- a/fake/adapter.go
+++ b/fake/adapter.go
@@ -11,13 +11,13 @@
 	"asterridge/router"
 )
 
-// placementOf reads what a request is to run on.
+// placementOf reads the base model and the adapter that a request names.
 func placementOf(q *http.Request) config.Placement {
 	return config.Placement{Adapter: q.Header.Get("X-Adapter"), Base: q.Header.Get("X-Base"), Build: q.Header.Get("X-Adapter-Build")}
 }
 
-// lacks says why a request cannot run here; empty: it can. r.mu is held.
-func (r *Replica) lacks(on config.Placement) string {
+// missing returns the reason for which the replica cannot run a placement, or "" if it can. The caller holds r.mu.
+func (r *Replica) missing(on config.Placement) string {
 	base, ok := r.bases[on.Base]
 	has := r.adapters[on.Key()]
 	switch {
@@ -31,16 +31,16 @@
 	return ""
 }
 
-// runs counts a request that begins (1) or ends (-1) on its base; r.mu is held.
-func (r *Replica) runs(on config.Placement, step int) {
+// addRunning changes the count of running requests of a placement's base by one: 1 when a request begins, -1 when it ends. The caller holds r.mu.
+func (r *Replica) addRunning(on config.Placement, step int) {
 	if base, ok := r.bases[on.Base]; ok {
 		base.Running += step
 		r.bases[on.Base] = base
 	}
 }
 
-// answered counts a whole answer of an adapter.
-func (r *Replica) answered(on config.Placement) {
+// countAnswer counts one whole answer given by an adapter.
+func (r *Replica) countAnswer(on config.Placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if has, ok := r.adapters[on.Key()]; ok && has.Build == on.Build {
@@ -49,12 +49,12 @@
 	}
 }
 
-// adapterReport is what the report tells of bases and adapters; r.mu is held.
+// adapterReport returns the part of the load report about bases and adapters. The caller holds r.mu.
 func (r *Replica) adapterReport() router.AdapterReport {
 	return router.AdapterReport{Bases: maps.Clone(r.bases), Adapters: maps.Clone(r.adapters)}
 }
 
-// takeOrder takes an order for a base or an adapter; one under an older lease than was met is refused.
+// takeOrder serves an order to load or drop a base or an adapter. An order under a lower lease epoch than one already seen is refused.
 func (r *Replica) takeOrder(w http.ResponseWriter, q *http.Request) {
 	var o router.AdapterOrder
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil || o.Base == "" {
@@ -74,7 +74,7 @@
 	case router.LoadBase:
 		if !ok {
 			r.bases[o.Base] = router.Base{Loading: true}
-			r.later(r.options.LoadMs, func() {
+			r.after(r.options.LoadMs, func() {
 				if r.bases[o.Base].Loading { // it may have been dropped meanwhile
 					r.bases[o.Base] = router.Base{}
 				}
@@ -87,7 +87,7 @@
 		}
 		if has.Build != o.Build {
 			r.adapters[o.Key()] = router.Adapter{Build: o.Build, State: router.AdapterLoading}
-			r.later(r.options.LoadMs/4, func() {
+			r.after(r.options.LoadMs/4, func() {
 				if r.adapters[o.Key()].Build == o.Build {
 					r.adapters[o.Key()] = router.Adapter{Build: o.Build, State: router.AdapterLoaded}
 				}
@@ -116,15 +116,15 @@
 	}
 }
 
-// dropBase forgets a base with all upon it, and notes it in the ledger; r.mu is held.
+// dropBase removes a base with every adapter on it, and records that in the ledger. The caller holds r.mu.
 func (r *Replica) dropBase(name string) {
 	delete(r.bases, name)
 	maps.DeleteFunc(r.adapters, func(key string, _ router.Adapter) bool { return strings.HasSuffix(key, "@"+name) })
 	r.options.Ledger(Run{Replica: r.options.Name, Dropped: name, At: time.Now()})
 }
 
-// later does something under the lock when a load has taken its time.
-func (r *Replica) later(ms int, do func()) {
+// after runs a function under the lock once a load has taken its time.
+func (r *Replica) after(ms int, do func()) {
 	time.AfterFunc(time.Duration(ms)*time.Millisecond, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/fake/caller.go
+++ b/fake/caller.go
@@ -17,7 +17,7 @@
 	"asterridge/router"
 )
 
-// Exchange is a line of the callers' ledger.
+// Exchange is a line of the callers' ledger: one request and what the caller received.
 type Exchange struct {
 	Tag        string    `json:"tag"`
 	Tenant     string    `json:"tenant"`
@@ -42,7 +42,7 @@
 	Failure    string    `json:"failure,omitempty"`
 }
 
-// RequestKind is one of the three sorts of streaming request, or "web".
+// RequestKind is one of the three kinds of streaming request, or "web".
 type RequestKind struct {
 	Name   string
 	Prefix int // bytes shared by all requests of the kind and tenant group
@@ -52,7 +52,7 @@
 	Keyed  bool
 }
 
-// Kinds are the brief's three, and calls of the web back end.
+// Kinds lists every kind of request: the three of chat, and the calls of the web back end.
 var Kinds = []RequestKind{
 	{Name: "light", Prefix: 512, Own: 128, Chunks: 5, Weight: 40},
 	{Name: "middle", Prefix: 4096, Own: 512, Chunks: 15, Weight: 15},
@@ -60,14 +60,14 @@
 	{Name: "web", Weight: 10},
 }
 
-// Client is one access key's user.
+// Client is the user of one access key.
 type Client struct {
 	Tenant string `json:"tenant"`
 	Access string `json:"access"`
 	Weight int    `json:"weight"`
 }
 
-// LoadOptions of a run of callers.
+// LoadOptions configure a run of callers.
 type LoadOptions struct {
 	Callers  []Client
 	Proxies  []string
@@ -84,9 +84,10 @@
 	Heavy    int           // bytes of the heaviest kind's prefix, in eight sessions; 0: as Kinds has it
 }
 
+// words is the vocabulary of the generated prompts.
 var words = strings.Fields("ridge karri track creek map summit gate bridge marker valley tenor vowel stress dialect tape reel village elder song river mountain coast north west")
 
-// text makes words from a seed, the same each time.
+// text returns words drawn from a seed; the same seed gives the same text.
 func text(size int, seed string) string {
 	h := sha256.Sum256([]byte(seed))
 	random := rand.New(rand.NewChaCha8(h))
@@ -98,7 +99,7 @@
 	return b.String()[:size]
 }
 
-// Load sends the requests at their times and waits for all to end.
+// Load sends the requests at their scheduled times and waits until all have ended.
 func Load(ctx context.Context, o LoadOptions) {
 	random := rand.New(rand.NewPCG(o.Seed, 7))
 	var all sync.WaitGroup
@@ -119,7 +120,8 @@
 	all.Wait()
 }
 
-// Probe asks each proxy again and again, with the first caller's key, until it gives a whole answer; each question is in the ledger.
+// Probe sends requests to each proxy, with the first caller's key, until it receives a whole answer. Every request is recorded in the
+// ledger.
 func Probe(ctx context.Context, o LoadOptions) {
 	var all sync.WaitGroup
 	for _, proxy := range o.Proxies {
@@ -140,11 +142,13 @@
 	all.Wait()
 }
 
+// drawn is one request of the load, as drawn from the seed.
 type drawn struct {
 	Exchange
 	chat api.Chat
 }
 
+// pickKind draws a kind of request by the configured shares.
 func pickKind(o LoadOptions, random *rand.Rand, i int) drawn {
 	sum := 0
 	for _, c := range o.Callers {
@@ -186,14 +190,15 @@
 	return d
 }
 
-// chatOf makes a chat of a kind with one of three shared openings: one opening serves many tenants.
+// chatOf returns a chat of a kind that starts with one of three openings; tenants share the openings, so that a leak of cached prefixes
+// would show.
 func chatOf(a Exchange, kind RequestKind, beginning int) drawn {
 	stream := true
 	return drawn{a, api.Chat{Model: kind.Name, Stream: &stream, MaxTokens: &kind.Chunks, Messages: []api.Message{
 		{Role: "system", Content: text(kind.Prefix, kind.Name+strconv.Itoa(beginning))}, {Role: "user", Content: text(kind.Own, a.Tag)}}}}
 }
 
-// send asks by the client that is made from the schema; the web back end's pages are not in it.
+// send makes one request with the generated client. Calls of the web back end are not in the schema and go by plain HTTP.
 func send(ctx context.Context, o LoadOptions, d drawn) (*http.Response, error) {
 	dress := func(_ context.Context, q *http.Request) error {
 		q.GetBody = nil // net/http must not send a keyed request a second time by itself
@@ -224,7 +229,7 @@
 	return client.ChatCompletions(ctx, p, d.chat)
 }
 
-// ask sends one request and reads all of its answer.
+// ask sends one request and reads its whole answer.
 func ask(ctx context.Context, o LoadOptions, d drawn) Exchange {
 	ctx, stop := context.WithTimeout(ctx, o.Deadline)
 	defer stop()
--- a/fake/check.go
+++ b/fake/check.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Finding is one rule's count.
+// Finding is the number of breaches of one rule, with an example.
 type Finding struct {
 	Rule  int
 	Name  string
@@ -17,7 +17,7 @@
 	Seen  int    // how often the rule had something to judge: none, and a count of zero says nothing
 }
 
-// Ledgers are what a run left.
+// Ledgers are the records that a run has left behind: what callers received, what replicas ran, and what operators and platform were told.
 type Ledgers struct {
 	Asked []Exchange
 	Runs  []Run
@@ -25,7 +25,7 @@
 	Rest  []State // what each core and proxy holds when all has come to rest
 }
 
-// The never-rules, by their numbers in reports.
+// The rules that must never be broken, by their numbers in reports.
 const (
 	ruleExecutedTwice = iota + 1
 	ruleNotExecutedWasExecuted
@@ -36,13 +36,14 @@
 	ruleDrainingReplica
 	ruleForeignCache
 	ruleOldWeights
-	ruleSecondTries
+	ruleRetries
 	ruleLostConfiguration
 	ruleServiceBack
 	ruleEarlyDrop
 	ruleOldBase
 )
 
+// ruleNames are the rules' titles in reports.
 var ruleNames = map[int]string{
 	ruleExecutedTwice:          "not repeatable, ran twice",
 	ruleNotExecutedWasExecuted: "said not run, ran",
@@ -53,25 +54,26 @@
 	ruleDrainingReplica:        "leaving replica got work after 3 s",
 	ruleForeignCache:           "another tenant's cache and a wall",
 	ruleOldWeights:             "other weights' cache, or old weights after 20 s",
-	ruleSecondTries:            "second tries over a fifth",
+	ruleRetries:                "retries over a fifth",
 	ruleLostConfiguration:      "an accepted configuration is lost",
 	ruleServiceBack:            "service not back after 12 s",
 	ruleEarlyDrop:              "a base dropped before its adapters answered on the new one",
 	ruleOldBase:                "answered from the old base after 3 s",
 }
 
+// Tolerances of the checks.
 const (
-	allowance          = 30 // second tries of the whole fleet that are always free
-	proxyAllowance     = 10 // … of one proxy in a window
-	window             = 10 * time.Second
-	noticed            = 3 * time.Second  // a wall counts for requests that run so long after it was accepted
-	revokeLimit        = 5 * time.Second  // rule 5: a revoked key opens nothing
-	configurationLimit = 2 * time.Second  // rule 6: the newest configuration is used
-	drainingLimit      = 3 * time.Second  // rule 7: a leaving replica gets nothing
-	weightsLimit       = 20 * time.Second // rule 9: nothing starts on old weights
-	returnLimit        = 12 * time.Second // rule 12: every proxy answers
-	routeLimit         = 3 * time.Second  // rule 14: nothing is answered from the old base
-	doubtful           = 5 * time.Second  // the fleet may have a change so long before its operator hears the yes
+	fleetRetryAllowance = 30 // retries of the whole fleet that are always allowed
+	proxyRetryAllowance = 10 // the same for one proxy in a retryWindow
+	retryWindow         = 10 * time.Second
+	propagation         = 3 * time.Second  // a wall applies to requests that run this long after it was accepted
+	revokeLimit         = 5 * time.Second  // rule 5: after it, a revoked key is refused
+	configurationLimit  = 2 * time.Second  // rule 6: after it, the newest configuration is in use
+	drainingLimit       = 3 * time.Second  // rule 7: after it, a leaving replica receives nothing
+	weightsLimit        = 20 * time.Second // rule 9: after it, no request starts on old weights
+	returnLimit         = 12 * time.Second // rule 12: by then, every proxy answers
+	routeLimit          = 3 * time.Second  // rule 14: after it, no answer comes from the old base
+	doubtful            = 5 * time.Second  // the fleet may apply a change this long before its operator learns of it
 )
 
 // check is one comparison of ledgers.
@@ -83,10 +85,10 @@
 	drops    []Run // of bases
 }
 
-// Check compares the ledgers and counts each rule's breaches.
+// Check compares the ledgers and returns the number of breaches of each rule.
 func Check(l Ledgers) []Finding {
 	c := &check{Ledgers: l, findings: make([]Finding, len(ruleNames)+1), byTag: map[string][]Run{}, asked: map[string]Exchange{}}
-	c.Runs, c.drops = apart(LastOfEach(l.Runs))
+	c.Runs, c.drops = separateDrops(LastOfEach(l.Runs))
 	c.Facts = slices.Clone(l.Facts)
 	sort.SliceStable(c.Facts, func(i, j int) bool { return c.Facts[i].At.Before(c.Facts[j].At) })
 	for _, r := range c.Runs {
@@ -102,7 +104,7 @@
 		}
 	}
 	c.versions()
-	c.secondTries()
+	c.retries()
 	c.configuration()
 	c.returns()
 	c.retirements()
@@ -112,7 +114,7 @@
 	return c.findings[1:]
 }
 
-// LastOfEach keeps the last line of each run: one is written when it starts, another when it ends.
+// LastOfEach keeps the last line of each run. A replica writes one line when a run starts and another when it ends.
 func LastOfEach(lines []Run) (runs []Run) {
 	at := map[string]int{}
 	for _, r := range lines {
@@ -127,6 +129,7 @@
 	return runs
 }
 
+// found records one breach of a rule.
 func (c *check) found(rule int, format string, args ...any) {
 	f := &c.findings[rule]
 	f.Count++
@@ -135,9 +138,10 @@
 	}
 }
 
+// seen counts one case to which a rule applied.
 func (c *check) seen(rule int) { c.findings[rule].Seen++ }
 
-// latest gives the last fact of a kind and name that was accepted at or before a moment.
+// latest returns the last fact of a kind and name that was accepted at or before a moment.
 func (c *check) latest(kind, name string, at time.Time) (last Fact, ok bool) {
 	for _, f := range c.Facts {
 		if f.Kind == kind && f.Name == name && !f.At.After(at) {
@@ -147,7 +151,7 @@
 	return last, ok
 }
 
-// Summary counts what callers met.
+// Summary counts the results that callers received.
 func Summary(asked []Exchange) string {
 	counts := map[string]int{}
 	var firsts []int64
--- a/fake/check_config.go
+++ b/fake/check_config.go
@@ -11,19 +11,19 @@
 	"asterridge/register"
 )
 
-// State is what one daemon holds of the configuration.
+// State is the configuration that one process holds.
 type State struct {
 	Where string
 	Keys  map[string]Kept
 }
 
-// Kept is one register in a state.
+// Kept is one register of a State.
 type Kept struct {
 	Version uint64
 	Fields  register.Fields
 }
 
-// States sorts the rows of a query for fields by the daemon that said them.
+// States groups the rows of a query for fields by the process that answered.
 func States(rows []map[string]any) (all []State) {
 	byPlace := map[string]State{}
 	for _, row := range rows {
@@ -48,7 +48,8 @@
 	return all
 }
 
-// configuration judges rule 11: at rest all daemons hold the same, and all that was accepted is in it.
+// configuration checks rule 11: once the fleet is at rest, all processes hold the same configuration, and it contains every accepted
+// change.
 func (c *check) configuration() {
 	for key, want := range c.accepted() {
 		for _, s := range c.Rest {
@@ -84,15 +85,16 @@
 	}
 }
 
-// wanted is what must be there of one register: by field and attribute.
+// wanted is the expected content of one register, by field and attribute.
 type wanted struct {
 	version uint64
 	fields  map[string]map[string]values
 }
 
-// values are the contents that one attribute may rightly have; nil stands for a field that is not there.
+// values are the contents that an attribute may have; nil stands for a field that is absent.
 type values []json.RawMessage
 
+// fit reports whether a content is one of the expected values.
 func (v values) fit(field json.RawMessage, attribute string) bool {
 	var has map[string]json.RawMessage
 	_ = json.Unmarshal(field, &has) // none: no attribute
@@ -105,6 +107,7 @@
 	})
 }
 
+// String lists the expected values for a report.
 func (v values) String() string {
 	var all []string
 	for _, raw := range v {
@@ -113,7 +116,7 @@
 	return strings.Join(all, " or ")
 }
 
-// attributes takes a field's new content apart; a field that goes has the one attribute "", which is nil.
+// attributes splits a field's content into its attributes. A removed field has the one attribute "" with the content nil.
 func attributes(value json.RawMessage) (all map[string]json.RawMessage) {
 	if _ = json.Unmarshal(value, &all); all == nil { // what cannot be read is shown as it is
 		all = map[string]json.RawMessage{"": nil}
@@ -121,7 +124,8 @@
 	return all
 }
 
-// accepted works out from the facts what each register must have. Of several yeses under one version, or a change without an answer, any may stand.
+// accepted derives the expected registers from the facts. Among several acceptances under one version, and for a change whose answer was
+// lost, either content is allowed.
 func (c *check) accepted() map[string]wanted {
 	all := map[string]wanted{}
 	facts := slices.DeleteFunc(slices.Clone(c.Facts), func(f Fact) bool { return f.Kind != Took })
--- a/fake/check_requests.go
+++ b/fake/check_requests.go
@@ -9,7 +9,7 @@
 	"asterridge/config"
 )
 
-// request judges what one caller got: rules 1 to 4.
+// request checks the answer to one request: rules 1 to 4.
 func (c *check) request(a Exchange) {
 	for _, f := range c.Facts {
 		if f.Kind == Revoked && f.Name == config.HashKey(a.Access) && a.At.Sub(f.At) > 0 {
@@ -55,7 +55,7 @@
 	}
 }
 
-// stream judges rule 4: what came is the beginning of what one run wrote; all of it, if it looks finished.
+// stream checks rule 4: the received bytes are a prefix of what one run wrote, and all of it if the stream ended as complete.
 func (c *check) stream(a Exchange, own []Run) {
 	c.seen(ruleBrokenStream)
 	beginning := false
@@ -79,7 +79,8 @@
 	}
 }
 
-// versions judges rule 6: the version in force when the request was sent, and that none goes back at a proxy.
+// versions checks rule 6: a request is served under the version in force when it was sent or a later one, and no proxy goes back to an
+// older version.
 func (c *check) versions() {
 	type sent struct {
 		Exchange
@@ -115,8 +116,8 @@
 	}
 }
 
-// secondTries judges rule 10 over the whole run, and in each window by proxy, across its restarts.
-func (c *check) secondTries() {
+// retries checks rule 10, the share of retries, over the whole run and in each window of a proxy, across its restarts.
+func (c *check) retries() {
 	type attempt struct {
 		at      time.Time
 		isFirst bool
@@ -135,15 +136,15 @@
 			byProxy[a.Proxy] = append(byProxy[a.Proxy], attempt{r.At, i == 0})
 		}
 	}
-	c.findings[ruleSecondTries].Seen = second
-	if over := second - first/5 - allowance; over > 0 {
-		c.findings[ruleSecondTries].Count, c.findings[ruleSecondTries].First = over, fmt.Sprintf("%d second tries for %d requests", second, first)
+	c.findings[ruleRetries].Seen = second
+	if over := second - first/5 - fleetRetryAllowance; over > 0 {
+		c.findings[ruleRetries].Count, c.findings[ruleRetries].First = over, fmt.Sprintf("%d retries for %d requests", second, first)
 	}
 	for proxy, attempts := range byProxy {
 		sort.Slice(attempts, func(i, j int) bool { return attempts[i].at.Before(attempts[j].at) })
 		from, firsts, seconds := 0, 0, 0
 		for _, s := range attempts {
-			for attempts[from].at.Before(s.at.Add(-window)) {
+			for attempts[from].at.Before(s.at.Add(-retryWindow)) {
 				if attempts[from].isFirst {
 					firsts--
 				} else {
@@ -153,8 +154,8 @@
 			}
 			if s.isFirst {
 				firsts++
-			} else if seconds++; seconds > firsts/5+proxyAllowance {
-				c.found(ruleSecondTries, "%s: %d second tries for %d first in %v", proxy, seconds, firsts, window)
+			} else if seconds++; seconds > firsts/5+proxyRetryAllowance {
+				c.found(ruleRetries, "%s: %d retries for %d first attempts in %v", proxy, seconds, firsts, retryWindow)
 			}
 		}
 	}
--- a/fake/check_returns.go
+++ b/fake/check_returns.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// returns judges rule 12: after all machines are back, every proxy gives a whole answer within 12 s.
+// returns checks rule 12: after all machines are back, every proxy gives a whole answer within 12 s.
 func (c *check) returns() {
 	proxies := map[string]bool{}
 	for _, a := range c.Asked {
@@ -17,26 +17,26 @@
 		}
 		for proxy := range proxies {
 			c.seen(ruleServiceBack)
-			if back, isBack := c.back(proxy, f.At); !isBack || back > returnLimit {
+			if back, isBack := c.untilServing(proxy, f.At); !isBack || back > returnLimit {
 				c.found(ruleServiceBack, "%s gave no whole answer within 12 s", proxy)
 			}
 		}
 	}
 }
 
-// back is how long after a moment a proxy's first whole answer came, of those asked after it.
-func (c *check) back(proxy string, at time.Time) (least time.Duration, isBack bool) {
+// untilServing returns the time from a moment to a proxy's first whole answer to a request sent after it.
+func (c *check) untilServing(proxy string, at time.Time) (least time.Duration, ok bool) {
 	for _, a := range c.Asked {
 		if a.Proxy == proxy && a.Status == 200 && a.Ended && !a.At.Before(at) {
-			if overdue := a.At.Add(time.Duration(a.AllMs) * time.Millisecond).Sub(at); !isBack || overdue < least {
-				least, isBack = overdue, true
+			if overdue := a.At.Add(time.Duration(a.AllMs) * time.Millisecond).Sub(at); !ok || overdue < least {
+				least, ok = overdue, true
 			}
 		}
 	}
-	return least, isBack
+	return least, ok
 }
 
-// Returns gives, for each proxy, how long its first whole answer took after the last return of the machines.
+// Returns gives, for each proxy, the time from the last return of the machines to its first whole answer.
 func Returns(l Ledgers) (all []time.Duration) {
 	c := &check{Ledgers: l}
 	var last time.Time
@@ -47,7 +47,7 @@
 		}
 	}
 	for _, a := range l.Asked {
-		if overdue, back := c.back(a.Proxy, last); back && !proxies[a.Proxy] {
+		if overdue, back := c.untilServing(a.Proxy, last); back && !proxies[a.Proxy] {
 			proxies[a.Proxy] = true
 			all = append(all, overdue)
 		}
--- a/fake/check_runs.go
+++ b/fake/check_runs.go
@@ -8,7 +8,7 @@
 	"asterridge/config"
 )
 
-// run judges what one run was given: rules 5 and 7 to 9.
+// run checks what one run was given: rules 5 and 7 to 9.
 func (c *check) run(r Run) {
 	a := c.asked[r.Tag]
 	for _, f := range c.Facts {
@@ -41,7 +41,7 @@
 	}
 }
 
-// weightsAt lists the weights that work may start on: those in force at any moment of the last 20 s.
+// weightsAt lists the weights on which a run may start: those in force at any moment of the last 20 s.
 func (c *check) weightsAt(pool string, at time.Time) (allowed []string, ok bool) {
 	for _, f := range c.Facts {
 		switch {
@@ -55,24 +55,25 @@
 	return allowed, ok
 }
 
-// isWalled says whether a tenant's wall stood from a moment on for some time; in the time that news takes it is taken not to.
-func (c *check) isWalled(tenant string, at time.Time) bool {
-	before, ok := c.latest(Isolation, tenant, at.Add(-noticed))
+// walled says whether a tenant's wall stood from a moment on for some time; in the time that news takes it is taken not to.
+func (c *check) walled(tenant string, at time.Time) bool {
+	before, ok := c.latest(Isolation, tenant, at.Add(-propagation))
 	after, _ := c.latest(Isolation, tenant, at.Add(doubtful))
 	return ok && !before.Tried && before.Value == "up" && after.At.Equal(before.At)
 }
 
-// walls judges rule 8, both ways: what a walled tenant reads was made for it, in this life of its name, and what was made for it nobody else reads.
+// walls checks rule 8 in both directions: a walled tenant reads only cached blocks that were made for it since it was last created, and
+// nobody else reads those.
 func (c *check) walls(r Run) {
 	for tenant, made := range r.Met {
-		isolated := c.isWalled(r.Tenant, r.At)
-		if isolated || c.isWalled(tenant, made) {
+		isolated := c.walled(r.Tenant, r.At)
+		if isolated || c.walled(tenant, made) {
 			c.seen(ruleForeignCache)
 		}
 		switch {
 		case tenant != r.Tenant && isolated:
 			c.found(ruleForeignCache, "%s of walled %s read what was made for %s", r.Tag, r.Tenant, tenant)
-		case tenant != r.Tenant && c.isWalled(tenant, made):
+		case tenant != r.Tenant && c.walled(tenant, made):
 			c.found(ruleForeignCache, "%s of %s read what was made for walled %s", r.Tag, r.Tenant, tenant)
 		case tenant == r.Tenant && isolated:
 			for _, f := range c.Facts {
--- a/fake/factlog.go
+++ b/fake/factlog.go
@@ -10,17 +10,17 @@
 	"asterridge/register"
 )
 
-// Fact is something that the fleet was told, with the time of the yes.
+// Fact is a change that the fleet was told, with the time of its acceptance.
 type Fact struct {
 	Kind  string    `json:"kind"` // "accepted", or what follows from it: "revoked", "leaving", "present", "weights", "wall", "returned"
 	Name  string    `json:"name"` // of what was accepted: the register; else key's hash, replica, pool, tenant
 	Value string    `json:"value,omitempty"`
 	At    time.Time `json:"at"`
-	// IsTried: there was no yes and no clear no, so the change may or may not stand.
+	// Tried marks a change that was neither accepted nor clearly refused: it may or may not be in force.
 	Tried bool `json:"tried,omitempty"`
-	// Of what was accepted: the register's version, and what the change set.
+	// For an accepted change: the register's version, and what the change set.
 	Version uint64          `json:"version,omitempty"`
-	Full    bool            `json:"whole,omitempty"` // takes the place of all that was there
+	Full    bool            `json:"whole,omitempty"` // replaces the whole former content
 	Fields  register.Fields `json:"fields,omitempty"`
 }
 
@@ -38,13 +38,13 @@
 	Returned  = "returned" // all machines are back: service is due
 )
 
-// FactLog keeps what operators and platform told the fleet.
+// FactLog records the changes that operators and platform have made.
 type FactLog struct {
 	mu    sync.Mutex
 	facts []Fact
 }
 
-// Add notes one fact now.
+// Add records one fact with the present time.
 func (d *FactLog) Add(f Fact) {
 	f.At = time.Now()
 	d.mu.Lock()
@@ -52,14 +52,14 @@
 	d.facts = append(d.facts, f)
 }
 
-// Facts gives all that was noted.
+// Facts returns a copy of all recorded facts.
 func (d *FactLog) Facts() []Fact {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]Fact(nil), d.facts...)
 }
 
-// Newest is the highest version of the configuration that was accepted.
+// Newest is the highest configuration version that was accepted.
 func (d *FactLog) Newest() (version uint64) {
 	for _, f := range d.Facts() {
 		if f.Kind == Took && f.Name == config.Key {
@@ -69,7 +69,7 @@
 	return version
 }
 
-// orderText is what the rules read of any order.
+// orderText holds the fields of an order that the rules read.
 type orderText struct {
 	Text    json.RawMessage `json:"text"`
 	Partial bool            `json:"partial"`
@@ -82,7 +82,7 @@
 	New     string          `json:"new"`
 }
 
-// Order notes a change that the fleet was asked for at /op/NAME: accepted under a version, or, if tried, perhaps.
+// Order records a change requested at /op/NAME: as accepted under a version, or as attempted if its result is unknown.
 func (d *FactLog) Order(name string, order any, version uint64, tried bool) {
 	raw, _ := json.Marshal(order) // plain structs always encode
 	var o orderText
@@ -119,7 +119,7 @@
 	d.Add(took)
 }
 
-// undone is the retirement that an undo means: one that names none means the one that runs.
+// undone returns the retirement that an undo refers to. An undo without a name refers to the one in progress.
 func (d *FactLog) undone(old string) string {
 	if old != "" {
 		return old
@@ -132,7 +132,7 @@
 	return old
 }
 
-// readReplicas turns the platform's list into register fields, and notes who is present and who leaves.
+// readReplicas turns the platform's list of replicas into register fields, and records which replicas are present and which are leaving.
 func readReplicas(text []byte, fields register.Fields, more func(kind, name, value string)) {
 	for _, item := range readList(text, "replicas") {
 		replica, state := word(item["name"]), word(item["state"])
@@ -149,7 +149,7 @@
 	}
 }
 
-// readConfig turns an operator's text into register fields, and notes what rules speak of.
+// readConfig turns an operator's configuration into register fields, and records the facts that the rules need.
 func readConfig(text []byte, fields register.Fields, more func(kind, name, value string)) {
 	for list, kind := range map[string]string{"tenants": "tenant/", "pools": "pool/", "paths": "path/", "adapters": "adapter/"} {
 		for _, item := range readList(text, list) {
@@ -188,6 +188,7 @@
 	}
 }
 
+// readList decodes a list of objects by name.
 func readList(text []byte, name string) (items []map[string]json.RawMessage) {
 	var all map[string]json.RawMessage
 	_ = json.Unmarshal(text, &all) // what the fleet took is well-formed
@@ -195,6 +196,7 @@
 	return items
 }
 
+// word returns an attribute as a string, or "" if it is absent.
 func word(raw json.RawMessage) (text string) {
 	_ = json.Unmarshal(raw, &text) // none: empty
 	return text
--- a/fake/kv.go
+++ b/fake/kv.go
@@ -12,7 +12,7 @@
 	"asterridge/prefixindex"
 )
 
-// kvBlock is a block on its way between replicas and stores, with who made it and under which weights.
+// kvBlock is a cached block in transit between replicas and stores, with the tenant that made it and the weights it was made under.
 type kvBlock struct {
 	Hash      string           `json:"hash"`
 	Tenant    string           `json:"tenant"`
@@ -21,14 +21,16 @@
 	Placement config.Placement `json:"placement,omitzero"`
 }
 
+// kvAnswer is the body that a source answers with.
 type kvAnswer struct {
 	Name   string    `json:"name"`
 	Blocks []kvBlock `json:"blocks"`
 }
 
+// maxBody bounds, in bytes, the body of a transfer.
 const maxBody = 1 << 20
 
-// giveBlocks answers with the leading blocks of a chain that are kept here.
+// giveBlocks serves the leading blocks of a chain that this replica has cached.
 func (r *Replica) giveBlocks(w http.ResponseWriter, q *http.Request) {
 	var chain []string
 	if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, maxBody)).Decode(&chain); err != nil {
@@ -48,7 +50,7 @@
 	_ = json.NewEncoder(w).Encode(answer) // a reader that is gone asks again
 }
 
-// takeBlocks keeps blocks that a replica has made: a store's side.
+// takeBlocks stores blocks that another replica has made; it is the store's side of a transfer.
 func (r *Replica) takeBlocks(w http.ResponseWriter, q *http.Request) {
 	var blocks []kvBlock
 	if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, maxBody)).Decode(&blocks); err != nil {
@@ -59,12 +61,12 @@
 	defer r.mu.Unlock()
 	for _, b := range blocks {
 		if r.cache[b.Hash] == nil {
-			r.keep(b)
+			r.add(b)
 		}
 	}
 }
 
-// post sends JSON to another fake and reads its answer, if one is wanted.
+// post sends JSON to another fake process and decodes its answer if one is wanted.
 func (r *Replica) post(ctx context.Context, address string, body, answer any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -90,7 +92,8 @@
 	return json.NewDecoder(a.Body).Decode(answer)
 }
 
-// fetchBlocks gets from a source what this replica lacks of the chain, in the time that its link takes, and measures it; it gives the bytes.
+// fetchBlocks copies the missing blocks of a chain from a source at the speed of the link between them, records the transfer and returns
+// its size in bytes.
 func (r *Replica) fetchBlocks(q *http.Request, source string, chain []string) int {
 	began := time.Now()
 	var answer kvAnswer
@@ -109,14 +112,14 @@
 	bytes := float64(size)
 	delay := time.Duration(bytes / r.options.Link * float64(time.Millisecond))
 	r.mu.Unlock()
-	if len(lacking) == 0 || !rest(q, delay) {
+	if len(lacking) == 0 || !pause(q, delay) {
 		return 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range lacking {
 		if r.cache[b.Hash] == nil && b.Weights == r.weights {
-			r.keep(b)
+			r.add(b)
 		}
 	}
 	rate := bytes / max(0.1, float64(time.Since(began).Microseconds())/1000)
--- a/fake/replica.go
+++ b/fake/replica.go
@@ -15,7 +15,7 @@
 	"asterridge/router"
 )
 
-// ReplicaOptions of a fake replica.
+// ReplicaOptions configure a fake replica.
 type ReplicaOptions struct {
 	Name    string
 	Kind    string // "model", "web" or "store"
@@ -32,7 +32,7 @@
 	Ledger  func(Run)
 }
 
-// Run is a line of a replica's ledger: a request that came, and whether it ran.
+// Run is a line of a replica's ledger: one request that arrived, and whether it was executed.
 type Run struct {
 	Replica  string    `json:"replica"`
 	Tag      string    `json:"tag"`
@@ -58,7 +58,7 @@
 	Met map[string]time.Time `json:"met,omitempty"`
 }
 
-// Behaviour is how a replica treats one tenant ("" for all).
+// Behaviour is the way in which a replica treats one tenant, or all of them under the key "".
 type Behaviour struct {
 	Tenant     string  `json:"tenant"`
 	Refusing   bool    `json:"refuse"`
@@ -97,14 +97,14 @@
 	lease    uint64                    // the highest met in an order for a base or adapter
 }
 
-// NewReplica makes a replica that has just started.
+// NewReplica returns a replica as it is right after its start.
 func NewReplica(options ReplicaOptions) *Replica {
 	return &Replica{options: options, run: rand.Text()[:8], weights: options.Weights, number: 1,
 		warmAt: time.Now().Add(time.Duration(options.WarmMs) * time.Millisecond),
 		cache:  map[string]*kvBlock{}, conducts: map[string]Behaviour{}, fetch: map[string]float64{}, bases: map[string]router.Base{}, adapters: map[string]router.Adapter{}}
 }
 
-// Handler serves requests, reports and the controls.
+// Handler serves requests, load reports and the control endpoints.
 func (r *Replica) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /report", r.report)
@@ -117,7 +117,7 @@
 	return mux
 }
 
-// Behave sets how a tenant is treated.
+// Behave sets how the replica treats a tenant.
 func (r *Replica) Behave(b Behaviour) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,6 +133,7 @@
 	}
 }
 
+// control serves the endpoints with which a test changes the replica's behaviour.
 func (r *Replica) control(w http.ResponseWriter, q *http.Request) {
 	var b Behaviour
 	if err := json.NewDecoder(q.Body).Decode(&b); err != nil {
@@ -142,7 +143,7 @@
 	r.Behave(b)
 }
 
-// load takes new weights; requests are refused while they load.
+// load switches to new weights. Requests are refused while they load.
 func (r *Replica) load(w http.ResponseWriter, q *http.Request) {
 	var order struct {
 		Weights string `json:"weights"`
@@ -172,7 +173,7 @@
 	})
 }
 
-// report tells load, weights and what the cache has got or lost since the number asked from.
+// report returns the load, the weights, and the blocks that the cache has gained or lost since a sequence number.
 func (r *Replica) report(w http.ResponseWriter, q *http.Request) {
 	from, _ := strconv.ParseUint(q.FormValue("from"), 10, 64)
 	r.mu.Lock()
@@ -182,7 +183,7 @@
 		IsSnapshot bool     `json:"image"`
 		Kept       []string `json:"kept,omitempty"`
 		Dropped    []string `json:"dropped,omitempty"`
-	}{Report: router.Report{Run: r.run, Number: r.number, Weights: r.weights, Running: r.running, Warm: r.isWarm(), Rate: r.options.Rate, Fetch: maps.Clone(r.fetch), AdapterReport: r.adapterReport()}}
+	}{Report: router.Report{Run: r.run, Number: r.number, Weights: r.weights, Running: r.running, Warm: r.warm(), Rate: r.options.Rate, Fetch: maps.Clone(r.fetch), AdapterReport: r.adapterReport()}}
 	if r.loading {
 		body.Weights = router.Loading
 	}
@@ -213,4 +214,4 @@
 	_ = json.NewEncoder(w).Encode(body) // a reader that is gone asks again
 }
 
-func (r *Replica) isWarm() bool { return time.Now().After(r.warmAt) }
+func (r *Replica) warm() bool { return time.Now().After(r.warmAt) }
--- a/fake/replica_cache.go
+++ b/fake/replica_cache.go
@@ -7,16 +7,18 @@
 	"asterridge/prefixindex"
 )
 
+// change is one block that the cache has gained or lost.
 type change struct {
 	number uint64
 	hash   string
 	gone   bool
 }
 
+// maxChanges bounds the list of recent changes; a reader further behind reads the whole cache.
 const maxChanges = 20000
 
-// remember reads what the cache has of the prompt, and keeps all of it.
-func (r *Replica) remember(run *Run, chain []string) {
+// lookupAndAdd counts the cached leading blocks of a prompt and adds the whole prompt to the cache.
+func (r *Replica) lookupAndAdd(run *Run, chain []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.Met = map[string]time.Time{}
@@ -36,7 +38,7 @@
 		}
 		if b == nil {
 			fresh := kvBlock{hash, run.Tenant, r.weights, run.At, run.Placement}
-			r.keep(fresh)
+			r.add(fresh)
 			made = append(made, fresh)
 		}
 	}
@@ -45,8 +47,8 @@
 	}
 }
 
-// keep adds a block to the cache and drops the oldest over the bound; r.mu is held.
-func (r *Replica) keep(kv kvBlock) {
+// add adds a block to the cache and evicts the oldest beyond the bound. The caller holds r.mu.
+func (r *Replica) add(kv kvBlock) {
 	r.number++
 	r.cache[kv.Hash] = &kv
 	r.line = append(r.line, &kv)
--- a/fake/replica_serve.go
+++ b/fake/replica_serve.go
@@ -15,7 +15,7 @@
 	"asterridge/prefixindex"
 )
 
-// chat is what is read of a request in the published chat form.
+// chat holds the fields of the published chat form that the replica reads.
 type chat struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -26,7 +26,7 @@
 	} `json:"messages"`
 }
 
-// text is the prompt as the cache sees it.
+// text returns the prompt as the cache sees it.
 func (c chat) text() string {
 	parts := make([]string, 0, 2*len(c.Messages))
 	for _, m := range c.Messages {
@@ -35,26 +35,26 @@
 	return prefixindex.Text(parts...)
 }
 
-// refusal is the answer to a request of which nothing ran.
+// refusal is the answer to a request that was not executed.
 type refusal struct {
 	status     int
 	kind       string
 	retryAfter string // the header, if it is sent
 }
 
-// conduct is how one request is treated, as of when it was taken in.
+// conduct is the treatment of one request, fixed when it is admitted.
 type conduct struct {
 	own, all Behaviour
 	warm     bool
 }
 
-// slowness is how long the first piece takes beyond the reading of the prompt.
+// slowness is the delay of the first piece beyond the time taken to read the prompt.
 func (c conduct) slowness() float64 { return float64(c.own.SlowMs + c.all.SlowMs) }
 
-// cutAfter is the number of pieces behind which the stream is broken off; 0: never.
+// cutAfter is the number of pieces after which the stream is broken off; 0 means never.
 func (c conduct) cutAfter() int { return max(c.own.BreakAfter, c.all.BreakAfter) }
 
-// reject answers a request before any of it ran.
+// reject answers a request that was not executed.
 func (r *Replica) reject(w http.ResponseWriter, run Run, why refusal) {
 	run.Why = why.kind
 	r.options.Ledger(run)
@@ -87,7 +87,7 @@
 		r.reject(w, run, *why)
 		return
 	}
-	defer r.leave(run.Placement)
+	defer r.release(run.Placement)
 	if model {
 		r.readPrompt(q, &run, body.text())
 	}
@@ -102,17 +102,17 @@
 	defer func() { r.options.Ledger(run) }()
 	if r.stream(w, q, run, treated) {
 		run.Complete = true
-		r.answered(run.Placement)
+		r.countAnswer(run.Placement)
 	}
 }
 
-// admit takes a request in, or says why it does not run here.
+// admit accepts a request, or returns the refusal that tells why it is not executed here.
 func (r *Replica) admit(run *Run, expected string) (conduct, *refusal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.Weights = r.weights
-	treated := conduct{own: r.conducts[run.Tenant], all: r.conducts[""], warm: r.isWarm()}
-	lacking := r.lacks(run.Placement)
+	treated := conduct{own: r.conducts[run.Tenant], all: r.conducts[""], warm: r.warm()}
+	lacking := r.missing(run.Placement)
 	switch {
 	case r.options.Kind == "model" && (r.loading || expected != r.weights):
 		return treated, &refusal{status: http.StatusPreconditionFailed, kind: "weights_mismatch"}
@@ -124,11 +124,11 @@
 		return treated, &refusal{status: http.StatusServiceUnavailable, kind: "overloaded"}
 	}
 	r.running++
-	r.runs(run.Placement, 1)
+	r.addRunning(run.Placement, 1)
 	return treated, nil
 }
 
-// throttle is the refusal of a tenant, or of all.
+// throttle returns the refusal of one tenant, or of all, by a rate limit.
 func (c conduct) throttle() *refusal {
 	why := &refusal{status: http.StatusTooManyRequests, kind: "tenant_throttled", retryAfter: c.own.RetryAfter}
 	if c.all.Refusing || c.own.Unnamed {
@@ -140,32 +140,32 @@
 	return why
 }
 
-// leave gives back what admit took.
-func (r *Replica) leave(on config.Placement) {
+// release releases what admit has taken.
+func (r *Replica) release(on config.Placement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.running--
-	r.runs(on, -1)
+	r.addRunning(on, -1)
 }
 
-// readPrompt fetches what another has of the prompt, and reads it by the cache.
+// readPrompt fetches the blocks that another replica has of the prompt, then reads the prompt with the cache.
 func (r *Replica) readPrompt(q *http.Request, run *Run, text string) {
 	run.Size = len(text)
 	chain := prefixindex.Blocks(run.Domain, text)
 	if source := q.Header.Get("X-Prefix-From"); source != "" {
 		run.Fetched = r.fetchBlocks(q, source, chain)
 	}
-	r.remember(run, chain)
+	r.lookupAndAdd(run, chain)
 }
 
-// stream writes the answer piece by piece; it says whether all of it was written.
+// stream writes the answer piece by piece and reports whether it was written in full.
 func (r *Replica) stream(w http.ResponseWriter, q *http.Request, run Run, treated conduct) bool {
 	unread := float64(max(0, run.Size-run.Hit))
 	wait := unread/r.options.Rate + treated.slowness()
 	if !treated.warm {
 		wait *= 3
 	}
-	if !rest(q, time.Duration(wait*float64(time.Millisecond))) {
+	if !pause(q, time.Duration(wait*float64(time.Millisecond))) {
 		return false
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -174,7 +174,7 @@
 		if cut := treated.cutAfter(); cut > 0 && i == cut {
 			panic(http.ErrAbortHandler)
 		}
-		if i > 0 && !rest(q, time.Duration(r.options.ChunkMs)*time.Millisecond) {
+		if i > 0 && !pause(q, time.Duration(r.options.ChunkMs)*time.Millisecond) {
 			return false
 		}
 		if _, err := w.Write(piece); err != nil || flush.Flush() != nil {
@@ -184,7 +184,7 @@
 	return true
 }
 
-// answerWhole answers with one piece: a page, or an error of the replica's own.
+// answerWhole answers in one piece: a page, or an error of the replica itself.
 func (r *Replica) answerWhole(w http.ResponseWriter, q *http.Request, run Run) {
 	answer := fmt.Sprintf(`{"page":%q,"mark":"%s-%s"}`, q.URL.Path, run.ID, run.Salt)
 	status := http.StatusOK
@@ -198,7 +198,7 @@
 	_, _ = io.WriteString(w, answer) // a reader that is gone asks again
 }
 
-// Stream is what one run of a request writes, its end marker included; the checker makes it again from the ledger.
+// Stream returns all that one run writes, with its end marker. The checker computes it again from the ledger.
 func Stream(id, salt string, pieces int) [][]byte {
 	whole := make([][]byte, 0, pieces+1)
 	for i := range pieces {
@@ -208,8 +208,8 @@
 	return append(whole, []byte("data: [DONE]\n\n"))
 }
 
-// rest waits, unless the request ends before.
-func rest(q *http.Request, d time.Duration) bool {
+// pause waits for a duration unless the request ends first.
+func pause(q *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -223,7 +223,7 @@
 	}
 }
 
-// Sum is how ledgers name an answer's content.
+// Sum returns the hash by which ledgers identify an answer's content.
 func Sum(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:12])
--- a/fake/retired.go
+++ b/fake/retired.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// apart takes the drops of bases out of the requests.
-func apart(lines []Run) (runs, drops []Run) {
+// separateDrops separates the dropped bases in a ledger from its requests.
+func separateDrops(lines []Run) (runs, drops []Run) {
 	for _, r := range lines {
 		if r.Dropped != "" {
 			drops = append(drops, r)
@@ -17,13 +17,14 @@
 	return runs, drops
 }
 
+// poolOf returns the pool of a replica by its name.
 func poolOf(replica string) string {
 	pool, _, _ := strings.Cut(replica, "-")
 	return pool
 }
 
-// retirements judges rule 13: before a base is dropped anywhere, every adapter that was on it has given a whole answer to a caller from the
-// new base, in every pool in which it ever ran.
+// retirements checks rule 13: before any replica drops a base, every adapter on it has given a caller a whole answer from the new base, in
+// every pool in which it ever ran.
 func (c *check) retirements() {
 	type place struct{ adapter, pool string }
 	serving := map[place]bool{}
@@ -35,7 +36,7 @@
 	for _, drop := range c.drops {
 		retire, retired := c.latest(Retire, drop.Dropped, drop.At.Add(doubtful))
 		for at := range serving {
-			if !c.isConcerned(at.adapter, drop) {
+			if !c.everOn(at.adapter, drop) {
 				continue
 			}
 			if c.seen(ruleEarlyDrop); !retired || !c.hasAnswered(at.adapter, retire.Value, at.pool, drop.At) {
@@ -45,20 +46,21 @@
 	}
 }
 
-// isConcerned says whether an adapter had ever been on the dropped base, and did not leave it by an undone retirement.
-func (c *check) isConcerned(adapter string, drop Run) (so bool) {
+// everOn says whether an adapter had ever been on the dropped base, and did not leave it by an undone retirement.
+func (c *check) everOn(adapter string, drop Run) (concerned bool) {
 	last, wasOn := c.latest(Base, adapter, drop.At)
 	for _, f := range c.Facts {
-		so = so || f.Kind == Base && f.Name == adapter && f.Value == drop.Dropped && f.At.Before(drop.At)
+		concerned = concerned || f.Kind == Base && f.Name == adapter && f.Value == drop.Dropped && f.At.Before(drop.At)
 		if f.Kind == Retire && f.Value == drop.Dropped && wasOn && last.Value != drop.Dropped {
 			if undone, isUndone := c.latest(Undone, f.Name, drop.At.Add(doubtful)); isUndone && !undone.At.Before(f.At) {
 				return false
 			}
 		}
 	}
-	return so
+	return concerned
 }
 
+// hasAnswered reports whether an adapter had given a whole answer from a base in a pool before a moment.
 func (c *check) hasAnswered(adapter, base, pool string, before time.Time) bool {
 	for _, r := range c.Runs {
 		if a, asked := c.asked[r.Tag]; asked && a.Status != 200 {
@@ -71,7 +73,7 @@
 	return false
 }
 
-// route judges rule 14: a run is on the base that was in force at some moment of the last 3 s.
+// route checks rule 14: a run is on a base that was in force at some moment of the last 3 s.
 func (c *check) route(r Run) {
 	if r.Adapter == "" {
 		return
