--- a/sim/disk.go
+++ b/sim/disk.go
@@ -10,7 +10,7 @@
 	"asterridge/disk"
 )
 
-// Disk is a machine's disk: it outlives the processes that use it.
+// Disk is a machine's simulated disk. It survives the processes that use it.
 type Disk struct {
 	mu         sync.Mutex
 	folders    map[string]map[string][]byte // sealed files
@@ -22,24 +22,24 @@
 	written    int // bytes, in all
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk.
 func NewDisk() *Disk { return &Disk{folders: map[string]map[string][]byte{}} }
 
-// Slow gives each write a delay.
+// Slow delays each write.
 func (d *Disk) Slow(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.delay = delay
 }
 
-// Fill makes writes fail, or work again.
+// Fill makes writes fail as on a full disk, or work again.
 func (d *Disk) Fill(full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = full
 }
 
-// Stall holds writes back until the function that it gives is called.
+// Stall blocks writes until the returned function is called.
 func (d *Disk) Stall() (release func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,14 +53,14 @@
 	}
 }
 
-// Wipe loses all files.
+// Wipe removes all files.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.folders = map[string]map[string][]byte{}
 }
 
-// Corrupt changes a file's bytes behind the program's back.
+// Corrupt changes a file's bytes without the program's knowledge.
 func (d *Disk) Corrupt(folder, name string, change func([]byte) []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,10 +70,10 @@
 	d.folders[folder][name] = change(d.folders[folder][name])
 }
 
-// Usage is how much is on a disk, and how much was ever written to it.
+// Usage is the size of a disk's content and of all that was ever written to it.
 type Usage struct{ Files, Bytes, Writes, Written int }
 
-// Usage counts what is on the disk.
+// Usage returns the disk's present usage.
 func (d *Disk) Usage() Usage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,7 +87,7 @@
 	return usage
 }
 
-// Open gives the disk to a new process; the handle of the process before stops working.
+// Open attaches the disk to a new process. The handle of the former process stops working.
 func (d *Disk) Open() disk.Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,14 +95,16 @@
 	return &handle{d, d.generation}
 }
 
+// handle is one process's access to the disk.
 type handle struct {
 	disk       *Disk
 	generation int
 }
 
+// errDead is the error of a handle whose process has been killed.
 var errDead = errors.New("this process is dead")
 
-// locked runs with the disk locked, if the process still lives.
+// locked runs a function with the disk locked, if the process is still alive.
 func (h *handle) locked(do func() error) error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
@@ -176,5 +178,5 @@
 	})
 }
 
-// Sync has nothing to do: what is written here is there at once.
+// Sync does nothing: every write here is durable at once.
 func (h *handle) Sync(string) error { return h.locked(func() error { return nil }) }
--- a/sim/files.go
+++ b/sim/files.go
@@ -13,8 +13,9 @@
 	"asterridge/disk"
 )
 
-// Files is a file system in memory that counts its operations, fails any of them, and loses power between any two. What was not synced
-// is then kept, lost or torn, each write and each name by itself; a name that was changed several times may have any of its states.
+// Files is a file system in memory that counts its operations, can fail any of them, and can lose power between any two. After a loss of
+// power each write and each name that was not synced is independently kept, lost or torn; a name that was changed several times may have
+// any of its states.
 type Files struct {
 	mu         sync.Mutex
 	root       *node
@@ -25,7 +26,7 @@
 	temps      int
 }
 
-// Fault fails operations without ending the process.
+// Fault makes operations fail while the process goes on.
 type Fault struct {
 	From, To int  // the operations that fail, counted as Operations does; both included
 	Done     bool // they are done and report an error all the same
@@ -37,15 +38,17 @@
 	errFaulty  = errors.New("input/output error")
 )
 
-// node is a file or, with names, a folder.
+// node is a file, or a folder if it has names.
 type node struct {
 	names  map[string][]*node // the states of a name since the last sync: the first is durable, the last is seen; nil: not there
 	synced []byte
 	writes [][]byte // since the last sync
 }
 
+// newFolderNode returns an empty folder.
 func newFolderNode() *node { return &node{names: map[string][]*node{}} }
 
+// lookup returns the node under a name.
 func (n *node) lookup(name string) *node {
 	states := n.names[name]
 	if len(states) == 0 {
@@ -54,6 +57,7 @@
 	return states[len(states)-1]
 }
 
+// set changes a name of a folder; nil removes it.
 func (n *node) set(name string, to *node) {
 	if len(n.names[name]) == 0 {
 		n.names[name] = []*node{nil}
@@ -61,49 +65,50 @@
 	n.names[name] = append(n.names[name], to)
 }
 
+// content returns a file's bytes as the process sees them.
 func (n *node) content() []byte {
 	return slices.Concat(append([][]byte{n.synced}, n.writes...)...)
 }
 
-// NewFiles makes an empty file system.
+// NewFiles returns an empty file system.
 func NewFiles() *Files { return &Files{root: newFolderNode()} }
 
-// Operations counts the operations so far.
+// Operations returns the number of operations so far.
 func (f *Files) Operations() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.operations
 }
 
-// StopAt ends the process before the given operation, counted as Operations does: it and all after it fail.
+// StopAt ends the process before the operation of that number: it and all later ones fail.
 func (f *Files) StopAt(operation int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stop = operation
 }
 
-// Fail has operations fail while the process lives on.
+// Fail makes operations fail while the process goes on.
 func (f *Files) Fail(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = fault
 }
 
-// IsStopped says whether the process was ended.
+// IsStopped reports whether the process has ended.
 func (f *Files) IsStopped() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stopped
 }
 
-// Restart begins another process after the one before was killed: nothing is lost, and nothing more is synced.
+// Restart begins a new process after the former one was killed: nothing is lost, and nothing more is synced.
 func (f *Files) Restart() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stop, f.stopped, f.fault = 0, false, Fault{}
 }
 
-// PowerLoss loses power and begins another process. What was not synced is kept with the given chance, from 0 (none) to 1 (all).
+// PowerLoss loses power and begins a new process. Each unsynced change is kept with the given probability, from 0 (none) to 1 (all).
 func (f *Files) PowerLoss(random *rand.Rand, remaining float64) {
 	f.Restart()
 	f.mu.Lock()
@@ -111,7 +116,7 @@
 	f.root = lose(f.root, random, remaining)
 }
 
-// lose gives a node as it is after a loss of power.
+// lose returns a node as it is after a loss of power.
 func lose(n *node, random *rand.Rand, remaining float64) *node {
 	if n.names == nil {
 		return &node{synced: loseWrites(n, random, remaining)}
@@ -138,6 +143,7 @@
 	return left
 }
 
+// loseWrites returns a file's bytes as they are after a loss of power.
 func loseWrites(n *node, random *rand.Rand, remaining float64) []byte {
 	data := slices.Clone(n.synced)
 	for _, write := range n.writes {
@@ -153,7 +159,7 @@
 	return data
 }
 
-// begin counts an operation and says whether it is to be done, and what it reports.
+// begin counts an operation, and returns whether to do it and the error to report.
 func (f *Files) begin(writing bool) (done bool, err error) {
 	f.operations++
 	if f.stop != 0 && f.operations >= f.stop {
@@ -168,7 +174,7 @@
 	return true, nil
 }
 
-// folder finds a folder by its path.
+// folder returns the folder at a path.
 func (f *Files) folder(name string) (*node, error) {
 	at := f.root
 	for part := range strings.SplitSeq(strings.Trim(path.Clean(name), "/."), "/") {
@@ -183,7 +189,7 @@
 	return at, nil
 }
 
-// MkdirAll makes a folder and those above it.
+// MkdirAll creates a folder and its parents.
 func (f *Files) MkdirAll(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,7 +210,7 @@
 	return err
 }
 
-// CreateTemp makes a file with a name of its own.
+// CreateTemp creates a file with a unique name.
 func (f *Files) CreateTemp(folder, prefix string) (disk.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -225,7 +231,7 @@
 	return made, nil
 }
 
-// Rename moves a file, over another if there is one.
+// Rename moves a file and replaces the target if there is one.
 func (f *Files) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -249,7 +255,7 @@
 	return err
 }
 
-// Remove takes a file away.
+// Remove removes a file.
 func (f *Files) Remove(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -267,7 +273,7 @@
 	return err
 }
 
-// ReadFile gives a file's bytes as the process sees them.
+// ReadFile returns a file's bytes as the process sees them.
 func (f *Files) ReadFile(name string) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -306,7 +312,7 @@
 	return entries, nil
 }
 
-// SyncDir has a folder's names last.
+// SyncDir makes a folder's names durable.
 func (f *Files) SyncDir(name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -323,7 +329,7 @@
 	return err
 }
 
-// openFile is a file that is being written at its end.
+// openFile is a file open for appending.
 type openFile struct {
 	files *Files
 	node  *node
--- a/sim/fleet.go
+++ b/sim/fleet.go
@@ -23,7 +23,7 @@
 	"asterridge/rpc"
 )
 
-// FleetOptions of a simulated fleet.
+// FleetOptions configure a simulated fleet.
 type FleetOptions struct {
 	Cores, Proxies, Replicas int
 	Seed                     uint64
@@ -43,7 +43,7 @@
 	Wrap                     func(n rpc.Network) rpc.Network  // stands between each daemon and the network; nil: nothing
 }
 
-// Fleet is cores, agents, proxies and fakes in one bubble.
+// Fleet is a fleet of cores, agents, proxies and fake replicas inside one synctest bubble.
 type Fleet struct {
 	Options  FleetOptions
 	Net      *Network
@@ -67,24 +67,25 @@
 	replaced   map[int]bool             // core machines that were replaced for good
 }
 
-// CoreIP is the address of the nth core machine.
+// CoreIP returns the address of the nth core machine.
 func CoreIP(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
-// ProxyIP is the address of the nth machine with an agent and a proxy.
+// ProxyIP returns the address of the nth machine with an agent and a proxy.
 func ProxyIP(i int) string { return fmt.Sprintf("10.0.1.%d", i+1) }
 
-// ReplicaIP is the address of the nth replica.
+// ReplicaIP returns the address of the nth replica.
 func ReplicaIP(i int) string { return fmt.Sprintf("10.0.2.%d", i+1) }
 
-// CallerIP is where callers and operators sit.
+// CallerIP is the address from which clients and operators connect.
 const CallerIP = "10.0.9.1"
 
-// At gives the address of a host's main port.
+// At returns the address of a host's main port.
 func At(ip string) string { return ip + ":7000" }
 
+// fleetName is the name of every simulated fleet.
 const fleetName = "sim"
 
-// NewFleet makes the network and the disks, and starts all daemons and fakes.
+// NewFleet creates the network and the disks, and starts every process.
 func NewFleet(o FleetOptions) *Fleet {
 	f := &Fleet{Options: o, Net: NewNetwork(time.Millisecond), Replicas: map[string]*fake.Replica{}, kills: map[string]context.CancelFunc{},
 		Proxies: make([]*proxy.Proxy, o.Proxies), AgentDisks: map[int]*Disk{}, Cores: map[int]*controlplane.Core{}, replaced: map[int]bool{}, dead: map[string]bool{}, clockSkews: map[string]time.Duration{}, AgentSeeds: []string{At(CoreIP(0)), At(CoreIP(1)), At(CoreIP(2))}}
@@ -109,7 +110,7 @@
 	return f
 }
 
-// launch runs a daemon on a host until the host is killed.
+// launch runs a process on a host until the host is killed.
 func (f *Fleet) launch(ip string, run func(ctx context.Context)) {
 	f.mu.Lock()
 	ctx, kill := context.WithCancel(context.Background())
@@ -133,6 +134,7 @@
 	f.Net.Crash(ip)
 }
 
+// host returns a host's side of the network.
 func (f *Fleet) host(name, ip, zone string) daemon.Host {
 	var network rpc.Network = f.Net.Host(ip)
 	if f.Options.Wrap != nil {
@@ -153,6 +155,7 @@
 	f.clockSkews[ip] += by
 }
 
+// must panics on an error: a simulation that cannot be set up is a fault of its test.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
@@ -160,7 +163,7 @@
 	return value
 }
 
-// StartCore starts a core on its disk; what ran on the host before is killed, as with the other starts.
+// StartCore starts a core on its disk. As with the other starts, what ran on the host before is killed.
 func (f *Fleet) StartCore(i int) {
 	f.Kill(CoreIP(i))
 	p := f.host(fmt.Sprintf("core-%d", i+1), CoreIP(i), fmt.Sprintf("zone-%d", i+1))
@@ -248,13 +251,13 @@
 	})
 }
 
-// ReplicaName names replica i of pool "pool".
+// ReplicaName returns the name of replica i of the pool "pool".
 func ReplicaName(i int) string { return fmt.Sprintf("pool-%d", i+1) }
 
-// webIndex is the place of a web back end beside replicas that bear no names of their own.
+// webIndex is the position of a web back end among replicas without names of their own.
 const webIndex = 90
 
-// name gives a replica's name and its pool.
+// name returns a replica's name and its pool.
 func (f *Fleet) name(i int) (name, pool string) {
 	name = ReplicaName(i)
 	if i == webIndex {
@@ -267,7 +270,7 @@
 	return name, pool
 }
 
-// StartReplica starts a fake replica, with the weights that it has when it comes.
+// StartReplica starts a fake replica with the weights that it has at its start.
 func (f *Fleet) StartReplica(i int) {
 	o := f.Options.Replica
 	name, pool := f.name(i)
@@ -316,13 +319,13 @@
 	return rpc.Call[controlplane.QueryResponse](ctx, f.Wire, At(CoreIP(core)), "/query", controlplane.Query{Kind: what})
 }
 
-// replicaUpdate is the platform's word for a replica.
+// replicaUpdate returns a replica's entry in the platform's list.
 func (f *Fleet) replicaUpdate(i int, state string) string {
 	name, pool := f.name(i)
 	return fmt.Sprintf(`{"name":%q,"address":%q,"pool":%q,"zone":"zone-%d","limit":%d,"state":%q}`, name, At(ReplicaIP(i)), pool, i%4+1, f.Options.Replica.Limit, state)
 }
 
-// Configure waits for the fleet to be founded and gives it its configuration, keys and replicas.
+// Configure waits until the fleet has been bootstrapped, and applies its configuration, keys and replicas.
 func (f *Fleet) Configure() {
 	f.Until(10*time.Second, "a founded fleet takes the configuration", func() bool {
 		_, err := f.Order(0, config.Key, controlplane.ConfigChange{Text: json.RawMessage(f.Options.Config)})
@@ -343,7 +346,7 @@
 	time.Sleep(time.Second) // replicas have reported, and the proxies know of each other
 }
 
-// AreReady says whether every proxy serves.
+// AreReady reports whether every proxy serves.
 func (f *Fleet) AreReady() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -355,7 +358,7 @@
 	return true
 }
 
-// Until waits in fake time for something to become so, and panics if it does not.
+// Until waits in fake time for a condition, and panics if it does not come true.
 func (f *Fleet) Until(limit time.Duration, what string, so func() bool) time.Duration {
 	began := time.Now()
 	for !so() {
@@ -367,5 +370,5 @@
 	return time.Since(began)
 }
 
-// ProxyAddress is where callers reach a proxy.
+// ProxyAddress returns the address at which clients reach a proxy.
 func ProxyAddress(i int) string { return ProxyIP(i) + ":7002" }
--- a/sim/fleet_run.go
+++ b/sim/fleet_run.go
@@ -12,12 +12,12 @@
 	"asterridge/fake"
 )
 
-// Load has callers ask while it runs; it ends when all have their answers.
+// Load sends the requests of a load and returns when all have been answered.
 func (f *Fleet) Load(count int, rate float64, callers []fake.Client, seed uint64) []fake.Exchange {
 	return f.record(fake.Load, fake.LoadOptions{Callers: callers, Count: count, Rate: rate, Seed: seed, Prefix: fmt.Sprintf("s%d", seed)})
 }
 
-// record runs callers at all proxies and keeps their ledger.
+// record runs clients at all proxies and keeps their ledger.
 func (f *Fleet) record(play func(context.Context, fake.LoadOptions), o fake.LoadOptions) (all []fake.Exchange) {
 	for i := range f.Proxies {
 		o.Proxies = append(o.Proxies, ProxyAddress(i))
@@ -36,8 +36,8 @@
 	return all
 }
 
-// Rest is called when every machine is back: service must return (rule 12), operators repair what they must, and then all daemons hold
-// the same (rule 11).
+// Rest is called once every machine is back. Service must return (rule 12), operators repair what needs it, and then all processes must
+// hold the same configuration (rule 11).
 func (f *Fleet) Rest(caller fake.Client, repair func()) (back []time.Duration) {
 	f.FactLog.Add(fake.Fact{Kind: fake.Returned})
 	f.record(func(ctx context.Context, o fake.LoadOptions) {
@@ -61,7 +61,7 @@
 	return fake.Returns(f.Ledgers)
 }
 
-// cores lists the machines of the core that were not replaced for good.
+// cores lists the core machines that were not replaced for good.
 func (f *Fleet) cores() (all []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,6 +73,7 @@
 	return all
 }
 
+// rows are the answer to a query.
 func rows(a controlplane.QueryResponse) (all []map[string]any) {
 	for _, row := range a.Rows {
 		all = append(all, row)
@@ -80,7 +81,7 @@
 	return all
 }
 
-// Ask sends one chat by hand and gives status, result code and body.
+// Ask sends one chat request and returns its status, result code and body.
 func (f *Fleet) Ask(proxy int, tenant, key, body string) (status int, code, text string) {
 	q := must(http.NewRequest(http.MethodPost, "http://"+ProxyAddress(proxy)+"/v1/chat/completions", bytes.NewReader([]byte(body))))
 	q.Header.Set("Authorization", "Bearer "+tenant+"-key")
@@ -109,7 +110,7 @@
 	return fake.Check(f.Ledgers)
 }
 
-// Stop ends everything, so that the bubble can end.
+// Stop ends every process, so that the bubble can end.
 func (f *Fleet) Stop() {
 	f.mu.Lock()
 	kills := f.kills
--- a/sim/network.go
+++ b/sim/network.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Network joins hosts by IP number. Cuts hold pieces back, as a network that loses packets does, until they are mended.
+// Network connects hosts by IP address. A partition delays data, as a network that loses packets does, until it is healed.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -25,41 +25,45 @@
 	carried map[string]int // bytes by the host that they go to
 }
 
-// NewNetwork makes a network without faults.
+// NewNetwork returns a network without faults.
 func NewNetwork(delay time.Duration) *Network {
 	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, cuts: map[[2]string]time.Time{},
 		delays: map[[2]string]time.Duration{}, frozen: map[string]bool{}, carried: map[string]int{}, Delay: delay, news: make(chan struct{})}
 }
 
-// BytesCarried gives how many bytes have been sent to a host.
+// BytesCarried returns the number of bytes sent to a host.
 func (n *Network) BytesCarried(to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.carried[to]
 }
 
+// count adds to the bytes sent to a host.
 func (n *Network) count(to string, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.carried[to] += bytes
 }
 
+// host is what the network knows of one machine.
 func host(address string) string {
 	h, _, _ := net.SplitHostPort(address)
 	return h
 }
 
+// changed wakes all that wait for a change of the network.
 func (n *Network) changed() {
 	close(n.news)
 	n.news = make(chan struct{})
 }
 
-// Partition stops what goes from one host to another; Mend lets it flow again. "" stands for every host.
+// Partition stops traffic from one host to another until Heal. The empty name means every host.
 func (n *Network) Partition(from, to string) { n.setPartitioned(from, to, true) }
 
-// Heal undoes Cut.
+// Heal undoes Partition.
 func (n *Network) Heal(from, to string) { n.setPartitioned(from, to, false) }
 
+// setPartitioned begins or ends a partition in one direction.
 func (n *Network) setPartitioned(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,7 +76,7 @@
 	n.changed()
 }
 
-// PartitionGroups cuts two groups of hosts from each other, both ways; isCut false mends.
+// PartitionGroups separates two groups of hosts in both directions, or heals that.
 func (n *Network) PartitionGroups(a, b []string, cut bool) {
 	for _, x := range a {
 		for _, y := range b {
@@ -89,8 +93,8 @@
 	n.delays[[2]string{from, to}] = d
 }
 
-// Freeze stops all reading, writing, dialling and accepting of a host's processes, as of a stopped process whose kernel goes on; or
-// wakes them. What they were about to do is done on waking.
+// Freeze stops all reading, writing, dialing and accepting of a host's processes, like a stopped process whose kernel goes on, or resumes
+// them. Pending operations complete after the resumption.
 func (n *Network) Freeze(ip string, frozen bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,7 +115,7 @@
 	}
 }
 
-// isPartitioned also gives the channel that tells of changes, and the delay.
+// isPartitioned reports whether two hosts are partitioned. It also returns the channel that tells of changes, and the delay.
 func (n *Network) isPartitioned(from, to string) (bool, chan struct{}, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,7 +127,7 @@
 	return cut, n.news, delay
 }
 
-// partitionedSince is when the cut between two hosts began; zero if there is none. n.mu is held.
+// partitionedSince returns when the partition between two hosts began, or zero. The caller holds n.mu.
 func (n *Network) partitionedSince(from, to string) (since time.Time) {
 	for _, at := range [][2]string{{from, to}, {"", to}, {from, ""}} {
 		if began := n.cuts[at]; !began.IsZero() && (since.IsZero() || began.Before(since)) {
@@ -133,7 +137,7 @@
 	return since
 }
 
-// Crash resets all connections of a host and shuts its ports, as a killed process does.
+// Crash resets all connections of a host and closes its ports, as when a process is killed.
 func (n *Network) Crash(ip string) {
 	n.mu.Lock()
 	var ended []*conn
@@ -157,7 +161,7 @@
 	}
 }
 
-// Reset breaks all connections between two hosts; what was under way on them is lost.
+// Reset breaks all connections between two hosts; data in transit is lost.
 func (n *Network) Reset(a, b string) {
 	n.mu.Lock()
 	var broken []*conn
@@ -172,7 +176,7 @@
 	}
 }
 
-// End resets every connection and lets nobody connect again.
+// End resets every connection and refuses new ones.
 func (n *Network) End() {
 	n.mu.Lock()
 	n.over = true
@@ -194,9 +198,10 @@
 	IP      string
 }
 
-// Host gives the side of an IP number.
+// Host returns the machine with an IP address.
 func (n *Network) Host(ip string) *Host { return &Host{n, ip} }
 
+// listener is an open port.
 type listener struct {
 	network *Network
 	address string
@@ -245,12 +250,13 @@
 // Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return addr(l.address) }
 
+// addr is an address as text.
 func addr(address string) net.Addr {
 	a, _ := net.ResolveTCPAddr("tcp", address)
 	return a
 }
 
-// DialContext connects; over a cut it hangs until the cut is mended or the context ends.
+// DialContext connects. During a partition it blocks until the partition is healed or the context ends.
 func (h *Host) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	n := h.network
 	failed := func(err error) error { return &net.OpError{Op: "dial", Net: "tcp", Addr: addr(address), Err: err} }
@@ -290,6 +296,7 @@
 	}
 }
 
+// wait blocks for a duration, until a channel is closed, or until the context ends, in which case it returns the context's error.
 func wait(ctx context.Context, d time.Duration, changed chan struct{}) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -327,20 +334,21 @@
 	return c.out.write(b, func() time.Time { return c.deadline(&c.writeBy) }, unacknowledged)
 }
 
-// SetUserTimeout is the socket option of that name.
+// SetUserTimeout acts as the socket option TCP_USER_TIMEOUT.
 func (c *conn) SetUserTimeout(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.userTimeout = d
 }
 
+// deadline returns the deadline of one direction.
 func (c *conn) deadline(which *time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return *which
 }
 
-// Close shuts the way out and gives up what comes in.
+// Close ends the outgoing direction and discards incoming data.
 func (c *conn) Close() error {
 	c.network.mu.Lock()
 	delete(c.network.conns, c)
@@ -355,6 +363,7 @@
 	return nil
 }
 
+// reset ends both directions with an error.
 func (c *conn) reset() {
 	c.network.mu.Lock()
 	delete(c.network.conns, c)
@@ -363,10 +372,10 @@
 	c.out.abort()
 }
 
-// Abort ends the connection at once, as a reset does: what was under way on it is lost.
+// Abort ends the connection at once, as a reset does: data in transit is lost.
 func (c *conn) Abort() { c.reset() }
 
-// ShutWrite ends what this side has to say; the other way stays open.
+// ShutWrite ends the outgoing direction; the other one stays open.
 func (c *conn) ShutWrite() {
 	c.out.mu.Lock()
 	defer c.out.mu.Unlock()
--- a/sim/pipe.go
+++ b/sim/pipe.go
@@ -22,24 +22,30 @@
 	other    *pipe // the way back
 }
 
+// piece is a part of the data in transit.
 type piece struct {
 	data []byte
 	at   time.Time
 }
 
+// pipeSize is the capacity of a direction in bytes, as of a socket buffer.
 const pipeSize = 256 << 10
 
+// newPipe returns an empty direction between two hosts.
 func newPipe(n *Network, from, to string) *pipe {
 	return &pipe{network: n, from: from, to: to, news: make(chan struct{})}
 }
 
+// changed wakes readers and writers.
 func (p *pipe) changed() {
 	close(p.news)
 	p.news = make(chan struct{})
 }
 
+// errReset is the error after a reset.
 var errReset = errors.New("connection reset by peer")
 
+// read returns data that has arrived, and blocks while there is none.
 func (p *pipe) read(b []byte, deadline func() time.Time) (int, error) {
 	for {
 		p.network.thaw(p.to)
@@ -76,7 +82,7 @@
 	}
 }
 
-// rest waits for news, a mended cut, the pause or the deadline.
+// rest waits for data, the end of a partition or freeze, or the deadline.
 func (p *pipe) rest(delay time.Duration, deadline func() time.Time, changed, mended chan struct{}) error {
 	if end := deadline(); !end.IsZero() {
 		left := time.Until(end)
@@ -95,8 +101,8 @@
 	return nil
 }
 
-// giveUp ends the connection as a kernel does whose bytes were not acknowledged in time: what has not arrived never does. A byte
-// arrives at its time, or when the cut that it met is mended; its acknowledgement needs the way back.
+// giveUp ends the connection like a kernel whose data was not acknowledged in time: what has not arrived never does. Data arrives at its
+// time or when the partition that it met is healed; its acknowledgment needs the opposite direction.
 func (p *pipe) giveUp(at time.Time) {
 	p.network.mu.Lock()
 	there, back := p.network.partitionedSince(p.from, p.to), p.network.partitionedSince(p.to, p.from)
@@ -110,6 +116,7 @@
 	}
 }
 
+// write appends data, and blocks while the capacity is used up.
 func (p *pipe) write(b []byte, deadline func() time.Time, unacknowledged time.Duration) (int, error) {
 	sent := 0
 	for sent < len(b) {
@@ -149,6 +156,7 @@
 	return sent, nil
 }
 
+// abort ends the direction with an error.
 func (p *pipe) abort() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,6 +166,7 @@
 	}
 }
 
+// poke wakes a reader or writer to look again.
 func (p *pipe) poke() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/sim/testbed.go
+++ b/sim/testbed.go
@@ -14,12 +14,13 @@
 	"asterridge/watch"
 )
 
-// TestbedAddress is where callers reach a testbed's router.
+// TestbedAddress is the address at which clients reach a testbed's router.
 const TestbedAddress = "10.0.1.1:7002"
 
+// testbedAgent is the address of the testbed's agent.
 const testbedAgent = "10.0.1.1:7001"
 
-// Testbed is one router in a bubble, with back ends made by hand and an agent that passes on what it is given.
+// Testbed is one router in a synctest bubble, with hand-written back ends and an agent that forwards what the test publishes.
 type Testbed struct {
 	Net    *Network
 	Source *watch.Server // what the agent passes on
@@ -33,7 +34,7 @@
 	version uint64
 }
 
-// NewTestbed starts a router; network, agent and fleet of its options are the testbed's.
+// NewTestbed starts a router. The testbed sets the network, agent and fleet of its options.
 func NewTestbed(o router.Options) *Testbed {
 	s := &Testbed{Net: NewNetwork(time.Millisecond), Source: watch.NewServer(watch.ServerOptions{ValidFor: func() time.Duration { return 10 * time.Second }})}
 	s.ctx, s.stop = context.WithCancel(context.Background())
@@ -48,11 +49,12 @@
 	return s
 }
 
-// Serve answers at an address until the testbed ends.
+// Serve runs a handler at an address until the testbed ends.
 func (s *Testbed) Serve(address string, handler http.Handler) {
 	s.serve(address, handler, func(_ *http.Server, listener net.Listener) net.Listener { return listener })
 }
 
+// serve runs an HTTP server until the testbed ends.
 func (s *Testbed) serve(address string, handler http.Handler, wrap func(*http.Server, net.Listener) net.Listener) {
 	server := &http.Server{Handler: handler}
 	listener := wrap(server, must(s.Net.Host(host(address)).Listen(address)))
@@ -60,7 +62,7 @@
 	s.running.Go(func() { <-s.ctx.Done(); _ = server.Close() }) // it ends with the testbed
 }
 
-// Publish has the agent pass on a settled content of a key, in place of the one before.
+// Publish has the agent forward a committed content of a key, in place of the former one.
 func (s *Testbed) Publish(key string, fields register.Fields) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +71,7 @@
 	s.Source.Publish(key, revision, revision, fields, true)
 }
 
-// Repeat does a thing now and again and again, counting, until the testbed ends.
+// Repeat runs a function at once and then at an interval, with its count, until the testbed ends.
 func (s *Testbed) Repeat(step time.Duration, do func(number uint64)) {
 	s.running.Go(func() {
 		for number := uint64(1); s.ctx.Err() == nil; number++ {
@@ -79,7 +81,7 @@
 	})
 }
 
-// Configure passes on a configuration with its replicas, and waits until the router has both.
+// Configure publishes a configuration with its replicas, and waits until the router has both.
 func (s *Testbed) Configure(b *config.Config, replicas ...config.Replica) {
 	listed := register.Fields{}
 	for _, r := range replicas {
