--- a/relaytest/acts.go
+++ b/relaytest/acts.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// act is what a replica does with a request. It gives whether the connection is kept.
+// act is what a replica does with a request. It reports whether the connection is kept.
 type act struct {
 	name   string
 	proper bool
@@ -14,7 +14,7 @@
 	do     func(l *line, r *Run, q *http.Request) bool
 }
 
-// Acts names what replicas may do with a request.
+// Acts lists what replicas may do with a request, by name.
 func Acts() (names []string) {
 	for _, a := range acts {
 		names = append(names, a.name)
@@ -22,7 +22,7 @@
 	return names
 }
 
-// chosen gives the acts of a mix: all of them, or whole answers and one other in equal parts.
+// chosen returns the acts of a mix: all of them, or whole answers and one other in equal shares.
 func chosen(only string) []act {
 	for _, a := range acts {
 		if a.name == only {
@@ -33,6 +33,7 @@
 	return acts
 }
 
+// acts are the implementations, by name.
 var acts = []act{
 	{"whole", true, 60, func(l *line, r *Run, q *http.Request) bool {
 		head, body := l.answerTo(r, q)
--- a/relaytest/client.go
+++ b/relaytest/client.go
@@ -15,14 +15,14 @@
 	host     = "a.example"
 )
 
-// caller is one connection of the client's.
+// caller is one connection of the client.
 type caller struct {
 	w  *World
 	c  aborter
 	in *bufio.Reader
 }
 
-// client plays some connections one after another.
+// client runs some connections one after another.
 func (w *World) client(n int) {
 	for i := range 2 + w.draw(4) {
 		w.connection(fmt.Sprintf("%d-%d", n, i))
@@ -30,6 +30,7 @@
 	}
 }
 
+// connect opens a connection to the relay.
 func (w *World) connect() *caller {
 	c, err := w.dial()
 	if err != nil {
@@ -38,7 +39,7 @@
 	return &caller{w, c.(aborter), bufio.NewReader(c)}
 }
 
-// connection asks a few requests, and ends with one that may be odd.
+// connection sends a few requests, and ends with one that may be irregular.
 func (w *World) connection(name string) {
 	k := w.connect()
 	defer k.c.Close()
@@ -76,7 +77,7 @@
 	k.listenOn()
 }
 
-// compose draws a request, and notes that it is sent.
+// compose draws a request and records it as sent.
 func (w *World) compose(tag string) (s *Sent, text string) {
 	kind := Kind(w.draw(int(kinds)))
 	if kind == Resumable && w.Speech.LastHeader == "" {
@@ -113,23 +114,26 @@
 	return s, request(s, lines) + text
 }
 
+// request returns a request's head.
 func request(s *Sent, lines []string) string {
 	return s.Method + " " + s.Target + " HTTP/1.1\r\nHost: " + host + "\r\n" + strings.Join(lines, "\r\n") + "\r\n\r\n"
 }
 
+// find returns what the client has sent under a tag.
 func (w *World) find(tag string) *Sent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.sent[tag]
 }
 
+// take records what the client received.
 func (w *World) take(g Got) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.got = append(w.got, g)
 }
 
-// write sends some bytes, in pieces at times.
+// write sends bytes, sometimes in several writes.
 func (k *caller) write(text string) bool {
 	for len(text) > 0 {
 		n := len(text)
@@ -153,7 +157,7 @@
 	return k.read(s, Got{Patient: true})
 }
 
-// astray asks for what there is no path to: the relay answers by itself.
+// astray requests a path that has no route: the relay answers by itself.
 func (k *caller) astray(tag string) (open bool) {
 	s := &Sent{Tag: tag, Kind: Once, Method: "GET", Target: "/nowhere/x", Times: 1}
 	k.w.mu.Lock()
@@ -164,7 +168,7 @@
 	return k.read(s, Got{Patient: true})
 }
 
-// pipeline sends two or three at once.
+// pipeline sends two or three requests at once.
 func (k *caller) pipeline(tag string) (open bool) {
 	var all []*Sent
 	var complete string
@@ -181,7 +185,7 @@
 	return true
 }
 
-// leaveMidway breaks off in the midst of a request.
+// leaveMidway closes the connection within a request.
 func (k *caller) leaveMidway(tag string) {
 	_, text := k.w.compose(tag)
 	k.write(text[:k.w.draw(len(text))])
@@ -189,7 +193,7 @@
 	k.leave()
 }
 
-// leaveWaiting breaks off before the answer, or in the midst of it.
+// leaveWaiting closes the connection before the answer or within it.
 func (k *caller) leaveWaiting(tag string) {
 	_, text := k.w.compose(tag)
 	k.write(text)
@@ -201,13 +205,14 @@
 	k.leave()
 }
 
+// leave closes the connection.
 func (k *caller) leave() {
 	if k.w.draw(2) == 0 {
 		k.c.Abort()
 	}
 }
 
-// halfClose sends a request and the end of what it has to say.
+// halfClose sends a request and then closes the outgoing direction.
 func (k *caller) halfClose(tag string) {
 	s, text := k.w.compose(tag)
 	k.write(text)
@@ -215,7 +220,7 @@
 	k.read(s, Got{})
 }
 
-// again sends a request, leaves, and sends the same one once more on another connection.
+// again sends a request, closes, and sends the same request on another connection.
 func (k *caller) again(tag string) {
 	s, text := k.w.compose(tag)
 	k.write(text)
@@ -234,7 +239,7 @@
 	second.read(s, Got{})
 }
 
-// plain asks a request that may not be repeated, for which a proper answer is due.
+// plain sends a request that may not be repeated, and to which a regular answer must come.
 func (w *World) plain(tag string) {
 	k := w.connect()
 	defer k.c.Close()
@@ -247,7 +252,7 @@
 	k.read(s, Got{Patient: true})
 }
 
-// smuggle sends a request whose end is told in more than one way, with another one inside.
+// smuggle sends a request whose length is given in conflicting ways, with another request inside its body.
 func (k *caller) smuggle(tag string) {
 	w := k.w
 	inner := &Sent{Tag: tag + "-inner", Kind: Once, Method: "POST", Target: w.Speech.Path(Once) + "smuggled", Smuggled: true}
@@ -293,7 +298,7 @@
 	}
 }
 
-// read takes one answer. What it gives says whether the connection may be used for another request.
+// read receives one answer and reports whether the connection may carry another request.
 func (k *caller) read(s *Sent, g Got) (open bool) {
 	g.Tag, g.From = s.Tag, time.Now()
 	defer func() { k.w.take(g) }()
@@ -320,7 +325,7 @@
 	return g.Complete && !answer.Close
 }
 
-// listenOn waits on a connection on which no request is under way: nothing may come.
+// listenOn waits on a connection without a request in progress: nothing may arrive.
 func (k *caller) listenOn() {
 	_ = k.c.SetReadDeadline(time.Now().Add(200 * time.Millisecond)) // a connection that is gone ends the read as well
 	if stray, err := k.in.Peek(1); err == nil {
--- a/relaytest/judge.go
+++ b/relaytest/judge.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Rule that a mix may break.
+// Rule is a rule that a mix may break.
 type Rule string
 
-// The rules that are judged.
+// The rules that are checked.
 const (
 	Mixed   Rule = "MIXED"   // an answer that is not the replica's whole one to this very request
 	Unasked Rule = "UNASKED" // a run of what nobody has sent, or of a request that was changed
@@ -19,17 +19,19 @@
 	Stuck   Rule = "STUCK"   // no service any more after the trouble
 )
 
-// Finding is one breach.
+// Finding is one breach of a rule.
 type Finding struct {
 	Rule Rule
 	Text string
 }
 
+// String names the rule and what broke it.
 func (f Finding) String() string { return string(f.Rule) + ": " + f.Text }
 
-// promises are the statuses that say: not run, and never will be.
+// promises are the statuses that guarantee: not executed, now or later.
 var promises = map[int]bool{408: true, 421: true, 429: true, 503: true}
 
+// check is one comparison of ledgers.
 type check struct {
 	*World
 	byStamp map[string]*Run
@@ -58,6 +60,7 @@
 	return j.found
 }
 
+// add records a breach.
 func (j *check) add(rule Rule, tag, format string, args ...any) {
 	var acts []string
 	for _, r := range j.byTag[tag] {
@@ -66,6 +69,7 @@
 	j.found = append(j.found, Finding{rule, fmt.Sprintf("%s: %s; replicas: %s", tag, fmt.Sprintf(format, args...), strings.Join(acts, ", "))})
 }
 
+// run checks what a replica received.
 func (j *check) run(r *Run) {
 	s := j.sent[r.Tag]
 	switch {
@@ -78,6 +82,7 @@
 	}
 }
 
+// twice checks that a request without the right to be repeated ran at most once.
 func (j *check) twice(s *Sent) {
 	executed, promised := 0, 0
 	for _, r := range j.byTag[s.Tag] {
@@ -100,6 +105,7 @@
 	}
 }
 
+// answer checks what the client received.
 func (j *check) answer(g Got) {
 	s := j.sent[g.Tag]
 	switch {
@@ -118,7 +124,7 @@
 	}
 }
 
-// silence judges a connection that ended, or stayed open, without an answer.
+// silence checks a connection that ended, or stayed open, without an answer.
 func (j *check) silence(g Got) {
 	if !g.Patient {
 		return
@@ -131,7 +137,7 @@
 	j.add(Lost, g.Tag, "no answer: %v", g.Why)
 }
 
-// stamped judges an answer that is said to be a replica's.
+// stamped checks an answer that claims to come from a replica.
 func (j *check) stamped(s *Sent, g Got) {
 	r := j.byStamp[g.Stamp]
 	switch {
@@ -153,7 +159,7 @@
 	}
 }
 
-// stream judges the pieces of a stream: a prefix of what is due, and all of it if the answer looks complete.
+// stream checks the chunks of a stream: a prefix of the expected ones, and all of them if the answer ended as complete.
 func (j *check) stream(s *Sent, r *Run, g Got) {
 	due := r.Answer
 	if s.Kind == Resumable {
--- a/relaytest/replica.go
+++ b/relaytest/replica.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// aborter is a connection of the simulated network.
+// aborter is a connection of the simulated network that can be reset.
 type aborter interface {
 	net.Conn
 	Abort()
 	ShutWrite()
 }
 
-// listen has a replica at an address until the context ends.
+// listen runs a replica at an address until the context ends.
 func (w *World) listen(ctx context.Context, running *sync.WaitGroup, address string) {
 	host, _, _ := net.SplitHostPort(address)
 	listener, err := w.Testbed.Net.Host(host).Listen(address)
@@ -54,6 +54,7 @@
 	carried []string
 }
 
+// serve answers the requests of a connection.
 func (l *line) serve() {
 	defer l.c.Close()
 	for {
@@ -93,19 +94,21 @@
 	}
 }
 
+// isTame reports whether replicas answer regularly by now.
 func (w *World) isTame() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.tamed
 }
 
+// note runs a change of the ledger under the lock.
 func (w *World) note(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 }
 
-// arrive draws what becomes of a request. It counts as run unless the act says otherwise.
+// arrive draws what happens to a request. It counts as executed unless the act says otherwise.
 func (w *World) arrive(q *http.Request, body string) (act, *Run) {
 	total := 0
 	for _, a := range w.acts {
@@ -131,7 +134,7 @@
 	return chosen, r
 }
 
-// head writes an answer's first lines.
+// head returns an answer's status line and header fields.
 func (w *World) head(status int, id string, r *Run, more ...string) string {
 	lines := []string{fmt.Sprintf("HTTP/1.1 %03d Status", status), w.Speech.IDHeader + ": " + id}
 	if r.Stamp != "" {
@@ -140,7 +143,7 @@
 	return strings.Join(append(lines, more...), "\r\n") + "\r\n\r\n"
 }
 
-// answerTo makes the whole answer of a run, and notes it in the ledger.
+// answerTo returns the whole answer of a run and records it in the ledger.
 func (l *line) answerTo(r *Run, q *http.Request) (head, body string) {
 	w, id := l.w, q.Header.Get(l.w.Speech.IDHeader)
 	sent := w.find(r.Tag)
@@ -174,7 +177,7 @@
 	return w.head(status, id, r, framed...), onWire
 }
 
-// chunked cuts a body into some chunks, with the last one of no size.
+// chunked encodes a body in some chunks and the final empty one.
 func chunked(body string, n int) (text string) {
 	step := len(body)/n + 1
 	for len(body) > 0 {
@@ -185,7 +188,7 @@
 	return text + "0\r\n\r\n"
 }
 
-// send writes some bytes in pieces.
+// send writes bytes, sometimes in several writes.
 func (l *line) send(text string) bool {
 	for len(text) > 0 {
 		n := len(text)
@@ -202,12 +205,14 @@
 	return true
 }
 
+// finish sends an answer and records whether all of it was written.
 func (l *line) finish(r *Run, text string) bool {
 	sent := l.send(text)
 	l.w.note(func() { r.Complete = sent })
 	return sent
 }
 
+// refusal returns an answer that promises that the request was not executed.
 func (l *line) refusal(r *Run, q *http.Request, id string) string {
 	w := l.w
 	answered := w.Speech.Refusals[w.draw(len(w.Speech.Refusals))]
@@ -220,13 +225,13 @@
 	return text
 }
 
-// foreignID gives the id of a request that this connection carried before, one that there never was, or none.
+// foreignID returns the ID of an earlier request of this connection, one that never existed, or none.
 func (l *line) foreignID() string {
 	ids := append([]string{"", "no-such-id"}, l.carried...)
 	return ids[l.w.draw(len(ids))]
 }
 
-// foreign is an answer that belongs to another request.
+// foreign returns an answer that belongs to another request.
 func (l *line) foreign(r *Run, q *http.Request) string {
 	id := l.foreignID()
 	if l.w.draw(2) == 0 {
@@ -241,7 +246,7 @@
 	return text + body
 }
 
-// breakOff ends the connection one way or the other.
+// breakOff ends the connection by a close or a reset.
 func (l *line) breakOff() bool {
 	if l.w.draw(2) == 0 {
 		l.c.Abort()
--- a/relaytest/seeds.go
+++ b/relaytest/seeds.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 )
 
-// PlaySeeds plays a mix for each seed, and fails for each finding under the seed that plays it again.
+// PlaySeeds plays a mix for each seed. Each finding fails the test under the seed that reproduces it.
 func PlaySeeds(t *testing.T, m Mix, count int) {
 	t.Helper()
 	Quiet(t)
@@ -37,7 +37,7 @@
 	}
 }
 
-// Quiet keeps net/http's words on broken connections out of a test's output. A handler that panics fails the test.
+// Quiet discards the log lines of net/http about broken connections. A handler that panics fails the test.
 func Quiet(t *testing.T) {
 	t.Helper()
 	before := log.Writer()
@@ -45,7 +45,7 @@
 	t.Cleanup(func() { log.SetOutput(before) })
 }
 
-// panics is a log that looks for net/http's word on a handler that panicked.
+// panics is a log writer that looks for the line of net/http about a handler that panicked.
 type panics struct{ t *testing.T }
 
 // Write implements io.Writer.
--- a/relaytest/world.go
+++ b/relaytest/world.go
@@ -17,10 +17,10 @@
 	"asterridge/sim"
 )
 
-// Kind of a route.
+// Kind is the kind of a route.
 type Kind int
 
-// The kinds of routes. A stream may not be repeated, unless it may be resumed.
+// The kinds of routes. A stream may not be repeated unless it may be resumed.
 const (
 	Repeatable Kind = iota
 	Once
@@ -29,14 +29,14 @@
 	kinds
 )
 
-// Refusal is a replica's answer that promises that the request has not run.
+// Refusal is a replica's answer that promises that the request was not executed.
 type Refusal struct {
 	Status int
 	Lines  []string
 	Body   string
 }
 
-// Speech is how client and replicas speak with the relay.
+// Speech is the form in which client and replicas communicate with the relay.
 type Speech struct {
 	Dialect     router.Protocol
 	TagHeader   string // the client's name for a request; the relay hands it on
@@ -53,7 +53,7 @@
 	Declare     func(s *sim.Testbed)
 }
 
-// Replicas are the addresses that Declare has to name.
+// Replicas are the addresses that the relay has to be configured with.
 var Replicas = []string{"10.0.2.1:80", "10.0.2.2:80"}
 
 // Sent is what the client has sent under one tag.
@@ -65,10 +65,10 @@
 	Smuggled                  bool // inside another request: nobody has sent it
 }
 
-// IsRepeatable says whether the request may run more than once.
+// IsRepeatable reports whether the request may be executed more than once.
 func (s *Sent) IsRepeatable() bool { return s.Kind == Repeatable || s.Kind == Resumable }
 
-// Run is what a replica did with one arrival.
+// Run is what a replica did with one arrival of a request.
 type Run struct {
 	Tag, Method, Target, Body string
 	Stamp                     string
@@ -82,7 +82,7 @@
 	Ended                     time.Time // of what it sent; zero: not yet
 }
 
-// Got is what the client got in the place of an answer.
+// Got is what the client received as an answer.
 type Got struct {
 	Tag      string
 	Status   int // 0: nothing
@@ -97,7 +97,7 @@
 	From     time.Time // when the client began to wait
 }
 
-// World is one seeded mix.
+// World is one seeded mix of client and replica behavior.
 type World struct {
 	Speech  Speech
 	Testbed *sim.Testbed
@@ -113,12 +113,13 @@
 	acts   []act
 }
 
-// Relay is what stands between client and replicas, in place of a router.
+// Relay is what stands between client and replicas in a router's place.
 type Relay func(s *sim.Testbed, speech Speech) http.Handler
 
+// relayAddress is the address at which the relay serves.
 const relayAddress = "10.0.1.1:7009"
 
-// Mix says what is played.
+// Mix configures what is played.
 type Mix struct {
 	Seed   uint64
 	Speech Speech
@@ -127,7 +128,7 @@
 	Relay  Relay  // judged in the router's place; nil: the router
 }
 
-// Play runs one mix inside a synctest bubble and gives what the judge found.
+// Play runs one mix inside a synctest bubble and returns the findings.
 func Play(m Mix) []Finding {
 	m.Router.Protocol, m.Router.Seed = m.Speech.Dialect, m.Seed
 	w := &World{Speech: m.Speech, Testbed: sim.NewTestbed(m.Router), Address: sim.TestbedAddress,
@@ -154,7 +155,7 @@
 	return w.judge()
 }
 
-// settle has the replicas answer by the book, and asks until all of the relay's slots must have been used.
+// settle makes replicas answer regularly, and sends requests until every slot of the relay must have been used.
 func (w *World) settle() {
 	w.mu.Lock()
 	w.tamed = true
@@ -165,21 +166,24 @@
 	}
 }
 
+// draw returns a random number below a bound.
 func (w *World) draw(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.random.IntN(n)
 }
 
+// pause waits for a random time.
 func (w *World) pause(most time.Duration) {
 	time.Sleep(time.Duration(w.draw(int(most/time.Millisecond)+1)) * time.Millisecond)
 }
 
+// dial connects to the relay.
 func (w *World) dial() (net.Conn, error) {
 	return w.Testbed.Net.Host(sim.CallerIP).DialContext(context.Background(), "tcp", w.Address)
 }
 
-// pieces of a stream, by its tag.
+// pieces returns the number of chunks of a stream, by its tag.
 func pieces(tag string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(tag)) // a hash never fails
