--- a/cmd/localfleet/chaos.go
+++ b/cmd/localfleet/chaos.go
@@ -16,7 +16,7 @@
 	"asterridge/membership"
 )
 
-// chaos brings faults about, drawn from the seed.
+// chaos injects faults drawn from the seed.
 type chaos struct {
 	*fleet
 	ctx    context.Context
@@ -26,6 +26,7 @@
 	spared int
 }
 
+// nothing is the undo of a fault that ends by itself.
 func nothing() error { return nil }
 
 func (c *chaos) core() int { return c.present()[c.random.IntN(len(c.present()))] }
@@ -50,7 +51,7 @@
 	return []string{fmt.Sprintf("agent-%d", i+1), fmt.Sprintf("proxy-%d", i+1)}
 }
 
-// machine draws the IP of a core or of a proxy's machine.
+// machine draws the IP address of a core or of a proxy's machine.
 func (c *chaos) machine() string {
 	if c.random.IntN(2) == 0 {
 		return ipOf(c.cores[c.core()])
@@ -69,7 +70,7 @@
 	return names[c.random.IntN(len(names))]
 }
 
-// kill ends processes at once, those that run; its undo starts them again.
+// kill kills those of the processes that run; its undo starts them again.
 func (c *chaos) kill(s syscall.Signal, names ...string) (func() error, error) {
 	names = slices.DeleteFunc(names, func(name string) bool { return !c.runs(name) })
 	return func() error { return c.ensure(names...) }, c.end(s, names...)
@@ -79,7 +80,7 @@
 	c.orders.Go(func() { _, _ = c.order(c.ctx, name, order) }) // the fact log has how it ended
 }
 
-// reportReplica is the platform's word on a replica; its words come one after another.
+// reportReplica sends the platform's update about a replica. Updates are sent one after another.
 func (c *chaos) reportReplica(name, state string) {
 	pool, _, _ := strings.Cut(name, "-")
 	c.orders.Wait()
@@ -91,7 +92,7 @@
 	c.sendReplicaUpdate(config.Key, controlplane.ConfigChange{Partial: true, Text: fmt.Appendf(nil, format, args...)})
 }
 
-// wipe loses a core's disk and starts the core anew, as a joiner.
+// wipe empties a core's disk and starts the core again, as one that is not a member.
 func (c *chaos) wipe(i int) error {
 	c.harmed = coreName(i)
 	if _, err := c.kill(syscall.SIGKILL, c.harmed); err != nil {
@@ -117,7 +118,7 @@
 	}
 }
 
-// try orders a change of the members under whatever faults there are; what does not come about is made good at the end.
+// try orders a membership change under the present faults. A change that fails is made up for at the end.
 func (c *chaos) try(do, name string) {
 	for range 6 {
 		if _, err := c.order(c.ctx, "members", membership.Change{Action: membership.Action(do), Name: name}); err == nil {
@@ -127,7 +128,7 @@
 	}
 }
 
-// scriptOf makes a script of one fault: it stands for 4 s.
+// scriptOf returns a script with one fault that lasts 4 s.
 func scriptOf(made fault) script {
 	return script{made.name, made.purpose, func(ctx context.Context, f *fleet) error {
 		return newChaos(ctx, f).bring([]fault{made}, 1)
@@ -138,10 +139,10 @@
 	return &chaos{fleet: f, ctx: ctx, random: rand.New(rand.NewPCG(f.options.seed, 9))}
 }
 
-// random brings about faults drawn from the seed, up to three at a time.
+// random injects faults drawn from the seed, up to three at a time.
 func random(ctx context.Context, f *fleet) error { return newChaos(ctx, f).bring(faults, 12) }
 
-// bring brings about so many of the faults, undoes them all, and starts what is dead.
+// bring injects that many faults, undoes them all, and starts what is dead.
 func (c *chaos) bring(among []fault, count int) error {
 	type activeFault struct {
 		until time.Time
--- a/cmd/localfleet/faults.go
+++ b/cmd/localfleet/faults.go
@@ -17,13 +17,14 @@
 	"asterridge/router"
 )
 
-// fault is something that happens while the callers ask, and what undoes it. Each is a script of its own, too.
+// fault returns a function that undoes it. Each fault is also a script of its own.
 type fault struct {
 	name, purpose string
 	harm          bool // costs a disk
 	do            func(c *chaos) (undo func() error, err error)
 }
 
+// faults lists all faults by name.
 var faults = []fault{
 	{"cut", "a machine is cut off both ways", false, func(c *chaos) (func() error, error) {
 		ip := c.machine()
@@ -256,7 +257,7 @@
 	}},
 }
 
-// repair is what operators do when all machines are back: members that are gone are retired, joiners admitted.
+// repair does what operators do once all machines are back: it retires lost members and admits new ones.
 func (f *fleet) repair(ctx context.Context) error {
 	return eventually(ctx, 60*time.Second, "the members are what they should be", func() bool {
 		rows := f.query("members")
--- a/cmd/localfleet/fleet.go
+++ b/cmd/localfleet/fleet.go
@@ -44,7 +44,7 @@
 
 const fleetName = "loopback"
 
-// place gives a free port on a loopback address of its own for each machine.
+// place returns a free port on a loopback address of its own for each machine.
 func place(machine int) (string, error) {
 	ip := fmt.Sprintf("127.0.%d.%d", 1+machine/200, 1+machine%200)
 	l, err := net.Listen("tcp", ip+":0")
@@ -67,7 +67,7 @@
 	return all, nil
 }
 
-// start brings up cores, replicas, agents and proxies, and has the deployment's configuration accepted.
+// start starts cores, replicas, agents and proxies, and applies the deployment's configuration.
 func start(ctx context.Context, o options) (*fleet, error) {
 	f := &fleet{options: o, rpc: rpc.NewClient(fleetName, &rpc.TCP{}), processes: map[string]*process{}, replicas: map[string]string{}, relays: newRelays(), gone: map[int]bool{}}
 	for i := range 4 {
@@ -98,7 +98,7 @@
 	return f, err
 }
 
-// placeCore gives a core its address, with a relay before it.
+// placeCore gives a core its address, behind a relay.
 func (f *fleet) placeCore(machine int) error {
 	listen, err := place(machine)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// startReplica starts a fake behind a relay.
+// startReplica starts a fake replica behind a relay.
 func (f *fleet) startReplica(name, kind string, machine int) error {
 	listen, err := place(machine)
 	if err != nil {
@@ -178,7 +178,7 @@
 		"-address", at[2], "-agent", at[1], "-admin", at[3], "-grace_ms", "3000", "-index", strconv.Itoa(f.options.index))
 }
 
-// configure gives the fleet its configuration, keys and replicas.
+// configure applies the fleet's configuration, keys and replicas.
 func (f *fleet) configure(ctx context.Context) error {
 	text, err := os.ReadFile(filepath.Join(f.options.examples, f.options.deployment, "config.json"))
 	if err != nil {
@@ -232,14 +232,14 @@
 	})
 }
 
-// spare is a tenant's second key, which faults may revoke.
+// spare returns a tenant's second key, which faults may revoke.
 func (f *fleet) spare(tenant string) string {
 	return fmt.Sprintf("%s-spare-%d", tenant, f.options.seed)
 }
 
 func (f *fleet) path(name string) string { return filepath.Join(f.options.data, name) }
 
-// play runs the callers and, meanwhile, the script.
+// play runs the clients and, meanwhile, the script.
 func (f *fleet) play(ctx context.Context, s script) error {
 	var keys []string
 	for _, c := range f.keys {
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -100,7 +100,7 @@
 	return os.MkdirAll(o.data, 0o755)
 }
 
-// script is what happens while the callers ask.
+// script is what happens while the clients send requests.
 type script struct {
 	name, purpose string
 	play          func(ctx context.Context, f *fleet) error
@@ -120,7 +120,7 @@
 	return script{}, fmt.Errorf("script: there is no %q; see fleet -h", name)
 }
 
-// eventually asks again and again, within the limit, until the question is answered with yes.
+// eventually repeats a question within the limit until the answer is yes.
 func eventually(ctx context.Context, limit time.Duration, what string, so func() bool) error {
 	ctx, stop := context.WithTimeout(ctx, limit)
 	defer stop()
--- a/cmd/localfleet/orders.go
+++ b/cmd/localfleet/orders.go
@@ -15,7 +15,7 @@
 	"asterridge/rpc"
 )
 
-// order sends a change to the first core that takes it, and notes it as a fact where a rule speaks of it.
+// order sends a change to the first core that accepts it, and records it as a fact where a rule depends on it.
 func (f *fleet) order(ctx context.Context, name string, q any) (controlplane.Accepted, error) {
 	var last error
 	for _, core := range f.cores {
@@ -33,7 +33,7 @@
 	return controlplane.Accepted{}, last
 }
 
-// query asks the first core that answers.
+// query returns the rows of the first core that answers.
 func (f *fleet) query(what string) []router.Row {
 	for _, core := range f.cores {
 		if all := f.queryCore(core, what); all != nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// queryCore gives one core's rows; nil if it does not answer.
+// queryCore returns one core's rows, or nil if it does not answer.
 func (f *fleet) queryCore(core, what string) []router.Row {
 	short, stop := context.WithTimeout(context.Background(), 3*time.Second)
 	defer stop()
@@ -51,7 +51,7 @@
 	return a.Rows
 }
 
-// isFounded says whether every core is a member and sees a majority.
+// isFounded reports whether every core is a member and reaches a majority.
 func (f *fleet) isFounded() bool {
 	for _, core := range f.cores {
 		if !isReady(core) {
@@ -70,7 +70,7 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// areReady says whether all proxies are ready and have the newest configuration.
+// areReady reports whether all proxies are ready and have the newest configuration.
 func (f *fleet) areReady(least uint64) bool {
 	have := 0
 	for _, row := range f.query("acks") {
--- a/cmd/localfleet/process.go
+++ b/cmd/localfleet/process.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// process is one daemon that this tool started.
+// process is a process that this program has started.
 type process struct {
 	name    string
 	program string
@@ -44,12 +44,12 @@
 	return nil
 }
 
-// signal sends a signal to a process that this tool started.
+// signal sends a signal to a process that this program has started.
 func (f *fleet) signal(name string, s syscall.Signal) error {
 	return f.processes[name].cmd.Process.Signal(s)
 }
 
-// end stops processes, by SIGKILL or SIGTERM, and waits until they are gone.
+// end stops processes with SIGKILL or SIGTERM and waits until they have ended.
 func (f *fleet) end(s syscall.Signal, names ...string) error {
 	for _, name := range names {
 		if err := f.signal(name, s); err != nil {
@@ -76,7 +76,7 @@
 	return f.again(slices.DeleteFunc(slices.Clone(names), f.runs)...)
 }
 
-// again starts processes anew, with what they were started with.
+// again starts processes again with their former arguments.
 func (f *fleet) again(names ...string) error {
 	for _, name := range names {
 		p := f.processes[name]
@@ -97,7 +97,7 @@
 	return all
 }
 
-// stop ends all processes that this tool started: kindly first, then not.
+// stop ends all processes that this program has started: first with SIGTERM, then with SIGKILL.
 func (f *fleet) stop() {
 	for i := len(f.started) - 1; i >= 0; i-- {
 		_ = f.processes[f.started[i]].cmd.Process.Signal(syscall.SIGTERM) // one that has ended already is what is wanted
--- a/cmd/localfleet/relay.go
+++ b/cmd/localfleet/relay.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// relays stand before daemons and replicas and pass on what is sent to them, so that links between machines can be cut, one way or
-// both, slowed and broken. A machine is an IP number here.
+// relays forward connections to processes and replicas, so that links between machines can be cut in one or both directions, slowed and
+// reset. A machine is an IP address here.
 type relays struct {
 	mu     sync.Mutex
 	cuts   map[[2]string]bool // from, to; "" stands for every machine
@@ -21,7 +21,7 @@
 	return &relays{cuts: map[[2]string]bool{}, delays: map[[2]string]time.Duration{}, conns: map[net.Conn][2]string{}, news: make(chan struct{})}
 }
 
-// open makes a relay to a daemon that listens at another port, and gives the relay's address.
+// open starts a relay to a process that listens at another port, and returns the relay's address.
 func (r *relays) open(machine int, target string) (string, error) {
 	at, err := place(machine)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return ip
 }
 
-// join connects both sides, from the caller's own IP.
+// join connects both sides, from the client's own IP address.
 func (r *relays) join(near net.Conn, target string) {
 	from, to := ipOf(near.RemoteAddr().String()), ipOf(target)
 	r.await(from, to)
@@ -66,7 +66,7 @@
 	r.pour(near, far, to, from)
 }
 
-// pour passes bytes on in one direction until it ends; then that direction is shut, and both once both are.
+// pour copies one direction until it ends and then closes it; both sides are closed once both directions have ended.
 func (r *relays) pour(into, out net.Conn, from, to string) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -93,7 +93,7 @@
 	}
 }
 
-// await waits out a cut, and the delay of a slow link.
+// await blocks during a cut, and for the delay of a slow link.
 func (r *relays) await(from, to string) {
 	for {
 		r.mu.Lock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// cut stops what goes from one machine to another, or lets it flow again.
+// cut stops traffic from one machine to another, or lets it flow again.
 func (r *relays) cut(from, to string, isCut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +119,7 @@
 	r.news = make(chan struct{})
 }
 
-// part cuts a machine off both ways, or mends that.
+// part isolates a machine in both directions, or heals that.
 func (r *relays) part(ip string, cut bool) {
 	r.cut(ip, "", cut)
 	r.cut("", ip, cut)
--- a/cmd/localfleet/report.go
+++ b/cmd/localfleet/report.go
@@ -20,7 +20,7 @@
 	f.figures = append(f.figures, fmt.Sprintf(format, args...))
 }
 
-// probe asks every proxy until it answers whole: all machines are back, and service is due.
+// probe sends requests to every proxy until it gives a whole answer: all machines are back, and service has to return.
 func (f *fleet) probe(ctx context.Context) {
 	f.factLog.Add(fake.Fact{Kind: fake.Returned})
 	probing, stop := context.WithTimeout(ctx, 15*time.Second)
@@ -33,7 +33,7 @@
 		}})
 }
 
-// comeToRest has operators repair what they must, and asks what each core and proxy then holds.
+// comeToRest repairs what operators have to, and then reads what each core and proxy holds.
 func (f *fleet) comeToRest(ctx context.Context) error {
 	err := f.repair(ctx)
 	after(ctx, 2*time.Second) // what was undecided is settled, and all have caught up
@@ -47,7 +47,7 @@
 	return err
 }
 
-// noteCounts adds up what the proxies counted.
+// noteCounts sums the proxies' counters.
 func (f *fleet) noteCounts() {
 	sum := map[string]float64{}
 	for _, row := range f.query("counts") {
@@ -84,7 +84,7 @@
 	}
 }
 
-// report checks the ledgers and prints the table; it gives the number of breaches.
+// report checks the ledgers, prints the table and returns the number of breaches.
 func (f *fleet) report() int {
 	l := fake.Ledgers{Asked: readLines[fake.Exchange](f.path("callers.ledger")), Facts: f.factLog.Facts(), Rest: f.rest}
 	fmt.Println(fake.Summary(l.Asked))
--- a/cmd/localfleet/retire.go
+++ b/cmd/localfleet/retire.go
@@ -32,12 +32,12 @@
 
 const adapterRate = 20
 
-// retire moves three adapters to another base under their own callers, and has the old base dropped everywhere.
+// retire moves three adapters to another base under their own clients, and has the old base dropped everywhere.
 func retire(ctx context.Context, f *fleet) error {
 	return move(ctx, f, func(*retirementWatcher) error { return nil })
 }
 
-// retireKill kills the core that has the duty as soon as the first route has switched, and the next one at the first drop.
+// retireKill kills the core that runs the retirement once the first route has switched, and its successor at the first drop.
 func retireKill(ctx context.Context, f *fleet) error {
 	return move(ctx, f, func(w *retirementWatcher) error {
 		for _, step := range []struct{ kind, column, value string }{{"adapter", "phase", "switched"}, {"retirement", "phase", "dropping"}} {
@@ -105,14 +105,14 @@
 	return nil
 }
 
-// tookAnswer keeps a line of the ledger of callers in this process.
+// tookAnswer records an answer to a client of this process.
 func (f *fleet) tookAnswer(a fake.Exchange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.probed = append(f.probed, a)
 }
 
-// retirementWatcher prints a line whenever an adapter or the retirement goes on, and notes in the fact log where routes lead.
+// retirementWatcher prints each step of an adapter or of the retirement, and records the routes in the fact log.
 type retirementWatcher struct {
 	fleet *fleet
 	began time.Time
@@ -125,7 +125,7 @@
 	fmt.Printf("%6.1f s  %s\n", time.Since(w.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// count looks at the retirement, and says how many rows of a kind have a value in a column.
+// count reads the retirement and returns the number of rows of a kind with a value in a column.
 func (w *retirementWatcher) count(kind, column, value string) (n int) {
 	for _, row := range w.fleet.query("retirement") {
 		name, line := fmt.Sprint(row["name"]), fmt.Sprintf("%s %s: %s", row["kind"], row["name"], row["phase"])
@@ -156,8 +156,7 @@
 	return n
 }
 
-// noteAnswers makes the table: by second and adapter, how many whole answers there were from a single run, and how many of them from the
-// moved adapter.
+// noteAnswers prints by second and adapter how many whole answers came from a single run, and how many of those from the moved adapter.
 func (f *fleet) noteAnswers(began time.Time) {
 	runs := map[string][]fake.Run{}
 	for name := range f.replicas {
--- a/cmd/localfleet/scripts.go
+++ b/cmd/localfleet/scripts.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// throttle measures how long it takes from the first refusal until all proxies hold.
+// throttle measures the time from the first refusal until all proxies apply the throttle.
 func throttle(ctx context.Context, f *fleet) error {
 	after(ctx, 3*time.Second)
 	tenant := f.keys[0].Tenant
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// stay leaves the fleet to the user.
+// stay leaves the fleet running for the user.
 func stay(ctx context.Context, f *fleet) error {
 	fmt.Printf("ask it: %s -fleet %s -cores %s show acks\n", filepath.Join(f.options.bin, "asterridgectl"), fleetName, strings.Join(f.cores, ","))
 	fmt.Printf("a proxy: http://%s/v1/chat/completions with key %s\n", f.proxies[0], f.keys[0].Access)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// large measures how long a very large configuration and small changes upon it take, to the operator's yes and to the last proxy.
+// large measures the time that a very large configuration, and small changes to it, take to the operator's answer and to the last proxy.
 func large(ctx context.Context, f *fleet) error {
 	after(ctx, 2*time.Second)
 	var more []map[string]any
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// change has a small change accepted, and notes how long that and the way to the last proxy took.
+// change applies a small change and records how long that and the way to the last proxy took.
 func (f *fleet) change(ctx context.Context, what string, weight int) error {
 	began := time.Now()
 	text := fmt.Appendf(nil, `{"tenants":[{"name":%q,"weight":%d}]}`, f.keys[0].Tenant, weight)
--- a/cmd/scalebench/backend.go
+++ b/cmd/scalebench/backend.go
@@ -12,14 +12,14 @@
 	"asterridge/rpc"
 )
 
-// hollowBackend lists replicas that do not exist, and makes up the news of what they keep.
+// hollowBackend lists replicas that do not exist, and generates cache updates of them.
 type hollowBackend struct {
 	setup setup
 	mu    sync.Mutex
 	news  map[string]*cacheUpdates
 }
 
-// cacheUpdates is what one replica keeps: a window of numbered blocks that moves on.
+// cacheUpdates is the generated cache of one replica: a moving window of numbered blocks.
 type cacheUpdates struct {
 	first, next int
 	at          time.Time
@@ -38,7 +38,7 @@
 		Models: map[string]uint64{modelName(i % models): 1}}
 }
 
-// List gives the replicas, at addresses that nobody calls.
+// List returns the replicas, at addresses that nobody connects to.
 func (b *hollowBackend) List(context.Context) (all []config.Replica, err error) {
 	for i := range b.setup.Replicas {
 		all = append(all, hollowReplica(i, b.setup.Models, fmt.Sprintf("127.3.%d.%d:9", 1+i/200, 1+i%200)))
@@ -46,7 +46,7 @@
 	return all, nil
 }
 
-// Versions says that each replica has the first version.
+// Versions reports the first version for each replica.
 func (b *hollowBackend) Versions(_ context.Context, r config.Replica) (map[string]uint64, bool, error) {
 	return r.Models, false, nil
 }
@@ -59,7 +59,7 @@
 // Load does nothing.
 func (b *hollowBackend) Load(context.Context, config.Replica, controlplane.Order) error { return nil }
 
-// CachedBlocks gives all that is kept at first, and then as many events as the rate has it: half of them blocks got, half dropped.
+// CachedBlocks returns the whole cache at first, and then as many events as the rate demands: half of them blocks gained, half lost.
 func (b *hollowBackend) CachedBlocks(ctx context.Context, address string, from controlplane.CacheOffset, wait time.Duration) (controlplane.CacheUpdate, error) {
 	key := func(n int) string { return fmt.Sprintf("common@1/%s/%016x", address[6:], uint64(n)*0x9e3779b97f4a7c15) }
 	b.mu.Lock()
--- a/cmd/scalebench/child.go
+++ b/cmd/scalebench/child.go
@@ -29,7 +29,7 @@
 	"asterridge/rpc"
 )
 
-// setup says which daemons a child has, and how they are set.
+// setup configures a child: which processes' code it runs, and their settings.
 type setup struct {
 	Role     string // cores, agents or proxies
 	Count    int
@@ -51,7 +51,7 @@
 	Failure   string
 }
 
-// order asks a child for something.
+// order is a command to a child.
 type order struct {
 	Do   string // sample, collect (the same after a collection), or restart
 	Core int
@@ -75,13 +75,13 @@
 	Failure     string
 }
 
-// inForce is how many daemons use a version of the configuration, and since when the last of them does.
+// inForce is how many processes use a version of the configuration, and since when the last of them does.
 type inForce struct {
 	Count int
 	Last  time.Time
 }
 
-// journal reads the daemons' log lines for what they say of versions and currency.
+// journal counts the log lines about versions and currency.
 type journal struct {
 	mu      sync.Mutex
 	current map[string]bool
@@ -100,7 +100,7 @@
 	viewMessage     = "routing view updated"
 )
 
-// Write takes one line of a process's log.
+// Write takes one log line of a process.
 func (j *journal) Write(line []byte) (int, error) {
 	var entry struct {
 		Message string `json:"message"`
@@ -129,7 +129,7 @@
 
 const fleetName = "hollow"
 
-// child runs the daemons of one role.
+// child runs the processes of one role.
 type child struct {
 	setup   setup
 	ctx     context.Context
@@ -142,14 +142,14 @@
 	all     sync.WaitGroup
 }
 
-// running is a core that can be started again on its own disk.
+// running is a core that can be restarted on its own disk.
 type running struct {
 	host  daemon.Host
 	stop  context.CancelFunc
 	ended chan struct{}
 }
 
-// serveChild runs a child on these hosts by the orders that come, until they end.
+// serveChild runs a child on these hosts and executes its commands until they end.
 func serveChild(in io.Reader, out io.Writer, on hosts) error {
 	lines, answers := bufio.NewReader(in), json.NewEncoder(out)
 	asked := json.NewDecoder(lines)
@@ -212,7 +212,7 @@
 		Net: network, Log: c.log.With().Str("daemon", name).Logger()}
 }
 
-// hosts gives the network as a host sees it that has this IP number.
+// hosts returns the network as seen by the host with an IP address.
 type hosts func(ip string) rpc.Network
 
 // onLoopback are hosts on this machine, at loopback addresses of their own.
@@ -275,7 +275,7 @@
 	return nil
 }
 
-// restart ends a core and starts it again at its address with its disk.
+// restart stops a core and starts it again at its address with its disk.
 func (c *child) restart(i int) error {
 	if i >= len(c.cores) {
 		return fmt.Errorf("no core %d here", i)
@@ -289,13 +289,13 @@
 	return c.runCore(i, l)
 }
 
-// reportingProtocol is that of a fleet whose replicas do not report to agents: the cores tell of them.
+// reportingProtocol is the protocol of a fleet whose replicas do not report to agents; the cores forward their load.
 type reportingProtocol struct{ router.ChatProtocol }
 
 // ReportPath is empty.
 func (reportingProtocol) ReportPath() string { return "" }
 
-// platformBounds are such as the users' deployments have.
+// platformBounds are bounds like those of the users' deployments.
 var platformBounds = deployment.Bounds{RevocationClosed: true, KeyRevocation: 5 * time.Second, ConfigApply: 12 * time.Second, ModelVersion: 20 * time.Second, Lease: 3 * time.Second,
 	Drain: 3 * time.Second, Grace: 5 * time.Second, GossipInterval: 1200 * time.Millisecond, MemoryMB: 64}
 
@@ -321,7 +321,7 @@
 	return s, nil
 }
 
-// startProxies starts the routers with all that follows their agents; no caller reaches them.
+// startProxies starts the routers with everything that follows their agents; no client connects to them.
 func (c *child) startProxies() (s started, err error) {
 	for i, agent := range c.setup.Agents {
 		host := c.place("proxy", i, zones, agent)
@@ -377,7 +377,7 @@
 
 func seconds(t unix.Timeval) float64 { return float64(t.Sec) + float64(t.Usec)/1e6 }
 
-// resident is the memory of this process that is in the machine's.
+// resident returns this process's resident memory.
 func resident() uint64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	fields := strings.Fields(string(raw))
@@ -388,7 +388,7 @@
 	return pages * uint64(os.Getpagesize())
 }
 
-// serveReports answers as replicas of our own interface do, for agents that poll them.
+// serveReports answers the agents' polls as replicas with our own interface do.
 func serveReports(l net.Listener) {
 	_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { // it ends with the child
 		_, _ = io.WriteString(w, `{"run":"a","number":1,"weights":"w1","running":3,"warm":true,"rate":4,"image":false}`) // a reader that is gone asks again
--- a/cmd/scalebench/count.go
+++ b/cmd/scalebench/count.go
@@ -11,7 +11,7 @@
 	"asterridge/rpc"
 )
 
-// traffic is what was sent and received on one path, in messages and bytes above TCP.
+// traffic is what was sent and received on one path, in messages and in bytes above TCP.
 type traffic struct {
 	Messages  int
 	HeadOut   int64
@@ -41,7 +41,7 @@
 
 func (t traffic) bytes() float64 { return float64(t.HeadOut + t.BodyOut + t.HeadIn + t.BodyIn) }
 
-// counter sums the traffic of all daemons of a child, by path.
+// counter sums the traffic of all processes of a child by path.
 type counter struct {
 	mu     sync.Mutex
 	byPath map[string]*traffic
@@ -49,7 +49,7 @@
 
 func newCounter() *counter { return &counter{byPath: map[string]*traffic{}} }
 
-// count changes the sums of one path.
+// count updates the sums of one path.
 func (c *counter) count(path string, change func(*traffic)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,13 +71,13 @@
 	return all
 }
 
-// countingNet is a host's network, which counts what its daemons ask of others and what they are answered.
+// countingNet is a host's network that counts the requests of its processes and the answers to them.
 type countingNet struct {
 	rpc.Network
 	counter *counter
 }
 
-// DialContext connects; what the connection carries is counted.
+// DialContext connects and counts what the connection carries.
 func (n *countingNet) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := n.Network.DialContext(ctx, network, address)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return &countedConn{Conn: c, counter: n.counter}, nil
 }
 
-// countedConn reads the requests' first lines as they pass. HTTP/1.1 has one request on a connection at a time.
+// countedConn reads the first lines of the requests. HTTP/1.1 has one request on a connection at a time.
 type countedConn struct {
 	net.Conn
 	counter *counter
@@ -98,7 +98,7 @@
 
 var headEnd = []byte("\r\n\r\n")
 
-// Write counts the bytes of a request, and notes its path.
+// Write counts the bytes of a request and records its path.
 func (c *countedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	head := 0
--- a/linearizability/history.go
+++ b/linearizability/history.go
@@ -11,7 +11,7 @@
 	"sync"
 )
 
-// Outcome is what the caller of a declaration learned.
+// Outcome is what the caller of a write learned from the answer.
 type Outcome int
 
 const (
@@ -35,19 +35,21 @@
 	Removed []string
 }
 
-// identity tells declarations apart: only identical ones are answered alike.
+// identity distinguishes writes: only identical ones receive the same answer.
 type identity struct {
 	number, base uint64
 	digest       string
 }
 
+// identity returns what distinguishes a write from others.
 func (d Write) identity() identity { return identity{d.Number, d.Base, d.Digest} }
 
+// String describes a write for a report.
 func (d Write) String() string {
 	return fmt.Sprintf("number %d on %d (%s)", d.Number, d.Base, d.Digest)
 }
 
-// call is one declaration sent. Events are numbered from 1; a call that never ended has no end.
+// call is one write that was sent. Events are numbered from 1; a call without an answer has no end.
 type call struct {
 	Write
 	outcome    Outcome
@@ -61,7 +63,7 @@
 	begin, end int
 }
 
-// Recorder collects a history. Its methods may be called from any goroutine.
+// Recorder collects a history. Its methods are safe for concurrent use.
 type Recorder struct {
 	mu    sync.Mutex
 	event int
@@ -69,7 +71,7 @@
 	reads []*read
 }
 
-// Declare notes that a declaration is being sent; done notes its outcome. Without done the outcome stays unclear.
+// Declare records that a write is being sent; the returned function records its outcome. Until that is called the outcome is unclear.
 func (r *Recorder) Declare(d Write) (done func(Outcome)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +87,7 @@
 	}
 }
 
-// Read notes that a read begins; done notes what it showed. A read that failed is not done and counts for nothing.
+// Read records that a read begins; the returned function records what it showed. A failed read is not recorded and has no effect.
 func (r *Recorder) Read() (done func(number uint64, items map[string]string)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +101,7 @@
 	}
 }
 
-// Count gives how many declarations ended with an outcome.
+// Count returns the number of writes that ended with an outcome.
 func (r *Recorder) Count(outcome Outcome) (count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,24 +113,25 @@
 	return count
 }
 
-// Check says why no sequence of versions explains the history so far; nil if one does.
+// Check returns an error that says why no sequence of versions explains the history so far, or nil if one does.
 func (r *Recorder) Check() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return newChecker(r.calls, r.reads).check()
 }
 
-// version is a declaration that may have been taken, with all identical calls.
+// version is a write that may have taken effect, with all identical calls.
 type version struct {
 	Write
 	calls        []*call
 	acknowledged bool
 }
 
+// maxAttempts bounds the search, which is exponential in the unclear calls.
 const maxAttempts = 2000
 
-// checker tries chains of versions. Each version names its base, so the chain back from the newest known version is nearly determined: only
-// where no call was acknowledged is there a choice among unclear ones.
+// checker searches for a chain of versions. Each version names its base, so the chain back from the newest known version is nearly
+// determined: there is a choice only among unclear calls, where none was acknowledged.
 type checker struct {
 	reads     []*read
 	refused   []*call
@@ -139,6 +142,7 @@
 	firstFail error
 }
 
+// newChecker indexes a history for the search.
 func newChecker(calls []*call, reads []*read) *checker {
 	c := &checker{reads: reads, byNumber: map[uint64][]*version{}, byBase: map[uint64][]*version{}}
 	all := map[identity]*version{}
@@ -175,6 +179,7 @@
 	return c
 }
 
+// check tries every newest version that the history allows.
 func (c *checker) check() error {
 	for _, number := range c.needed {
 		var acknowledged []string
@@ -200,6 +205,7 @@
 	return c.firstFail
 }
 
+// fail records the reason for which the most complete chain so far was rejected.
 func (c *checker) fail(format string, args ...any) bool {
 	if c.firstFail == nil {
 		c.firstFail = fmt.Errorf(format, args...)
@@ -207,7 +213,8 @@
 	return false
 }
 
-// isExplainedBack looks for the version under a number, and for all before it; later is the chain from there on, oldest first.
+// isExplainedBack looks for the version under a number and for all versions before it. The argument later is the chain from there on,
+// oldest first.
 func (c *checker) isExplainedBack(number uint64, later []*version) bool {
 	if number == 0 {
 		return c.isExplainedOn(append([]*version{{}}, later...))
@@ -237,6 +244,7 @@
 	return false
 }
 
+// neededBetween returns what the calls require between two versions.
 func (c *checker) neededBetween(above, below uint64) (number uint64, ok bool) {
 	for _, number := range c.needed {
 		if above < number && number < below {
@@ -246,7 +254,7 @@
 	return 0, false
 }
 
-// isExplainedOn tries a chain as it is, and then with unclear versions on top of its newest: nobody has seen them, but calls may have been
+// isExplainedOn tries a chain as it is, and then with unclear versions after its newest: nobody has read them, but calls may have been
 // refused because of them.
 func (c *checker) isExplainedOn(chain []*version) bool {
 	c.tries++
@@ -265,20 +273,21 @@
 	return false
 }
 
-// timing bounds the moment when each version of a chain took effect, as the last event before it.
+// timing bounds the moment at which each version of a chain took effect, given as the last event before it.
 type timing struct {
 	least, most []int
 	why         []string // of most
 }
 
-// either is the choice that a refusal leaves: its base came after it began, or was replaced before it ended.
+// either is the choice that a refusal leaves: its base came after the call began, or was replaced before the call ended.
 type either struct {
 	base       int // place in the chain
 	begin, end int
 }
 
-// isTimely says whether moments can be given to the versions of a chain, in its order, that fit all calls and reads. Lower bounds rise to
-// their least fixed point: a refusal's base must come later only once it is sure that it cannot have been replaced earlier.
+// isTimely reports whether the versions of a chain can be given moments, in the chain's order, that agree with all calls and reads. Lower
+// bounds rise to their least fixed point. A refusal's base must come later only once it is certain that it cannot have been replaced
+// earlier.
 func (c *checker) isTimely(chain []*version) bool {
 	t, position := begin(chain)
 	if !c.boundByReads(chain, position, &t) {
@@ -310,7 +319,7 @@
 	return true
 }
 
-// begin bounds each version by its own calls. The first of the chain is the empty one that was always there.
+// begin bounds each version by its own calls. The first version of a chain is the empty one, which was always there.
 func begin(chain []*version) (t timing, position map[uint64]int) {
 	t = timing{make([]int, len(chain)), make([]int, len(chain)), make([]string, len(chain))}
 	position = map[uint64]int{}
@@ -331,7 +340,7 @@
 	return t, position
 }
 
-// bound lets a version take effect before an event.
+// bound requires a version to take effect before an event.
 func (t *timing) bound(i, event int, what string) {
 	if t.most[i] > event-1 {
 		t.most[i] = event - 1
@@ -339,6 +348,7 @@
 	}
 }
 
+// boundByReads applies the bounds that follow from the reads.
 func (c *checker) boundByReads(chain []*version, position map[uint64]int, t *timing) bool {
 	contents := make([]map[string]string, len(chain))
 	for i, v := range chain {
@@ -366,6 +376,7 @@
 	return true
 }
 
+// boundByRefusals applies the bounds that follow from the refused calls.
 func (c *checker) boundByRefusals(chain []*version, position map[uint64]int, t *timing) (choices []either) {
 	for _, made := range c.refused {
 		i, ok := position[made.Base]
--- a/linearizability/recorder.go
+++ b/linearizability/recorder.go
@@ -7,7 +7,7 @@
 	"asterridge/config"
 )
 
-// Of gives a declaration as the checker sees it: its items are the texts that a read shows.
+// Of returns a write in the checker's form; its items are the texts that a read shows.
 func Of(d config.NumberedConfig) Write {
 	items := map[string]string{}
 	for _, name := range d.Order {
@@ -16,7 +16,7 @@
 	return Write{Number: d.Number, Base: d.BasedOn, Digest: d.Digest, Full: d.Full, Items: items, Removed: d.Removed}
 }
 
-// Items gives what a read showed as the checker sees it.
+// Items returns the content shown by a read in the checker's form.
 func Items(texts []config.Text) map[string]string {
 	items := map[string]string{}
 	for _, t := range texts {
@@ -25,7 +25,7 @@
 	return items
 }
 
-// OutcomeOf gives what an answer to a well-formed declaration means to its caller.
+// OutcomeOf returns what an answer to a well-formed write means to its caller.
 func OutcomeOf(err error) Outcome {
 	switch {
 	case err == nil:
