--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -15,7 +15,7 @@
 func main() {
 	set := flag.NewFlagSet("localfleet", flag.ExitOnError)
 	set.Usage = func() {
-		fmt.Fprintln(set.Output(), "fleet: runs a whole fleet on this machine and checks the never-rules\n\nScripts:")
+		fmt.Fprintln(set.Output(), "localfleet: runs a whole fleet on this machine and checks the rules that must never be broken\n\nScripts:")
 		for _, s := range scripts {
 			fmt.Fprintf(set.Output(), "  %-12s %s\n", s.name, s.purpose)
 		}
