--- a/fake/caller.go
+++ b/fake/caller.go
@@ -30,14 +30,14 @@
 	FirstMs    int64     `json:"first_ms"`
 	AllMs      int64     `json:"all_ms"`
 	Status     int       `json:"status"`
-	Code       int       `json:"code"` // of a rejection
-	Ran        string    `json:"ran"`  // what a rejection says
+	Code       int       `json:"code"` // result code of a rejection; 0 if there is none
+	Ran        string    `json:"ran"`  // what the rejection says about execution
 	AgainMs    int64     `json:"again_ms,omitempty"`
-	ID         string    `json:"id"`               // the answer's
-	WaitedMs   int64     `json:"waited,omitempty"` // in the proxy before the request was sent, as the answer says
-	Sum        string    `json:"sum"`              // of all that came
+	ID         string    `json:"id"`               // request ID that the answer names
+	WaitedMs   int64     `json:"waited,omitempty"` // milliseconds in the queue of the proxy, as the answer says
+	Sum        string    `json:"sum"`              // hash of the received bytes
 	Length     int       `json:"length"`
-	Ended      bool      `json:"ended"` // looks finished to the caller
+	Ended      bool      `json:"ended"` // the answer ended as complete
 	Config     uint64    `json:"blueprint"`
 	Failure    string    `json:"failure,omitempty"`
 }
@@ -45,8 +45,8 @@
 // RequestKind is one of the three kinds of streaming request, or "web".
 type RequestKind struct {
 	Name   string
-	Prefix int // bytes shared by all requests of the kind and tenant group
-	Own    int // bytes of one's own
+	Prefix int // bytes that all requests of the kind and tenant group share
+	Own    int // bytes that only this request has
 	Chunks int
 	Weight int
 	Keyed  bool
@@ -72,16 +72,16 @@
 	Callers  []Client
 	Proxies  []string
 	Client   *http.Client
-	Count    int     // requests in all
-	Rate     float64 // requests a second
-	Keyed    float64 // part of the requests that bear a key
-	Repeat   float64 // part that may be repeated
+	Count    int     // number of requests
+	Rate     float64 // requests per second
+	Keyed    float64 // share of the requests that have an idempotency key
+	Repeat   float64 // share of the requests that may be executed more than once
 	Seed     uint64
-	Prefix   string // makes tags unique over runs
+	Prefix   string // of the tags, so that those of several runs differ
 	Ledger   func(Exchange)
-	Deadline time.Duration // of each whole request
-	Kinds    []RequestKind // none: the brief's three and the web back end
-	Heavy    int           // bytes of the heaviest kind's prefix, in eight sessions; 0: as Kinds has it
+	Deadline time.Duration // of each request, until its answer is complete
+	Kinds    []RequestKind // default: Kinds
+	Heavy    int           // bytes of the heaviest kind's prefix, in eight sessions; 0: as in Kinds
 }
 
 // words is the vocabulary of the generated prompts.
--- a/fake/check.go
+++ b/fake/check.go
@@ -14,7 +14,7 @@
 	Name  string
 	Count int
 	First string // the first breach
-	Seen  int    // how often the rule had something to judge: none, and a count of zero says nothing
+	Seen  int    // number of cases to which the rule applied; if 0, a Count of 0 proves nothing
 }
 
 // Ledgers are the records that a run has left behind: what callers received, what replicas ran, and what operators and platform were told.
@@ -22,7 +22,7 @@
 	Asked []Exchange
 	Runs  []Run
 	Facts []Fact
-	Rest  []State // what each core and proxy holds when all has come to rest
+	Rest  []State // configuration of each core and proxy once the fleet is at rest
 }
 
 // The rules that must never be broken, by their numbers in reports.
@@ -82,7 +82,7 @@
 	findings []Finding
 	byTag    map[string][]Run
 	asked    map[string]Exchange
-	drops    []Run // of bases
+	drops    []Run // base models dropped by replicas
 }
 
 // Check compares the ledgers and returns the number of breaches of each rule.
--- a/fake/factlog.go
+++ b/fake/factlog.go
@@ -13,7 +13,7 @@
 // Fact is a change that the fleet was told, with the time of its acceptance.
 type Fact struct {
 	Kind  string    `json:"kind"` // "accepted", or what follows from it: "revoked", "leaving", "present", "weights", "wall", "returned"
-	Name  string    `json:"name"` // of what was accepted: the register; else key's hash, replica, pool, tenant
+	Name  string    `json:"name"` // the register of an accepted change; otherwise a key's hash, a replica, a pool or a tenant
 	Value string    `json:"value,omitempty"`
 	At    time.Time `json:"at"`
 	// Tried marks a change that was neither accepted nor clearly refused: it may or may not be in force.
@@ -32,10 +32,10 @@
 	Present   = "present"
 	Weights   = "weights"
 	Isolation = "wall"     // value: up, down, or removed with its tenant
-	Base      = "base"     // of an adapter, as declared, or since its route has switched
+	Base      = "base"     // base of an adapter, as declared or since its route has switched
 	Retire    = "retire"   // name: the old base, value: the new one
-	Undone    = "undone"   // a retirement, by its old base
-	Returned  = "returned" // all machines are back: service is due
+	Undone    = "undone"   // retirement that was undone, by its old base
+	Returned  = "returned" // all machines are back: service has to return
 )
 
 // FactLog records the changes that operators and platform have made.
--- a/fake/replica.go
+++ b/fake/replica.go
@@ -21,14 +21,14 @@
 	Kind    string // "model", "web" or "store"
 	Weights string
 	Limit   int
-	Rate    float64 // bytes of prompt read anew per ms
+	Rate    float64 // bytes of uncached prompt read per millisecond
 	ChunkMs int
-	LoadMs  int          // how long loading weights takes
-	WarmMs  int          // how long it is slow after a start or load
-	Blocks  int          // how many blocks the KV cache keeps
-	Link    float64      // bytes of a prefix fetched per ms
-	Store   string       // address of a store that new blocks are put into
-	Client  *http.Client // for fetching and storing
+	LoadMs  int          // milliseconds that loading weights takes
+	WarmMs  int          // milliseconds for which the replica is slow after a start or load
+	Blocks  int          // capacity of the KV cache in blocks
+	Link    float64      // bytes of a cached prefix fetched per millisecond
+	Store   string       // address of a store that receives new blocks; "" for none
+	Client  *http.Client // for fetching from peers and storing
 	Ledger  func(Run)
 }
 
@@ -42,19 +42,19 @@
 	Domain   string    `json:"domain"`
 	At       time.Time `json:"at"`
 	HasRun   bool      `json:"ran"`
-	Why      string    `json:"why,omitempty"`      // of a refusal
-	Sum      string    `json:"sum,omitempty"`      // of the whole answer
+	Why      string    `json:"why,omitempty"`      // reason of a refusal
+	Sum      string    `json:"sum,omitempty"`      // hash of the whole answer
 	Complete bool      `json:"whole"`              // the whole answer was written
 	Hit      int       `json:"hit"`                // bytes of the prompt read from the cache
-	Size     int       `json:"size"`               // of the prompt
-	Fetched  int       `json:"fetched,omitempty"`  // bytes got from a peer or store
-	Outdated int       `json:"outdated,omitempty"` // blocks of the cache made under other weights
-	ID       string    `json:"id,omitempty"`       // the router's id of the request
+	Size     int       `json:"size"`               // bytes of the prompt
+	Fetched  int       `json:"fetched,omitempty"`  // bytes fetched from a peer or store
+	Outdated int       `json:"outdated,omitempty"` // cached blocks used that were made under other weights
+	ID       string    `json:"id,omitempty"`       // request ID given by the router
 	config.Placement
-	Dropped string `json:"dropped,omitempty"` // a base that was dropped: no request
-	Salt    string `json:"salt,omitempty"`    // of this run alone: two runs of one request write different pieces
-	Pieces  int    `json:"pieces,omitempty"`  // of a stream
-	// Met has, by tenant, when the oldest block of the cache that was read had been made.
+	Dropped string `json:"dropped,omitempty"` // base model that was dropped; the line is then no request
+	Salt    string `json:"salt,omitempty"`    // random, so that two runs of one request write different pieces
+	Pieces  int    `json:"pieces,omitempty"`  // number of pieces of a stream
+	// Met gives, by tenant, when the oldest cached block that this run used was made.
 	Met map[string]time.Time `json:"met,omitempty"`
 }
 
@@ -63,15 +63,15 @@
 	Tenant     string  `json:"tenant"`
 	Refusing   bool    `json:"refuse"`
 	SlowMs     int     `json:"slow_ms"`
-	Link       float64 `json:"link,omitempty"`        // new bytes per ms of fetching, for all
-	Emptied    bool    `json:"emptied,omitempty"`     // lose all blocks kept, now
-	RetryAfter string  `json:"retry_after,omitempty"` // sent with refusals, if set
-	BreakAfter int     `json:"cut_after,omitempty"`   // break streams off after so many pieces
-	Unnamed    bool    `json:"unnamed,omitempty"`     // refusals do not name the tenant as their ground
-	RetryIn    int     `json:"retry_in,omitempty"`    // seconds: sent with refusals as an HTTP date by this replica's clock
-	News       string  `json:"news,omitempty"`        // of what the cache keeps, for all from now on: "true", "lost" or "wrong"
-	BadBuild   string  `json:"bad_build,omitempty"`   // of an adapter: its trial answer is wrong, for all
-	Failing    bool    `json:"failing,omitempty"`     // answers with an error of its own, after it ran
+	Link       float64 `json:"link,omitempty"`        // changes the bytes fetched per millisecond, for all tenants
+	Emptied    bool    `json:"emptied,omitempty"`     // empties the cache at once
+	RetryAfter string  `json:"retry_after,omitempty"` // header of refusals; "" for none
+	BreakAfter int     `json:"cut_after,omitempty"`   // number of pieces after which streams are broken off; 0 for never
+	Unnamed    bool    `json:"unnamed,omitempty"`     // refusals do not name the tenant as their reason
+	RetryIn    int     `json:"retry_in,omitempty"`    // seconds; the header of refusals is then an HTTP date by this replica's clock
+	News       string  `json:"news,omitempty"`        // cache updates to all readers from now on: "true", "lost" or "wrong"
+	BadBuild   string  `json:"bad_build,omitempty"`   // adapter whose trial answer is wrong, for all tenants
+	Failing    bool    `json:"failing,omitempty"`     // answers with an error of its own after execution
 }
 
 // Replica is a fake model replica or web back end.
