--- a/golden/symbols_test.go
+++ b/golden/symbols_test.go
@@ -9,6 +9,7 @@
 	"slices"
 	"strings"
 	"testing"
+	"unicode"
 
 	"github.com/matryer/is"
 )
@@ -97,7 +98,10 @@
 
 var memberName = regexp.MustCompile("\x60([A-Z][A-Za-z]+)\\.([A-Za-z]+)\x60")
 
-// missingNames gives the back-quoted names of our packages, and of members of our types, that a page has and the packages have not.
+// otherPackages are the packages besides ours whose names stand on pages. A name of any other package is one of a package that we had.
+var otherPackages = []string{"fmt", "http", "time"}
+
+// missingNames returns the back-quoted names of our packages, and of members of our types, that a page has and the packages have not.
 func missingNames(text string, packages map[string]map[string]bool) (missing []string) {
 	all := map[string]bool{}
 	for _, names := range packages {
@@ -111,7 +115,9 @@
 		}
 	}
 	for _, found := range qualifiedName.FindAllStringSubmatch(text, -1) {
-		if names, ours := packages[found[1]]; ours && !names[found[2]] {
+		names, ours := packages[found[1]]
+		exported := unicode.IsUpper(rune(found[2][0]))
+		if ours && !names[found[2]] || !ours && exported && !slices.Contains(otherPackages, found[1]) {
 			missing = append(missing, found[1]+"."+found[2])
 		}
 	}
@@ -140,6 +146,7 @@
 	is := is.New(t)
 	packages := map[string]map[string]bool{"lease": {"Grant": true, "Grant.Version": true}}
 	is.Equal(missingNames("`lease.Grant`, `lease.Grant.Version` and `http.Client`", packages), nil)
+	is.Equal(missingNames("`hold.Table`, `hold.cap_ms`", packages), []string{"hold.Table"})
 	is.Equal(missingNames("`lease.Term` and `lease.Grant.Term`", packages), []string{"lease.Term", "lease.Grant.Term"})
 	is.Equal(missingNames("`Grant.Version`, `Grant.Term` and `Client.Term`", packages), []string{"Grant.Term"})
 }
