--- a/controlplane/acceptors.go
+++ b/controlplane/acceptors.go
@@ -27,36 +27,37 @@
 	Change *register.Change  `json:"change,omitempty"`
 }
 
-// localAcceptor is this core's acceptor, under the same checks as everybody's.
-type localAcceptor struct {
+// acceptorClient makes this core's messages to an acceptor.
+type acceptorClient struct {
 	core           *Core
 	membersVersion uint64
 }
 
-func (a localAcceptor) request() RegisterRequest {
-	return RegisterRequest{From: a.core.incarnation, MembersVersion: a.membersVersion}
+func (a acceptorClient) request(key string, epoch uint64, known register.Revision) RegisterRequest {
+	return RegisterRequest{From: a.core.incarnation, MembersVersion: a.membersVersion, Key: key, Epoch: epoch, Known: known}
+}
+
+func (a acceptorClient) acceptRequest(change register.Change) RegisterRequest {
+	return RegisterRequest{From: a.core.incarnation, MembersVersion: a.membersVersion, Change: &change}
 }
 
+// localAcceptor is this core's acceptor, under the same checks as everybody's.
+type localAcceptor struct{ acceptorClient }
+
 // Prepare implements register.Peer.
 func (a localAcceptor) Prepare(_ context.Context, key string, epoch uint64, known register.Revision) (register.Record, error) {
-	request := a.request()
-	request.Key, request.Epoch, request.Known = key, epoch, known
-	return a.core.handlePrepare(context.Background(), request)
+	return a.core.handlePrepare(context.Background(), a.request(key, epoch, known))
 }
 
 // Confirm implements register.Peer.
 func (a localAcceptor) Confirm(_ context.Context, key string, epoch uint64) error {
-	request := a.request()
-	request.Key, request.Epoch = key, epoch
-	_, err := a.core.handleConfirm(context.Background(), request)
+	_, err := a.core.handleConfirm(context.Background(), a.request(key, epoch, register.Revision{}))
 	return err
 }
 
 // Accept implements register.Peer.
 func (a localAcceptor) Accept(_ context.Context, change register.Change) error {
-	request := a.request()
-	request.Change = &change
-	_, err := a.core.handleAccept(context.Background(), request)
+	_, err := a.core.handleAccept(context.Background(), a.acceptRequest(change))
 	return err
 }
 
@@ -67,42 +68,30 @@
 
 // remoteAcceptor is another member's acceptor.
 type remoteAcceptor struct {
-	core           *Core
-	address        string
-	membersVersion uint64
-}
-
-func (a remoteAcceptor) request() RegisterRequest {
-	return RegisterRequest{From: a.core.incarnation, MembersVersion: a.membersVersion}
+	acceptorClient
+	address string
 }
 
 // Prepare implements register.Peer.
 func (a remoteAcceptor) Prepare(ctx context.Context, key string, epoch uint64, known register.Revision) (register.Record, error) {
-	request := a.request()
-	request.Key, request.Epoch, request.Known = key, epoch, known
-	return rpc.Call[register.Record](ctx, a.core.rpc, a.address, "/register/promise", request)
+	return rpc.Call[register.Record](ctx, a.core.rpc, a.address, "/register/promise", a.request(key, epoch, known))
 }
 
 // Confirm implements register.Peer.
 func (a remoteAcceptor) Confirm(ctx context.Context, key string, epoch uint64) error {
-	request := a.request()
-	request.Key, request.Epoch = key, epoch
-	_, err := rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/confirm", request)
+	_, err := rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/confirm", a.request(key, epoch, register.Revision{}))
 	return err
 }
 
 // Accept implements register.Peer.
 func (a remoteAcceptor) Accept(ctx context.Context, change register.Change) error {
-	request := a.request()
-	request.Change = &change
-	_, err := rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/accept", request)
+	_, err := rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/accept", a.acceptRequest(change))
 	return err
 }
 
 // Commit implements register.Peer. A message that is lost costs a question later, so its error is dropped.
 func (a remoteAcceptor) Commit(ctx context.Context, key string, revision register.Revision) {
-	request := a.request()
-	request.Key, request.Known = key, revision
+	request := a.request(key, 0, revision)
 	_, _ = rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/settle", request) // see above
 }
 
--- a/controlplane/membership.go
+++ b/controlplane/membership.go
@@ -212,12 +212,13 @@
 	if now.self == nil {
 		return nil, apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
 	}
+	client := acceptorClient{core: c, membersVersion: now.version}
 	var all register.Peers
 	for _, m := range now.members {
 		if m.Incarnation == c.incarnation {
-			all = append(all, localAcceptor{core: c, membersVersion: now.version})
+			all = append(all, localAcceptor{client})
 		} else {
-			all = append(all, remoteAcceptor{core: c, address: m.Address, membersVersion: now.version})
+			all = append(all, remoteAcceptor{acceptorClient: client, address: m.Address})
 		}
 	}
 	return all, nil
