--- a/agent/agent.go
+++ b/agent/agent.go
@@ -207,10 +207,5 @@
 
 func (a *Agent) publishThrottle(e throttle.Entry) {
 	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
-	a.publishHint(router.ThrottleKey, register.Fields{e.Scope: raw})
-}
-
-// publishHint gives the proxy fields of a key that is no register and so has no revision.
-func (a *Agent) publishHint(key string, fields register.Fields) {
-	a.proxyUpdates.Publish(key, register.Revision{}, register.Revision{}, fields, false)
+	a.proxyUpdates.PublishHint(router.ThrottleKey, register.Fields{e.Scope: raw}, false)
 }
--- a/agent/currency.go
+++ b/agent/currency.go
@@ -248,6 +248,6 @@
 		a.quorumSince = now
 	}
 	if changed && now.Sub(a.quorumSince) > settleTime {
-		a.publishHint(router.DisturbedKey, register.Fields{router.DisturbedKey: json.RawMessage("1")})
+		a.proxyUpdates.PublishHint(router.DisturbedKey, register.Fields{router.DisturbedKey: json.RawMessage("1")}, false)
 	}
 }
--- a/agent/forwarding.go
+++ b/agent/forwarding.go
@@ -122,7 +122,7 @@
 	}
 	if change := config.Delta(a.proxies, proxies); len(change) > 0 && len(proxies) > 0 {
 		a.proxies = proxies
-		a.publishHint(router.ProxiesKey, change)
+		a.proxyUpdates.PublishHint(router.ProxiesKey, change, false)
 	}
 }
 
@@ -142,7 +142,7 @@
 			continue
 		}
 		if moved := a.modelVersions.Apply(update.Fields, update.AgesMs); len(moved) > 0 {
-			a.publishHint(router.ModelVersionsKey, moved)
+			a.proxyUpdates.PublishHint(router.ModelVersionsKey, moved, false)
 		}
 	}
 }
--- a/agent/replica_reports.go
+++ b/agent/replica_reports.go
@@ -40,8 +40,8 @@
 			a.stopPolling[name]()
 			delete(a.stopPolling, name)
 			delete(a.polled, name)
-			a.publishHint(router.ReportsKey, register.Fields{name: nil})
-			a.proxyUpdates.Publish(router.CachedPrefix+name, register.Revision{}, register.Revision{}, register.Fields{}, true)
+			a.proxyUpdates.PublishHint(router.ReportsKey, register.Fields{name: nil}, false)
+			a.proxyUpdates.PublishHint(router.CachedPrefix+name, register.Fields{}, true)
 		}
 	}
 }
@@ -75,10 +75,10 @@
 			change[block] = nil
 		}
 		if len(change) > 0 || report.Snapshot {
-			a.proxyUpdates.Publish(router.CachedPrefix+replica.Name, register.Revision{}, register.Revision{}, change, report.Snapshot)
+			a.proxyUpdates.PublishHint(router.CachedPrefix+replica.Name, change, report.Snapshot)
 		}
 		raw, _ := json.Marshal(report.Report) // a plain struct always encodes
-		a.publishHint(router.ReportsKey, register.Fields{replica.Name: raw})
+		a.proxyUpdates.PublishHint(router.ReportsKey, register.Fields{replica.Name: raw}, false)
 		last = report.Report
 	}
 	poll()
--- a/controlplane/publish.go
+++ b/controlplane/publish.go
@@ -8,7 +8,6 @@
 	"asterridge/register"
 	"asterridge/router"
 	"asterridge/throttle"
-	"asterridge/watch"
 )
 
 // publishAccepted passes what the disk has accepted on to peers and agents. It is called under the key's lock.
@@ -58,7 +57,7 @@
 		}
 	}
 	if len(fields) > 0 {
-		publishHint(c.agentUpdates, router.ModelVersionsKey, fields)
+		c.agentUpdates.PublishHint(router.ModelVersionsKey, fields, false)
 	}
 }
 
@@ -66,8 +65,8 @@
 func (c *Core) publishThrottle(e throttle.Entry) {
 	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
 	fields := register.Fields{e.Scope: raw}
-	publishHint(c.peerUpdates, router.ThrottleKey, fields)
-	publishHint(c.agentUpdates, router.ThrottleKey, fields)
+	c.peerUpdates.PublishHint(router.ThrottleKey, fields, false)
+	c.agentUpdates.PublishHint(router.ThrottleKey, fields, false)
 }
 
 // publishProxies tells agents which proxies share the replicas (docs/design.md §5.3).
@@ -84,11 +83,6 @@
 	c.proxies = running
 	c.mu.Unlock()
 	if len(change) > 0 {
-		publishHint(c.agentUpdates, router.ProxiesKey, change)
+		c.agentUpdates.PublishHint(router.ProxiesKey, change, false)
 	}
 }
-
-// publishHint publishes fields of a key that is no register and so has no revision.
-func publishHint(server *watch.Server, key string, fields register.Fields) {
-	server.Publish(key, register.Revision{}, register.Revision{}, fields, false)
-}
--- a/watch/server.go
+++ b/watch/server.go
@@ -117,7 +117,12 @@
 	s.wake()
 }
 
-// PublishDeferred is Publish for hints without a revision, which may wait deferDelay for others, and go along with what cannot wait.
+// PublishHint is Publish for fields of a key that is no register and so has no revision.
+func (s *Server) PublishHint(key string, change register.Fields, full bool) {
+	s.Publish(key, register.Revision{}, register.Revision{}, change, full)
+}
+
+// PublishDeferred is PublishHint for hints which may wait deferDelay for others, and go along with what cannot wait.
 func (s *Server) PublishDeferred(key string, change register.Fields, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
