--- a/agent/discovery.go
+++ b/agent/discovery.go
@@ -13,12 +13,8 @@
 	"asterridge/watch"
 )
 
-const (
-	// coresFile holds the addresses of the cores, for the time after a restart.
-	coresFile = "cores"
-	// helloTimeout bounds one hello.
-	helloTimeout = time.Second
-)
+// coresFile holds the addresses of the cores, for the time after a restart.
+const coresFile = "cores"
 
 // handleHello names the members to a process that looks for them.
 func (a *Agent) handleHello(context.Context, protocol.Hello) (protocol.Hello, error) {
@@ -45,7 +41,7 @@
 }
 
 func (a *Agent) sayHello(ctx context.Context, address string) (protocol.Hello, error) {
-	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
+	ctx, cancel := context.WithTimeout(ctx, protocol.HelloTimeout)
 	defer cancel()
 	return rpc.Call[protocol.Hello](ctx, a.rpc, address, "/core/hello", protocol.Hello{})
 }
--- a/agent/forwarding.go
+++ b/agent/forwarding.go
@@ -19,12 +19,8 @@
 	"asterridge/watch"
 )
 
-const (
-	// callTimeout bounds one call to a core, which may forward it and wait for a majority.
-	callTimeout = 2 * protocol.QuorumTimeout
-	// maxClaimAttempts is how many cores are asked for a claim, one after another.
-	maxClaimAttempts = 2
-)
+// maxClaimAttempts is how many cores are asked for a claim, one after another.
+const maxClaimAttempts = 2
 
 // liveCores lists the members that answer, the one that would own the key first. A core whose response is just being handled counts, however
 // long ago its request was sent.
@@ -58,7 +54,7 @@
 			path = "/op/hold"
 		}
 		go func() {
-			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), protocol.OperationTimeout)
 			defer cancel()
 			_, err := rpc.Call[struct{}](ctx, a.rpc, m.Address, path, n)
 			results <- err
@@ -90,7 +86,7 @@
 }
 
 func (a *Agent) callClaim(ctx context.Context, address string, request claim.Request) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, protocol.OperationTimeout)
 	defer cancel()
 	_, err := rpc.Call[struct{}](ctx, a.rpc, address, "/op/claim", request)
 	return err
--- a/controlplane/bootstrap.go
+++ b/controlplane/bootstrap.go
@@ -18,11 +18,7 @@
 	"asterridge/rpc"
 )
 
-const (
-	coreRole = "core"
-	// helloTimeout bounds one hello, so that a core that does not answer delays nobody for longer.
-	helloTimeout = time.Second
-)
+const coreRole = "core"
 
 // bootstrapRevision is the revision of the first list; all bootstrap peers write the same content under it.
 var bootstrapRevision = register.Revision{Epoch: 1, Version: 1}
@@ -166,7 +162,7 @@
 			continue
 		}
 		pending.Go(func() {
-			ctx, cancel := context.WithTimeout(ctx, helloTimeout)
+			ctx, cancel := context.WithTimeout(ctx, protocol.HelloTimeout)
 			defer cancel()
 			if h, err := rpc.Call[protocol.Hello](ctx, c.rpc, address, "/core/hello", hello); err == nil {
 				answers <- h
--- a/controlplane/membership.go
+++ b/controlplane/membership.go
@@ -275,7 +275,7 @@
 	}
 	go func() {
 		defer c.reconcileMu.Unlock()
-		ctx, cancel := context.WithTimeout(ctx, operationTimeout)
+		ctx, cancel := context.WithTimeout(ctx, protocol.OperationTimeout)
 		defer cancel()
 		if _, err := c.applyMembershipChange(ctx, change); err == nil { // a failure is logged there, and the next tick looks again
 			c.wake()
--- a/controlplane/operation.go
+++ b/controlplane/operation.go
@@ -18,9 +18,6 @@
 	"asterridge/throttle"
 )
 
-// operationTimeout bounds an operation that is forwarded to another core: that core waits for a majority in its turn.
-const operationTimeout = 2 * protocol.QuorumTimeout
-
 // Accepted is the answer to a change that a majority has: the register's version.
 type Accepted struct {
 	Version uint64 `json:"version"`
@@ -129,7 +126,7 @@
 
 // forward sends a request to the register's owner.
 func (o operation[Request, Response]) forward(ctx context.Context, owner string, request Request) (Response, error) {
-	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
+	ctx, cancel := context.WithTimeout(ctx, protocol.OperationTimeout)
 	defer cancel()
 	return rpc.Call[Response](ctx, o.core.rpc, o.core.membership().addressOf(owner), "/own/"+o.name, request)
 }
--- a/controlplane/throttles.go
+++ b/controlplane/throttles.go
@@ -42,7 +42,7 @@
 }
 
 func (c *Core) storeThrottle(ctx context.Context, n throttle.Notice) {
-	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
+	ctx, cancel := context.WithTimeout(ctx, protocol.OperationTimeout)
 	defer cancel()
 	key := throttleRegister(n)
 	revision, err := c.owner.Change(ctx, key, func(register.Fields, uint64) (register.Fields, error) {
--- a/controlplane/transfer.go
+++ b/controlplane/transfer.go
@@ -7,6 +7,7 @@
 	"asterridge/apierror"
 	"asterridge/config"
 	"asterridge/membership"
+	"asterridge/protocol"
 	"asterridge/register"
 	"asterridge/rendezvous"
 	"asterridge/router"
@@ -63,7 +64,7 @@
 	}
 	done := make(chan string, len(pending))
 	failed := forEachKey(pending, func(key string) error {
-		ctx, cancel := context.WithTimeout(ctx, operationTimeout)
+		ctx, cancel := context.WithTimeout(ctx, protocol.OperationTimeout)
 		defer cancel()
 		_, err := rpc.Call[CommitResponse](ctx, c.rpc, c.host.Address, "/op/settle", CommitRequest{Key: key, Rewrite: true})
 		if err != nil {
--- a/protocol/timing.go
+++ b/protocol/timing.go
@@ -10,12 +10,16 @@
 	UndecidedLimit = 500 * time.Millisecond
 	// ProxyTimeout is the age of its agent's last request at which a proxy no longer counts as running.
 	ProxyTimeout = 3 * time.Second
-	// QuorumTimeout is how long an owner waits for a majority's answers. A forwarded operation gets twice as long.
+	// QuorumTimeout is how long an owner waits for a majority's answers.
 	QuorumTimeout = 1500 * time.Millisecond
+	// OperationTimeout bounds an operation that is sent to a core: that core may forward it to the owner, which waits for a majority.
+	OperationTimeout = 2 * QuorumTimeout
 	// DefaultWatchWait is how long a watch request is held open when there is no update.
 	DefaultWatchWait = 100 * time.Millisecond
 	// HelloInterval is the time between two attempts to find the members.
 	HelloInterval = 200 * time.Millisecond
+	// HelloTimeout bounds one hello, so that a core that does not answer delays nobody for longer.
+	HelloTimeout = time.Second
 	// CacheReaderInterval is the time between two looks at which core reads which replica's cache updates.
 	CacheReaderInterval = 500 * time.Millisecond
 )
