--- a/agent/agent.go
+++ b/agent/agent.go
@@ -35,13 +35,11 @@
 const (
 	agentRole = "agent"
 	proxyRole = "proxy"
-	// throttleRetention is how long throttles that are over stay in the table.
-	throttleRetention = time.Hour
 )
 
 // Options of an agent.
 type Options struct {
-	// Protocol is how replicas are spoken to; nil: router.ChatDialect.
+	// Protocol is how replicas are spoken to; nil: router.ChatProtocol.
 	Protocol router.Protocol
 	// FreshLimit is T: how old a majority's answers may be for the agent to be current; 0: protocol.FreshLimit.
 	FreshLimit time.Duration
@@ -141,7 +139,7 @@
 	}()
 	go daemon.Every(ctx, protocol.HelloInterval, func() { a.discoverCores(ctx) })
 	go daemon.Every(ctx, protocol.CacheReaderInterval, a.switchCacheReaders)
-	go daemon.Every(ctx, time.Minute, func() { a.throttles.Prune(throttleRetention) })
+	go daemon.Every(ctx, time.Minute, a.throttles.Prune)
 	go a.detector.Run(ctx)
 	go func() {
 		if err := daemon.Serve(ctx, listener, a.coreHandler(), time.Second); err != nil {
--- a/controlplane/claims.go
+++ b/controlplane/claims.go
@@ -22,8 +22,7 @@
 // proxyRuns reports whether a run of a proxy was heard of within protocol.ProxyTimeout.
 func (c *Core) proxyRuns(run string) bool {
 	for _, state := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
-		var status protocol.AgentStatus
-		if json.Unmarshal(state.Status, &status) == nil && status.Proxy != nil && status.Proxy.Proxy+"."+status.Proxy.Run == run {
+		if status, ok := agentStatus(state); ok && status.Proxy != nil && status.Proxy.Proxy+"."+status.Proxy.Run == run {
 			return true
 		}
 	}
--- a/controlplane/publish.go
+++ b/controlplane/publish.go
@@ -73,8 +73,7 @@
 func (c *Core) publishProxies() {
 	running := register.Fields{}
 	for _, state := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
-		var status protocol.AgentStatus
-		if state.Role == "agent" && json.Unmarshal(state.Status, &status) == nil && status.Proxy != nil && !status.Proxy.Stop {
+		if status, ok := agentStatus(state); ok && state.Role == "agent" && status.Proxy != nil && !status.Proxy.Stop {
 			running[status.Proxy.Proxy] = json.RawMessage(`true`)
 		}
 	}
--- a/controlplane/queries.go
+++ b/controlplane/queries.go
@@ -102,8 +102,10 @@
 	return rows
 }
 
+// agentStatus reads what an agent reported of itself with its last request.
 func agentStatus(state watch.ClientState) (status protocol.AgentStatus, ok bool) {
-	return status, json.Unmarshal(state.Status, &status) == nil
+	ok = json.Unmarshal(state.Status, &status) == nil
+	return status, ok
 }
 
 // memberRows shows the members, whether keys are being transferred to their list, and the cores that ask to be admitted.
--- a/controlplane/tick.go
+++ b/controlplane/tick.go
@@ -15,8 +15,6 @@
 	// tickInterval is the time between two ticks, minTickInterval the least time between a tick and one that is asked for.
 	tickInterval    = 300 * time.Millisecond
 	minTickInterval = 20 * time.Millisecond
-	// throttleRetention is how long throttles that are over stay in the table.
-	throttleRetention = time.Hour
 )
 
 // runTicks ticks at each interval, and at once when something has changed that the next tick would act upon.
@@ -75,7 +73,7 @@
 		c.reconcileMembership(ctx)
 	}
 	c.publishProxies()
-	c.throttles.Prune(throttleRetention)
+	c.throttles.Prune()
 }
 
 // watchPeers keeps one watch for each other member, and gives all of them.
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -28,7 +28,7 @@
 	PrefixIndexSize int
 	// BodyMemory bounds the bytes of clients' bodies that are held at a time.
 	BodyMemory int64
-	// Protocol is how clients and replicas are spoken to; nil: router.ChatDialect.
+	// Protocol is how clients and replicas are spoken to; nil: router.ChatProtocol.
 	Protocol router.Protocol
 	// OldWeightsLimit is how long requests may begin on a version before the published one.
 	OldWeightsLimit time.Duration
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -22,6 +22,8 @@
 	// Longest bounds every throttle that comes from another process: the largest cap that a configuration can set. Its maker has kept to
 	// its own cap.
 	Longest = 10 * time.Minute
+	// retention is how long throttles that are over stay in the table.
+	retention = time.Hour
 	// maxSeenIDs is how many IDs of a scope are remembered; beyond it the older half is forgotten.
 	maxSeenIDs = 64
 	// observedSuffix keeps observe-only throttles apart. No scope has a blank.
@@ -157,8 +159,8 @@
 	return notices
 }
 
-// Prune forgets scopes whose moment has been past for a time.
-func (t *Table) Prune(retention time.Duration) {
+// Prune forgets scopes whose moment has been past for the retention.
+func (t *Table) Prune() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for scope, e := range t.scopes {
