--- a/agent/forwarding.go
+++ b/agent/forwarding.go
@@ -73,7 +73,7 @@
 func (a *Agent) forwardClaim(ctx context.Context, c router.Claim) (struct{}, error) {
 	request := claim.Request{Claim: c}
 	if proxy, connected := a.proxyStatus(protocol.ProxyTimeout); connected && proxy.Proxy != "" {
-		request.Proxy = proxy.Proxy + "." + proxy.Run
+		request.Proxy = proxy.RunName()
 	}
 	cores := a.liveCores(request.Register())
 	err := error(apierror.New(apierror.Unreachable, "no core answers"))
--- a/controlplane/claims.go
+++ b/controlplane/claims.go
@@ -22,7 +22,7 @@
 // proxyRuns reports whether a run of a proxy was heard of within protocol.ProxyTimeout.
 func (c *Core) proxyRuns(run string) bool {
 	for _, state := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
-		if status, ok := agentStatus(state); ok && status.Proxy != nil && status.Proxy.Proxy+"."+status.Proxy.Run == run {
+		if status, ok := agentStatus(state); ok && status.Proxy != nil && status.Proxy.RunName() == run {
 			return true
 		}
 	}
@@ -57,7 +57,7 @@
 		revision, err := c.owner.Change(ctx, key, func(fields register.Fields, _ uint64) (register.Fields, error) {
 			return removeUnchanged(expired, fields), nil
 		})
-		c.logOutcome("claims_pruned", key, revision, err)
+		c.logOutcome("pruning of claims", key, revision, err)
 	}
 	c.claimsSeen = seen
 }
--- a/router/router.go
+++ b/router/router.go
@@ -193,6 +193,9 @@
 	Counts  map[string]int64 `json:"counts"`
 }
 
+// RunName names this run of the proxy; claims are held under it.
+func (s Status) RunName() string { return s.Proxy + "." + s.Run }
+
 // watchRequest introduces this router to its agent.
 func (r *Router) watchRequest() watch.Request {
 	r.logCurrency()
