--- a/cmd/asterridgectl/parse.go
+++ b/cmd/asterridgectl/parse.go
@@ -223,7 +223,7 @@
 			return syntaxError(value.at, "%q is no value", value.text)
 		}
 		into[name] = value.text
-		if number, isBad := strconv.ParseFloat(value.text, 64); isBad == nil && !value.quoted {
+		if number, err := strconv.ParseFloat(value.text, 64); err == nil && !value.quoted {
 			into[name] = number
 		} else if value.text == "true" && !value.quoted {
 			into[name] = true
--- a/cmd/localfleet/relay.go
+++ b/cmd/localfleet/relay.go
@@ -111,10 +111,10 @@
 }
 
 // cut stops traffic from one machine to another, or lets it flow again.
-func (r *relays) cut(from, to string, isCut bool) {
+func (r *relays) cut(from, to string, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cuts[[2]string{from, to}] = isCut
+	r.cuts[[2]string{from, to}] = cut
 	close(r.news)
 	r.news = make(chan struct{})
 }
--- a/config/numbered.go
+++ b/config/numbered.go
@@ -53,9 +53,9 @@
 func Texts(fields register.Fields) (all []Text) {
 	places := map[string]int{}
 	for field, raw := range fields {
-		name, isText := strings.CutPrefix(field, textPrefix)
+		name, operatorText := strings.CutPrefix(field, textPrefix)
 		var t text
-		if !isText || json.Unmarshal(raw, &t) != nil {
+		if !operatorText || json.Unmarshal(raw, &t) != nil {
 			continue
 		}
 		kind, rest, _ := strings.Cut(name, "/")
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -176,8 +176,8 @@
 	if err != nil {
 		return fieldError("settings", "%v", err)
 	}
-	isGiven := map[string]bool{}
-	s.flags.Visit(func(f *flag.Flag) { isGiven[f.Name] = true })
+	given := map[string]bool{}
+	s.flags.Visit(func(f *flag.Flag) { given[f.Name] = true })
 	met := map[string]bool{}
 	err = jx.DecodeBytes(text).Obj(func(d *jx.Decoder, name string) error {
 		if met[name] {
@@ -198,7 +198,7 @@
 		default:
 			return fieldError(name, "needs a string, a number or true or false")
 		}
-		if err != nil || isGiven[name] {
+		if err != nil || given[name] {
 			return err
 		}
 		if err := s.flags.Set(name, value); err != nil {
--- a/fake/check_returns.go
+++ b/fake/check_returns.go
@@ -17,7 +17,7 @@
 		}
 		for proxy := range proxies {
 			c.seen(ruleServiceBack)
-			if back, isBack := c.untilServing(proxy, f.At); !isBack || back > returnLimit {
+			if back, ok := c.untilServing(proxy, f.At); !ok || back > returnLimit {
 				c.found(ruleServiceBack, "%s gave no whole answer within 12 s", proxy)
 			}
 		}
--- a/fake/retired.go
+++ b/fake/retired.go
@@ -52,7 +52,7 @@
 	for _, f := range c.Facts {
 		concerned = concerned || f.Kind == Base && f.Name == adapter && f.Value == drop.Dropped && f.At.Before(drop.At)
 		if f.Kind == Retire && f.Value == drop.Dropped && wasOn && last.Value != drop.Dropped {
-			if undone, isUndone := c.latest(Undone, f.Name, drop.At.Add(doubtful)); isUndone && !undone.At.Before(f.At) {
+			if undone, ok := c.latest(Undone, f.Name, drop.At.Add(doubtful)); ok && !undone.At.Before(f.At) {
 				return false
 			}
 		}
--- a/golden/golden.go
+++ b/golden/golden.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-var isApproving = flag.Bool("approve", false, "write the approved texts anew")
+var approving = flag.Bool("approve", false, "write the approved texts anew")
 
 // Compare compares a text with the approved file; with -approve it writes the file.
 func Compare(t *testing.T, path, text string) {
 	t.Helper()
-	if *isApproving {
+	if *approving {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
--- a/router/framing.go
+++ b/router/framing.go
@@ -90,12 +90,12 @@
 
 // isFramedTwice reports whether a chunked request may have had a Content-Length too.
 func isFramedTwice(q *http.Request) bool {
-	c, isWatched := q.Context().Value(watchedName{}).(*watched)
+	c, watched := q.Context().Value(watchedName{}).(*watched)
 	if len(q.TransferEncoding) == 0 {
-		if isWatched && q.Header.Get("Content-Length") != "" {
+		if watched && q.Header.Get("Content-Length") != "" {
 			c.honest++
 		}
 		return false
 	}
-	return !isWatched || c.lengths.Load() > c.honest
+	return !watched || c.lengths.Load() > c.honest
 }
--- a/router/pool.go
+++ b/router/pool.go
@@ -108,9 +108,9 @@
 	domains := map[string]*cacheState{}
 	var fit []candidate
 	for _, rep := range p.replicas {
-		weights, isFit := r.canServe(v, p, rep, x.Prompt.Model, now)
+		weights, servable := r.canServe(v, p, rep, x.Prompt.Model, now)
 		on, ready := v.placement(x, x.Path, rep)
-		if !isFit || !ready || !r.hasCapacity(rep, now) || now.Before(*rep.coolUntil.Load()) {
+		if !servable || !ready || !r.hasCapacity(rep, now) || now.Before(*rep.coolUntil.Load()) {
 			continue
 		}
 		domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.CreatedVersion, x.Tenant.Isolated, domainOf(weights, on))
