--- a/replicaclient/replicaclient.go
+++ b/replicaclient/replicaclient.go
@@ -46,9 +46,9 @@
 
 // GetReport asks a replica for its load, and for what has changed in its cache since the last report. The error is apierror.Unreachable
 // if the replica does not answer with a report, apierror.Malformed if the report cannot be read.
-func GetReport(ctx context.Context, client *http.Client, dialect router.Protocol, replica config.Replica, last router.Report) (Report, error) {
+func GetReport(ctx context.Context, client *http.Client, protocol router.Protocol, replica config.Replica, last router.Report) (Report, error) {
 	var report Report
-	address := "http://" + replica.Address + dialect.ReportPath() + "?run=" + last.Run + "&from=" + strconv.FormatUint(last.Number, 10)
+	address := "http://" + replica.Address + protocol.ReportPath() + "?run=" + last.Run + "&from=" + strconv.FormatUint(last.Number, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return report, apierror.Wrap(err, apierror.Settings, "replica address")
--- a/router/compile.go
+++ b/router/compile.go
@@ -70,16 +70,16 @@
 // newView makes a view that has what the configuration itself says, and no tenants, pools, paths or replicas yet.
 func (r *Router) newView(revision register.Revision, plan *config.Config) *View {
 	return &View{
-		Version:  revision,
-		hold:     plan.Throttle,
-		limits:   plan.Limits,
-		open:     plan.Open,
-		tenants:  map[string]*tenant{},
-		access:   map[string]*tenant{},
-		pools:    map[string]*pool{},
-		replicas: map[string]*replica{},
-		paths:    map[string][]*path{},
-		public:   &tenant{Tenant: config.Tenant{Weight: 1, Backlog: publicBacklog, Scope: "pool"}, index: r.names.of("public")},
+		Version:      revision,
+		throttleRule: plan.Throttle,
+		limits:       plan.Limits,
+		open:         plan.Open,
+		tenants:      map[string]*tenant{},
+		access:       map[string]*tenant{},
+		pools:        map[string]*pool{},
+		replicas:     map[string]*replica{},
+		paths:        map[string][]*path{},
+		public:       &tenant{Tenant: config.Tenant{Weight: 1, Backlog: publicBacklog, Scope: "pool"}, index: r.names.of("public")},
 	}
 }
 
@@ -245,9 +245,9 @@
 	if len(proxies) == 0 {
 		return limit
 	}
-	element, remaining := limit/len(proxies), limit%len(proxies)
+	slots, remaining := limit/len(proxies), limit%len(proxies)
 	if remaining == 0 || !slices.Contains(proxies, own) {
-		return element
+		return slots
 	}
 	rank, weight := 0, rendezvous.Weight(replica, own)
 	for _, name := range proxies {
@@ -256,7 +256,7 @@
 		}
 	}
 	if rank < remaining {
-		element++
+		slots++
 	}
-	return element
+	return slots
 }
--- a/router/cost.go
+++ b/router/cost.go
@@ -128,11 +128,11 @@
 		return
 	}
 	sample, before := float64(work)/float64((delay-prefillBase).Milliseconds()+1), rep.rate()
-	element := 0.05
+	gain := 0.05
 	if sample > before {
-		element = 0.3
+		gain = 0.3
 	}
-	rep.rateBits.Store(math.Float64bits(before + element*(min(sample, 4*before)-before)))
+	rep.rateBits.Store(math.Float64bits(before + gain*(min(sample, 4*before)-before)))
 }
 
 // rate is the reported prefill rate in bytes per millisecond, or the default.
--- a/router/counts.go
+++ b/router/counts.go
@@ -60,11 +60,11 @@
 	if limit == 0 {
 		limit = maxRetryTokens
 	}
-	element := b.ratio
-	if element == 0 {
-		element = defaultRetryRatio
+	earned := b.ratio
+	if earned == 0 {
+		earned = defaultRetryRatio
 	}
-	b.tokens = min(b.tokens+element, limit)
+	b.tokens = min(b.tokens+earned, limit)
 }
 
 // ratioOf is what each first attempt earns where retries are bound to a ratio of them: half of it. The rest is for how unevenly retries
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -145,8 +145,8 @@
 	firstChunk []byte
 	Body       io.ReadCloser
 	AtEnd      func(tail []byte) bool // whether the stream's own end marker has come; nil if there is none
-	Complete   bool                   // First is the whole answer
-	buffer     *[chunkSize]byte       // First's, used again for the pieces after it
+	Complete   bool                   // firstChunk is the whole answer
+	buffer     *[chunkSize]byte       // firstChunk's, used again for the chunks after it
 	finish     func(err error)
 }
 
--- a/router/filters.go
+++ b/router/filters.go
@@ -63,8 +63,8 @@
 
 // decode makes an exchange of a client's request. The body is read later, when its bound is known.
 func (r *Router) decode(ctx context.Context, q *http.Request) (any, error) {
-	door := ctx.Value(clientConnKey{}).(*clientConn)
-	return &Exchange{ID: door.id, Request: q, Received: time.Now(), LastEventID: door.header.LastEventID, connection: door}, nil
+	conn := ctx.Value(clientConnKey{}).(*clientConn)
+	return &Exchange{ID: conn.id, Request: q, Received: time.Now(), LastEventID: conn.header.LastEventID, connection: conn}, nil
 }
 
 // Handle rejects new work while this router is not current, or stops.
@@ -334,9 +334,9 @@
 	}
 	x.replica, x.weights, x.source, x.sink, x.prefill = c.replica, c.weights, c.source, c.sink, c
 	x.placement = c.placement
-	cached := false
+	handedOver := false
 	defer func() {
-		if !cached {
+		if !handedOver {
 			r.endPrefill(x)
 			r.release(c)
 			r.queue.Wake(x.item.Pool)
@@ -345,7 +345,7 @@
 	if err := onward(ctx, x); err != nil {
 		return err
 	}
-	cached = true
+	handedOver = true
 	finish := x.Answer.finish
 	x.Answer.finish = func(err error) {
 		r.release(c)
--- a/router/pool.go
+++ b/router/pool.go
@@ -285,8 +285,8 @@
 		if x.Prompt.Segments == nil {
 			chain = prefixindex.TextBlocks(domain, x.Prompt.Text)
 		}
-		for _, element := range x.Prompt.Segments {
-			chain = append(chain, prefixindex.Block{Key: domain + "/" + element.ID, Size: element.Size})
+		for _, segment := range x.Prompt.Segments {
+			chain = append(chain, prefixindex.Block{Key: domain + "/" + segment.ID, Size: segment.Size})
 		}
 		x.blocks[domain] = chain
 	}
--- a/router/protocol.go
+++ b/router/protocol.go
@@ -44,8 +44,8 @@
 		return len(p.Text)
 	}
 	sum := 0
-	for _, element := range p.Segments {
-		sum += element.Size
+	for _, segment := range p.Segments {
+		sum += segment.Size
 	}
 	return sum
 }
--- a/router/relay.go
+++ b/router/relay.go
@@ -235,7 +235,7 @@
 	complete := e.buffer[:at]
 	e.partial = e.buffer[len(complete):]
 	for line := range bytes.Lines(complete) {
-		if text, iD := bytes.CutPrefix(line, []byte("id:")); iD {
+		if text, found := bytes.CutPrefix(line, []byte("id:")); found {
 			if id, err := strconv.ParseUint(string(bytes.TrimSpace(text)), 10, 64); err == nil {
 				e.lastID = id
 			}
--- a/router/router.go
+++ b/router/router.go
@@ -48,7 +48,7 @@
 	// DisturbedKey says when a core was last seen to fall silent or to return: until then the cores may not have been able to go on
 	// with what they do, so that what has a term counts it from there (§6.2).
 	DisturbedKey = "disturbed"
-	CacheUp      = "~up" // among what a source keeps: it answers
+	CacheUp      = "~up" // a field among the cached blocks of a source: it answers
 )
 
 // StoreName is the name in the prefix index of a store that is configured as a pool.
@@ -74,12 +74,12 @@
 	bodyMemory      memoryBudget
 	borrow          borrowedShare
 	streaks         streaks
-	windows         sync.Map // *window by pool name
+	windows         sync.Map // *concurrencyWindow by pool name
 	disturbed       atomic.Pointer[time.Time]
 	modelVersions   ModelVersions
 	sources         sync.Map // stores that answer, by name in the index
 	chain           handle
-	onward          handle // what comes after the filter that shoots
+	onward          handle // the chain after attemptsFilter
 	random          *lockedRandom
 	runID           string // this life of the process
 	noticesSent     atomic.Uint64
@@ -265,7 +265,7 @@
 
 // throttle extends a scope's throttle here at once, and has it reported to all (docs/design.md §4.2).
 func (r *Router) throttle(x *Exchange, delay time.Duration, reason, raw string) {
-	rule := r.view.Load().hold
+	rule := r.view.Load().throttleRule
 	limit := time.Duration(rule.CapMs) * time.Millisecond
 	n := throttle.Notice{
 		Scope: x.item.Scope, ID: fmt.Sprintf("%s.%s.%d", r.options.Name, r.runID, r.noticesSent.Add(1)), Raw: raw,
--- a/router/send.go
+++ b/router/send.go
@@ -283,7 +283,7 @@
 	cause := apierror.New(apierror.ReplicaRejected, "%s refused: %s", x.replica.Name, v.Reason)
 	if v.Throttled {
 		r.counts.add("refusals_pushed", 1)
-		rule := r.view.Load().hold
+		rule := r.view.Load().throttleRule
 		values := answer.Header.Values("Retry-After")
 		own := v.NamesTenant || r.signals.Rejected(x.replica.index, x.Tenant.index)
 		if !own {
@@ -330,7 +330,7 @@
 	if report != nil && !report.Warm {
 		return // slow for everyone
 	}
-	rule := r.view.Load().hold
+	rule := r.view.Load().throttleRule
 	coldPrefill := time.Duration(float64(x.Prompt.Size()) / x.replica.rate() * float64(time.Millisecond))
 	if r.signals.Began(x.replica.index, x.Path.index, x.Tenant.index, delay, coldPrefill, rule.SlowRatio) {
 		r.throttle(x, r.random.backoff(rule, r.streak(x)), "slowed", "")
--- a/router/updates.go
+++ b/router/updates.go
@@ -12,7 +12,7 @@
 
 // applyUpdates brings the router's state up to the agent's.
 func (r *Router) applyUpdates(f *watch.Client, answer watch.Response) {
-	view := answer.Snapshot
+	recompile := answer.Snapshot
 	for _, e := range answer.Updates {
 		switch {
 		case e.Key == ThrottleKey:
@@ -25,14 +25,14 @@
 			at := time.Now().Add(-time.Duration(e.AgesMs[DisturbedKey]) * time.Millisecond)
 			r.disturbed.Store(&at)
 		case e.Key == ReportsKey:
-			view = view || r.view.Load() == nil
+			recompile = recompile || r.view.Load() == nil
 		case strings.HasPrefix(e.Key, CachedPrefix):
 			r.applyCached(strings.TrimPrefix(e.Key, CachedPrefix), e.Fields, answer.Snapshot)
 		default:
-			view = true
+			recompile = true
 		}
 	}
-	if view {
+	if recompile {
 		v, err := r.compile(func(key string) (register.Revision, register.Fields) {
 			state := f.Read(key)
 			return state.Revision, state.Fields
--- a/router/view.go
+++ b/router/view.go
@@ -13,20 +13,20 @@
 
 // View is one compiled state of the registers. It is never changed, only replaced. Names are dense indices in it.
 type View struct {
-	Version  register.Revision
-	tenants  map[string]*tenant
-	access   map[string]*tenant // by hash of the access key
-	paths    map[string][]*path // by host, longest address first
-	pools    map[string]*pool
-	replicas map[string]*replica
-	stores   []*replica // of pools that cache prompts for the others
-	models   map[string]config.Model
-	public   *tenant // of requests that need no access key
-	open     bool    // a numbered configuration without tenants: nobody needs an access key
-	hold     config.ThrottleRule
-	limits   config.Limits
-	proxies  []string
-	adapters map[string]adapter // by name
+	Version      register.Revision
+	tenants      map[string]*tenant
+	access       map[string]*tenant // by hash of the access key
+	paths        map[string][]*path // by host, longest address first
+	pools        map[string]*pool
+	replicas     map[string]*replica
+	stores       []*replica // of pools that cache prompts for the others
+	models       map[string]config.Model
+	public       *tenant // of requests that need no access key
+	open         bool    // a numbered configuration without tenants: nobody needs an access key
+	throttleRule config.ThrottleRule
+	limits       config.Limits
+	proxies      []string
+	adapters     map[string]adapter // by name
 }
 
 // tenant is a configured tenant with its index.
