--- a/register/entry.go
+++ b/register/entry.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// apply shows a change that was stored. mu is held.
+// apply shows a change that is on the disk. mu is held, or the entry is still being loaded.
 func (e *entry) apply(change Change) {
 	if e.record.Fields == nil || change.Full {
 		e.record.Fields = Fields{}
--- a/register/files.go
+++ b/register/files.go
@@ -143,14 +143,7 @@
 
 // load applies a change that was read from the disk.
 func (e *entry) load(change Change) {
-	if change.Full || e.record.Fields == nil {
-		e.record.Fields = Fields{}
-	}
-	e.record.Fields.Apply(change.Fields)
-	e.record.Revision = change.Next
-	if e.record.Committed.Less(change.Committed) {
-		e.record.Committed = change.Committed
-	}
+	e.apply(change)
 	e.files = append(e.files, versionFileName(change.Next))
 	if !change.Full {
 		e.deltaBytes += sizeOf(change.Fields)
--- a/router/counts.go
+++ b/router/counts.go
@@ -40,8 +40,8 @@
 type budget struct {
 	mu     sync.Mutex
 	tokens float64
-	limit  float64 // 0: budgetMost
-	ratio  float64 // of a retry that each first attempt pays for; 0: budgetPart
+	limit  float64 // what may be saved up; 0: maxRetryTokens
+	ratio  float64 // of a retry that each first attempt pays for; 0: defaultRetryRatio
 }
 
 // A retry costs one token.
--- a/router/protocol.go
+++ b/router/protocol.go
@@ -63,7 +63,7 @@
 // Outcome is what a replica's answer means.
 type Outcome struct {
 	Served      bool
-	NotExecuted bool // the dialect defines this refusal as not run
+	NotExecuted bool // the protocol says that a refusal of this form was not executed
 	NamesTenant bool // it names the tenant as its ground
 	Throttled   bool // it is a throttle: refused for load or rate
 	PickAgain   bool // other weights, or leaving: pick again
