--- a/replicaclient/replicaclient.go
+++ b/replicaclient/replicaclient.go
@@ -25,14 +25,7 @@
 
 // New makes an HTTP client for replicas. It follows no redirects.
 func New(network rpc.Network) *http.Client {
-	return &http.Client{
-		CheckRedirect: rpc.NoRedirects,
-		Transport: &http.Transport{
-			DialContext:         network.DialContext,
-			MaxIdleConnsPerHost: idleConnections,
-			IdleConnTimeout:     idleTimeout,
-		},
-	}
+	return rpc.NewHTTPClient(network, idleConnections, idleTimeout)
 }
 
 // Report is a replica's report of its load, with the changes of its cache.
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -45,12 +45,21 @@
 
 // NewClient makes a client over a network.
 func NewClient(fleet string, network Network) *Client {
-	transport := &http.Transport{DialContext: network.DialContext, MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: idleTimeout}
-	return &Client{Fleet: fleet, HTTP: &http.Client{CheckRedirect: NoRedirects, Transport: transport}}
+	return &Client{Fleet: fleet, HTTP: NewHTTPClient(network, idleConnections, idleTimeout)}
 }
 
-// NoRedirects has an HTTP client take a redirect as the answer: what is asked of one process or replica is asked of no other.
-func NoRedirects(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// NewHTTPClient makes an HTTP client over a network that keeps some idle connections to each peer for a while. It takes a redirect as the
+// answer: what is asked of one process or replica is asked of no other.
+func NewHTTPClient(network Network, idleConnections int, idleTimeout time.Duration) *http.Client {
+	return &http.Client{
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+		Transport: &http.Transport{
+			DialContext:         network.DialContext,
+			MaxIdleConnsPerHost: idleConnections,
+			IdleConnTimeout:     idleTimeout,
+		},
+	}
+}
 
 // Call sends a request to a path of another process and reads its response. An error of the other side comes back as it was
 // (apierror.Error); the error is apierror.Unreachable if there was no response that could be read, so that the request may or may not have
