--- a/router/adapter.go
+++ b/router/adapter.go
@@ -94,11 +94,11 @@
 	}
 }
 
-// firstGain is what the cost of a replica is lowered by that has not answered a client from the adapter yet. Cached prefixes would lead all
+// firstAnswerDiscount is what the cost of a replica is lowered by that has not answered a client from the adapter yet. Cached prefixes would lead all
 // clients to a few replicas, and a move waits until more than half have answered.
-func firstGain(rep *replica, on config.Placement) float64 {
+func firstAnswerDiscount(rep *replica, on config.Placement) float64 {
 	if on.Adapter != "" && rep.report.Load().Adapters[on.Key()].Live == 0 {
-		return oldCost
+		return avoidCost
 	}
 	return 0
 }
--- a/router/adapter_test.go
+++ b/router/adapter_test.go
@@ -14,7 +14,7 @@
 )
 
 // A request runs where its adapter's build on its base was tried; a stream that is taken up again runs on no other base.
-func TestPlacementFollowsTheRouteAndTheReplicasWord(t *testing.T) {
+func TestPlacementFollowsRouteAndReplicaReport(t *testing.T) {
 	is := is.New(t)
 	plan, err := config.Parse([]byte(`{"tenants":[{"name":"a"},{"name":"b"}],"pools":[{"name":"p","weights":"w1"}],
 	 "adapters":[{"name":"huts","base":"m1","builds":{"m1":"h1","m2":"h2"},"tenants":["a"]}],
@@ -52,8 +52,8 @@
 	says(map[string]Adapter{"huts@m1": {Build: "h1", State: AdapterTried}, "huts@m2": {Build: "h2", State: AdapterTried, Live: 1}})
 	_, fit = after.placement(x, huts, rep)
 	is.True(fit)
-	is.Equal(firstGain(rep, on), 0.0)
-	is.True(firstGain(rep, old) > 0)
+	is.Equal(firstAnswerDiscount(rep, on), 0.0)
+	is.True(firstAnswerDiscount(rep, old) > 0)
 
 	x.resumedPlacement = old
 	_, fit = before.placement(x, huts, rep)
@@ -73,7 +73,7 @@
 	is.NoErr(before.mayUse(&tenant{Tenant: plan.Tenants["b"]}, plain))
 }
 
-func TestCacheDomainGrowsByBaseAndAdapter(t *testing.T) {
+func TestCacheDomainIncludesBaseAndAdapter(t *testing.T) {
 	is := is.New(t)
 	met := map[string]bool{}
 	for _, on := range []config.Placement{{}, {Adapter: "a", Base: "m1", Build: "1"}, {Adapter: "a", Base: "m1", Build: "2"}, {Adapter: "a", Base: "m2", Build: "1"}, {Adapter: "b", Base: "m1", Build: "1"}} {
--- a/router/answer_time.go
+++ b/router/answer_time.go
@@ -7,7 +7,7 @@
 
 // Bounds and smoothing of the expected time of an answer.
 const (
-	answerTimeLeast = time.Second // expected until an answer has been seen, and the least
+	minAnswerTime = time.Second // expected until an answer has been seen, and the least
 	answerTimeGain  = 0.125       // of a sample in the mean, as for a transport's round trips (RFC 6298)
 )
 
@@ -32,5 +32,5 @@
 func (a *answerTime) expected(limit time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return min(max(answerTimeLeast, time.Duration(a.mean)), limit)
+	return min(max(minAnswerTime, time.Duration(a.mean)), limit)
 }
--- a/router/balancer.go
+++ b/router/balancer.go
@@ -17,56 +17,56 @@
 )
 
 const (
-	// maxCandidates is how many replicas a core is asked to choose from: with loads that are known, a few choices are nearly as good as all.
+	// maxCandidates is how many replicas a core chooses from: when loads are known, a few choices are nearly as good as all.
 	maxCandidates = 8
-	// replicasPerCore is how many replicas one core owns the loads of: so many that requests have a choice, and so few that a core bears the
-	// messages for them (docs/CAPACITY.md).
+	// replicasPerCore is how many replicas one core owns the loads of: enough to give requests a choice, and few enough for one core to
+	// handle the messages about them (docs/CAPACITY.md).
 	replicasPerCore = 150
-	// timeoutRatio is the part of a latency target that a request waits for a core's choice at the most, queryTimeout the time without a target,
-	// maxQueryTimeout the longest time.
+	// timeoutRatio is the part of a latency target that a request waits at most for a core's choice. queryTimeout applies without a target,
+	// and maxQueryTimeout bounds both.
 	timeoutRatio    = 0.05
 	queryTimeout    = 25 * time.Millisecond
 	maxQueryTimeout = 100 * time.Millisecond
-	// coreBackoff is how long a core that has not answered in time is not asked.
+	// coreBackoff is how long a core that did not answer in time is not queried.
 	coreBackoff = time.Second
-	// adviceTime is how long a core's choice counts: a request that waits for longer is placed by what is known then.
-	adviceTime = 250 * time.Millisecond
-	// loadReportDelay is how long the end of a prefill or of an answer may wait to be told along with others.
+	// adviceTTL is how long a core's choice is valid: a request that waits longer is placed by the router's own estimate.
+	adviceTTL = 250 * time.Millisecond
+	// loadReportDelay is how long a load change may wait in order to be reported together with others.
 	loadReportDelay = 50 * time.Millisecond
 )
 
-// advice is a core's choice of a replica for a request. The zero value is none.
+// advice is a core's choice of a replica for a request. The zero value means that there is none.
 type advice struct {
 	replica string
 	until   time.Time
 }
 
-// balancer knows which core owns the loads of which replica (package inflight), and how far each core was told.
+// balancer tracks which core owns the loads of which replicas (package inflight), and what each core has been sent.
 type balancer struct {
-	changed chan struct{} // asks for a report
+	changed chan struct{} // signals that loads have to be reported
 
-	mu sync.Mutex // guards what follows
-	// cores are the addresses of the cores that answer, by name.
+	mu sync.Mutex // guards the fields below
+	// cores has the addresses of the live cores, by name.
 	cores map[string]string
-	// shards are the parts into which the replicas are divided, one for each core that owns some.
+	// shards is the number of parts into which the replicas are divided; each part has one owning core.
 	shards int
-	links  map[string]*coreLink // by name
+	links  map[string]*coreLink // by core name
 }
 
-// coreLink is how far a core was told.
+// coreLink is the state of load reporting to one core.
 type coreLink struct {
 	number      uint64
-	stale       bool // the core knows less than this router
+	stale       bool // the core does not have this router's latest loads
 	sentAt      time.Time
 	pausedUntil time.Time
 }
 
-// newBalancer makes a balancer that knows no core.
+// newBalancer returns a balancer without cores.
 func newBalancer() balancer {
 	return balancer{changed: make(chan struct{}, 1), shards: 1, links: map[string]*coreLink{}}
 }
 
-// setCores takes the cores that answer.
+// setCores replaces the set of live cores.
 func (b *balancer) setCores(fields register.Fields) {
 	cores := map[string]string{}
 	for name, raw := range fields {
@@ -80,14 +80,14 @@
 	b.cores = cores
 }
 
-// setReplicas takes how many replicas there are.
+// setReplicas sets the number of shards for a number of replicas.
 func (b *balancer) setReplicas(count int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.shards = max(1, (count+replicasPerCore-1)/replicasPerCore)
 }
 
-// shard gives the part that a replica belongs to; b.mu is held.
+// shard returns the shard that a replica belongs to; b.mu is held.
 func (b *balancer) shard(replica string) int {
 	if b.shards == 1 {
 		return 0
@@ -95,8 +95,8 @@
 	return int(rendezvous.Weight("shard", replica) % uint64(b.shards))
 }
 
-// owners names the core that owns the loads of each shard: the first by rank that has not just failed to answer. It is empty if there is
-// none. b.mu is held.
+// owners returns the core that owns the loads of each shard: the highest-ranking one that is not paused after a failure, or an empty name if
+// there is none. b.mu is held.
 func (b *balancer) owners(now time.Time) []string {
 	var answering []string
 	for name := range b.cores {
@@ -111,7 +111,7 @@
 	return owners
 }
 
-// link gives the link to a core; b.mu is held.
+// link returns the link to a core, and creates it if needed; b.mu is held.
 func (b *balancer) link(core string) *coreLink {
 	l := b.links[core]
 	if l == nil {
@@ -121,7 +121,7 @@
 	return l
 }
 
-// loadsByCore gives what this router has in flight, by the core that owns it and by replica; b.mu is held.
+// loadsByCore returns this router's requests in flight, by owning core and replica; b.mu is held.
 func (b *balancer) loadsByCore(v *View, owners []string) map[string]map[string]inflight.Load {
 	loads := map[string]map[string]inflight.Load{}
 	for name, rep := range v.replicas {
@@ -133,15 +133,16 @@
 		if loads[core] == nil {
 			loads[core] = map[string]inflight.Load{}
 		}
-		loads[core][name] = inflight.Load{Running: running, PrefillMs: milliseconds(float64(max(0, rep.pending.Load())) / rep.rate())}
+		loads[core][name] = inflight.Load{Running: running, PrefillMs: ceilMs(float64(max(0, rep.pending.Load())) / rep.rate())}
 	}
 	return loads
 }
 
-// milliseconds rounds an estimate up.
-func milliseconds(ms float64) int64 { return int64(math.Ceil(ms)) }
+// ceilMs rounds an estimate in milliseconds up.
+func ceilMs(ms float64) int64 { return int64(math.Ceil(ms)) }
 
-// Handle asks the core that owns the loads of the request's best replica to choose among that one and the next best ones of the same core.
+// Handle asks the core that owns the load of the request's best replica to choose among that replica and the next best ones that the same
+// core owns.
 func (f balanceFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	x.advice = advice{}
 	if x.Pool.Kind == config.ModelPool {
@@ -150,7 +151,7 @@
 	return onward(ctx, x)
 }
 
-// requestPlacement asks a core where to place a request. No answer in time is no advice.
+// requestPlacement asks a core where to place a request. It returns no advice if the core does not answer in time.
 func (r *Router) requestPlacement(ctx context.Context, x *Exchange) advice {
 	v, now := r.view.Load(), time.Now()
 	p := v.pools[x.Pool.Name]
@@ -169,10 +170,10 @@
 		r.counts.add("placements_unanswered", 1)
 		return advice{}
 	}
-	return advice{replica: response.Replica, until: time.Now().Add(adviceTime)}
+	return advice{replica: response.Replica, until: time.Now().Add(adviceTTL)}
 }
 
-// queryTimeoutOf is how long a request with a latency target in milliseconds, 0 for none, waits for a core's choice.
+// queryTimeoutOf returns how long a request with a latency target in milliseconds (0: none) waits for a core's choice.
 func queryTimeoutOf(targetMs int) time.Duration {
 	if targetMs == 0 {
 		return queryTimeout
@@ -180,7 +181,7 @@
 	return min(time.Duration(timeoutRatio*float64(targetMs)*float64(time.Millisecond)), maxQueryTimeout)
 }
 
-// placementRequest makes the request for the best candidates; without candidates if there is no core to ask.
+// placementRequest builds the request for the best candidates. It has no candidates if there is no core to ask.
 func (b *balancer) placementRequest(v *View, sorted []candidate, now time.Time) (core, address string, request inflight.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -194,7 +195,7 @@
 	for _, c := range sorted {
 		if len(request.Candidates) < maxCandidates && owners[b.shard(c.replica.Name)] == core {
 			request.Candidates = append(request.Candidates, inflight.Candidate{
-				Replica: c.replica.Name, CostMs: milliseconds(c.cost), WorkMs: milliseconds(c.work), Slots: c.replica.Limit,
+				Replica: c.replica.Name, CostMs: ceilMs(c.costMs), WorkMs: ceilMs(c.prefillMs), Slots: c.replica.Limit,
 			})
 		}
 	}
@@ -203,8 +204,8 @@
 	return core, b.cores[core], request
 }
 
-// sharedBlocks gives the blocks of a prompt that others may share, in each cache domain of the candidates. They are named with every request:
-// cores that were restarted know of none, and then hold back which replicas have them.
+// sharedBlocks returns the blocks of a prompt that others may share, in each cache domain of the candidates. Every request names them:
+// a restarted core knows of no shared blocks, and withholds where a block is cached until a request names it as shared.
 func sharedBlocks(candidates []candidate) (blocks []string) {
 	seen := map[*cacheState]bool{}
 	for _, c := range candidates {
@@ -216,8 +217,8 @@
 	return blocks
 }
 
-// sendLoads sends a message to a core, and leaves the core alone for a while if it does not answer in time. A client that leaves meanwhile
-// says nothing of the core.
+// sendLoads sends a message to a core, and pauses queries to the core if it does not answer in time. Cancellation by the client does not
+// count as a failure of the core.
 func (r *Router) sendLoads(ctx context.Context, core, address string, request inflight.Request, timeout time.Duration) (inflight.Response, error) {
 	b := &r.balancer
 	request.Proxy, request.Run = r.options.Name, r.runID
@@ -242,7 +243,7 @@
 	return response, err
 }
 
-// loadChanged has the loads reported to the core that owns a replica's.
+// loadChanged marks the loads at the core that owns the replica's as stale, and schedules a report.
 func (b *balancer) loadChanged(replica string) {
 	b.mu.Lock()
 	if core := b.owners(time.Now())[b.shard(replica)]; core != "" {
@@ -251,11 +252,11 @@
 	b.mu.Unlock()
 	select {
 	case b.changed <- struct{}{}:
-	default: // a report is due already
+	default: // a report is already scheduled
 	}
 }
 
-// reportLoads tells the cores what this router has in flight: soon after something has ended, and at each refresh interval.
+// reportLoads reports this router's requests in flight to the cores: shortly after a load has changed, and at each refresh interval.
 func (r *Router) reportLoads(ctx context.Context) {
 	refresh := time.NewTimer(inflight.RefreshInterval)
 	defer refresh.Stop()
@@ -274,7 +275,7 @@
 	}
 }
 
-// reportChangedLoads tells each core that is not up to date.
+// reportChangedLoads sends the current loads to each core that has stale ones or is due for a refresh.
 func (r *Router) reportChangedLoads(ctx context.Context) {
 	v := r.view.Load()
 	if v == nil {
@@ -297,7 +298,7 @@
 	var pending sync.WaitGroup
 	for core, request := range due {
 		pending.Go(func() {
-			_, _ = r.sendLoads(ctx, core, addresses[core], request, inflight.RefreshInterval) // the next message makes it good
+			_, _ = r.sendLoads(ctx, core, addresses[core], request, inflight.RefreshInterval) // a failed link is stale: the next report has all loads
 		})
 	}
 	pending.Wait()
--- a/router/balancer_test.go
+++ b/router/balancer_test.go
@@ -15,7 +15,7 @@
 )
 
 // A request waits for a core's choice in proportion to its latency target, and never for long.
-func TestWaitForACoreIsShort(t *testing.T) {
+func TestCoreQueryTimeoutFollowsLatencyTarget(t *testing.T) {
 	is := is.New(t)
 	is.Equal(queryTimeoutOf(0), queryTimeout)
 	is.Equal(queryTimeoutOf(600), 30*time.Millisecond)
@@ -24,7 +24,7 @@
 
 // A core that has failed is passed over for a while by the next one in rank, and then asked again; a fleet with more replicas than one core
 // owns the loads of has several owners, and each replica's is the same for all proxies.
-func TestOwnersOfLoads(t *testing.T) {
+func TestLoadOwnersAgreeAndSkipFailedCores(t *testing.T) {
 	is := is.New(t)
 	cores := register.Fields{}
 	for i := range 5 {
@@ -60,7 +60,7 @@
 }
 
 // A core that cannot be reached is passed over for a while; that a client has left before the answer says nothing of the core.
-func TestClientThatLeavesPausesNoCore(t *testing.T) {
+func TestCanceledRequestDoesNotPauseCore(t *testing.T) {
 	is := is.New(t)
 	r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop()})
 	left, leave := context.WithCancel(context.Background())
--- a/router/body_memory.go
+++ b/router/body_memory.go
@@ -15,10 +15,10 @@
 // Bounds on clients' bodies.
 const (
 	defaultBodyMemory = 256 << 20 // bytes of callers' bodies that a router holds, unless its options say otherwise
-	tenantShare       = 4         // no tenant holds more than this part of them
+	tenantMemoryDivisor       = 4         // no tenant holds more than this part of them
 	memoryStep        = 64 << 10
-	bodyLimit         = 10 * time.Second // for a body to come, and beyond that the time of its size at bodyRate
-	bodyRate          = 256 << 10        // bytes a second
+	bodyReadTimeout         = 10 * time.Second // for a body to come, and beyond that the time of its size at bodyRate
+	minBodyRate          = 256 << 10        // bytes a second
 )
 
 // memoryBudget is the memory for clients' bodies while they are read, wait or are being sent (docs/design.md §5.3).
@@ -29,11 +29,11 @@
 	byTenant map[int]int64
 }
 
-// take reserves memory for a tenant, and reports whether there was enough.
-func (m *memoryBudget) take(tenant int, n int64) bool {
+// reserve reserves memory for a tenant, and reports whether there was enough.
+func (m *memoryBudget) reserve(tenant int, n int64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.used+n > m.limit || m.byTenant[tenant]+n > m.limit/tenantShare {
+	if m.used+n > m.limit || m.byTenant[tenant]+n > m.limit/tenantMemoryDivisor {
 		return false
 	}
 	m.used += n
@@ -41,8 +41,8 @@
 	return true
 }
 
-// give returns reserved memory.
-func (m *memoryBudget) give(tenant int, n int64) {
+// release returns reserved memory.
+func (m *memoryBudget) release(tenant int, n int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.used -= n
@@ -75,15 +75,15 @@
 		return nil, apierror.New(apierror.Oversize, "a body of %d bytes", q.ContentLength)
 	}
 	taken, tenant := int64(0), x.Tenant.index
-	x.connection.onDone = append(x.connection.onDone, func() { r.bodyMemory.give(tenant, taken) })
+	x.connection.onDone = append(x.connection.onDone, func() { r.bodyMemory.release(tenant, taken) })
 	grow := func(n int64) error {
-		if !r.bodyMemory.take(tenant, n) {
+		if !r.bodyMemory.reserve(tenant, n) {
 			return again(apierror.New(apierror.NoMemory, "no room for %d more bytes", n), time.Second)
 		}
 		taken += n
 		return nil
 	}
-	_ = x.connection.control.SetReadDeadline(time.Now().Add(bodyLimit + time.Duration(max(0, q.ContentLength))*time.Second/bodyRate)) // a connection that knows none has its own bounds
+	_ = x.connection.control.SetReadDeadline(time.Now().Add(bodyReadTimeout + time.Duration(max(0, q.ContentLength))*time.Second/minBodyRate)) // a connection that knows none has its own bounds
 	var body bytes.Buffer
 	if q.ContentLength > 0 {
 		if err := grow(q.ContentLength); err != nil {
--- a/router/capacity.go
+++ b/router/capacity.go
@@ -9,24 +9,25 @@
 	"asterridge/config"
 )
 
-// Bounds on what a router sends to one replica.
+// Limits on what a router sends to one replica.
 const (
-	// reportAge is the age at which a report no longer counts, seenAge that of a load that an answer told.
-	reportAge = 1500 * time.Millisecond
-	seenAge   = 2 * time.Second
-	// maxBorrowed is the part of a replica's slots that may be taken by its report, beyond one's own share; it moves by borrowedStep.
+	// maxReportAge is the age from which a replica's report is ignored, maxOccupancyAge that of a load told in a response.
+	maxReportAge    = 1500 * time.Millisecond
+	maxOccupancyAge = 2 * time.Second
+	// maxBorrowed is the largest part of a replica's slots that a router may fill beyond its own share, as far as the replica's report shows
+	// them free; each response raises the current part by borrowedStep.
 	maxBorrowed  = 0.75
 	borrowedStep = 0.01
-	// unseenLimit is how many requests a router sends to a replica of which it knows nothing, whatever its share.
-	unseenLimit = 2
+	// noReportLimit is how many requests a router has in flight at a replica with no known load, even if its own share is smaller.
+	noReportLimit = 2
 
-	// cooldownStep is the first time for which a replica is left alone, maxCooldown the longest; it doubles up to maxCooldownDoublings times.
-	cooldownStep         = 50 * time.Millisecond
+	// minCooldown is the first cooldown of a failing replica, maxCooldown the longest; it doubles up to maxCooldownDoublings times.
+	minCooldown          = 50 * time.Millisecond
 	maxCooldown          = 2 * time.Second
 	maxCooldownDoublings = 6
 )
 
-// canServe reports whether a replica may start work for the pool now, with its weights (docs/design.md §6.1).
+// canServe reports whether a replica may start work for the pool now, and with which weights (docs/design.md §6.1).
 func (r *Router) canServe(v *View, p *pool, rep *replica, model string, now time.Time) (weights string, fit bool) {
 	if rep.State == config.ReplicaDraining {
 		return "", false
@@ -42,7 +43,7 @@
 		return strconv.FormatUint(version, 10), r.mayStart(v, p, model, version, now)
 	}
 	report := rep.report.Load()
-	if report == nil || now.Sub(report.at) > reportAge || !p.allows(report.Weights, now) {
+	if report == nil || now.Sub(report.at) > maxReportAge || !p.allows(report.Weights, now) {
 		return "", false
 	}
 	if rep.State == config.ReplicaWarming && !report.Warm {
@@ -51,8 +52,8 @@
 	return report.Weights, true
 }
 
-// hasCapacity looks at this router's share of a replica's slots, and beyond it at what the replica's report leaves free (docs/design.md
-// §5.3).
+// hasCapacity reports whether a replica has a slot for this router: within the router's own share of the slots, or beyond it if the
+// replica's report shows free slots (docs/design.md §5.3).
 func (r *Router) hasCapacity(rep *replica, now time.Time) bool {
 	own := int(rep.running.Load())
 	if own < rep.share {
@@ -61,58 +62,59 @@
 	if report := rep.report.Load(); report != nil {
 		return float64(report.Running)+float64(rep.sent.Load())+1 <= r.borrow.share()*float64(rep.Limit)
 	}
-	if seen := rep.seen.Load(); seen != nil && now.Sub(seen.at) < seenAge {
+	if seen := rep.occupancy.Load(); seen != nil && now.Sub(seen.at) < maxOccupancyAge {
 		return max(seen.Running+seen.Waiting+int(rep.sent.Load()), own)+1 <= int(maxBorrowed*float64(rep.Limit))
 	}
-	return r.options.Protocol.ReportPath() == "" && own < unseenLimit
+	return r.options.Protocol.ReportPath() == "" && own < noReportLimit
 }
 
-// borrowedShare is the part of a replica's slots up to which this router goes beyond its share. Reports are several requests old, and all
-// routers look at the same ones: who meets a full replica halves its part, and each answer gives a little back.
+// borrowedShare is the part of a replica's slots up to which this router sends beyond its own share. Reports lag by several requests, and all
+// routers see the same ones. So a router that meets a full replica halves its part, and each response raises it by a small step.
 type borrowedShare struct {
-	mu  sync.Mutex
-	now float64
+	mu       sync.Mutex
+	fraction float64
 }
 
-// share is the part now.
+// share returns the current part.
 func (b *borrowedShare) share() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.now
+	return b.fraction
 }
 
-// observe takes whether a replica was met full.
+// observe adjusts the part after a request: full reports whether the replica was full.
 func (b *borrowedShare) observe(full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if full {
-		b.now /= 2
+		b.fraction /= 2
 	} else {
-		b.now = min(b.now+borrowedStep, maxBorrowed)
+		b.fraction = min(b.fraction+borrowedStep, maxBorrowed)
 	}
 }
 
-// coolDown leaves a replica alone for a while that rejects everyone, or fails; longer each time until it serves again.
+// coolDown ejects a replica that fails, or that rejects requests of all tenants, for a while. The time doubles until the replica serves
+// again.
 func (r *Router) coolDown(rep *replica) {
-	backoff := min(cooldownStep<<min(rep.bad.Add(1)-1, maxCooldownDoublings), maxCooldown)
+	backoff := min(minCooldown<<min(rep.bad.Add(1)-1, maxCooldownDoublings), maxCooldown)
 	until := time.Now().Add(backoff)
 	rep.coolUntil.Store(&until)
 	time.AfterFunc(backoff+time.Millisecond, r.queue.WakeAll)
 }
 
-// release returns a credit.
+// release returns a credit's slot.
 func (r *Router) release(c credit) {
 	c.replica.running.Add(-1)
 	r.balancer.loadChanged(c.replica.Name)
 }
 
-// returnUnused returns a credit whose request left in the moment of the grant; it is called under the queue's lock.
+// returnUnused returns a credit whose request was canceled at the moment of the grant; it is called under the queue's lock.
 func (r *Router) returnUnused(c credit) {
 	r.release(c)
 	c.endPrefill()
 }
 
-// endPrefill ends a request's part in its replica's prefill, and its place in the pool's window.
+// endPrefill ends a request's prefill: at the replica and in the pool's concurrency window.
 func (r *Router) endPrefill(x *Exchange) {
 	c := x.prefill
 	x.prefill = credit{}
@@ -125,7 +127,7 @@
 	}
 }
 
-// endPrefill takes back what a credit stands for until the first chunk.
+// endPrefill returns what a credit holds only until the first chunk.
 func (c credit) endPrefill() {
 	if c.replica != nil {
 		c.replica.pending.Add(-c.work)
--- a/router/compile.go
+++ b/router/compile.go
@@ -24,8 +24,8 @@
 	return i
 }
 
-// oldWeightsTime is how long work may begin on old weights after the new ones were learned, if the options do not say.
-const oldWeightsTime = 12 * time.Second
+// defaultOldWeightsLimit is how long work may begin on old weights after the new ones were learned, if the options do not say.
+const defaultOldWeightsLimit = 12 * time.Second
 
 // readRegister gives a register's revision and content, as the agent has told it; nothing if there is none.
 type readRegister func(key string) (register.Revision, register.Fields)
@@ -35,8 +35,8 @@
 	router *Router
 	read   readRegister
 	plan   *config.Config
-	// old is the view before, nil at first; wasCurrent: it was vouched for until now.
-	old        *View
+	// previous is the view before, nil at first; wasCurrent: it was vouched for until now.
+	previous        *View
 	wasCurrent bool
 	view       *View
 }
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &compilation{router: r, read: read, plan: plan, old: r.view.Load(), wasCurrent: wasCurrent, view: r.newView(revision, plan)}
+	c := &compilation{router: r, read: read, plan: plan, previous: r.view.Load(), wasCurrent: wasCurrent, view: r.newView(revision, plan)}
 	if err := c.compileModels(); err != nil {
 		return nil, err
 	}
@@ -149,10 +149,10 @@
 
 // oldPool gives the pool of that name in the view before; nil if there was none.
 func (c *compilation) oldPool(name string) *pool {
-	if c.old == nil {
+	if c.previous == nil {
 		return nil
 	}
-	return c.old.pools[name]
+	return c.previous.pools[name]
 }
 
 // keepOldWeights lets the weights before be used for a while from when new ones were learned.
@@ -224,8 +224,8 @@
 	if order, ok := orders[name]; ok {
 		rep.order = &order
 	}
-	if c.old != nil && c.old.replicas[name] != nil && c.old.replicas[name].Address == configured.Address {
-		rep.load = c.old.replicas[name].load
+	if c.previous != nil && c.previous.replicas[name] != nil && c.previous.replicas[name].Address == configured.Address {
+		rep.load = c.previous.replicas[name].load
 	}
 	return rep
 }
--- a/router/concurrency_window_test.go
+++ b/router/concurrency_window_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const testAim = 400 * time.Millisecond
+const testTarget = 400 * time.Millisecond
 
 // fill enters as many as there are places for, and says how many.
 func (w *concurrencyWindow) fill() (n int) {
@@ -19,7 +19,7 @@
 }
 
 // The window has its first size, gives each place once, and takes it again.
-func TestWindowBoundsWhoIsIn(t *testing.T) {
+func TestWindowBoundsRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	w := &concurrencyWindow{}
 	is.Equal(w.fill(), 32)
@@ -30,7 +30,7 @@
 }
 
 // While first pieces take long it shrinks by a fifth, at most each 100 ms, and never below two.
-func TestWindowShrinksAndKeepsTwo(t *testing.T) {
+func TestWindowShrinksToItsMinimum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := &concurrencyWindow{}
@@ -38,18 +38,18 @@
 		time.Sleep(time.Second)
 		before := w.size
 		for range 50 {
-			w.observe(testAim/2+time.Millisecond, testAim) // all at once: one cut
+			w.observe(testTarget/2+time.Millisecond, testTarget) // all at once: one cut
 		}
 		is.Equal(w.size, before*0.8)
 		time.Sleep(99 * time.Millisecond)
-		w.observe(testAim, testAim)
+		w.observe(testTarget, testTarget)
 		is.Equal(w.size, before*0.8)
 		time.Sleep(time.Millisecond)
-		w.observe(testAim, testAim)
+		w.observe(testTarget, testTarget)
 		is.Equal(w.size, before*0.8*0.8)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			w.observe(testAim, testAim)
+			w.observe(testTarget, testTarget)
 			is.True(w.size >= 2)
 		}
 		is.Equal(w.size, 2.0)
@@ -61,7 +61,7 @@
 }
 
 // A window that is larger than what is in is cut from what is in: the places that nobody uses are no room to grow into.
-func TestWindowIsCutFromWhatIsIn(t *testing.T) {
+func TestWindowIsCutFromRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := &concurrencyWindow{}
@@ -69,7 +69,7 @@
 			is.True(w.enter())
 		}
 		time.Sleep(time.Second)
-		w.observe(testAim, testAim)
+		w.observe(testTarget, testTarget)
 		is.Equal(w.size, 8.0)
 	})
 }
@@ -80,22 +80,22 @@
 	is := is.New(t)
 	w := &concurrencyWindow{}
 	w.fill()
-	w.observe(testAim/4, testAim) // neither quick nor long
-	w.observe(testAim/2, testAim)
+	w.observe(testTarget/4, testTarget) // neither quick nor long
+	w.observe(testTarget/2, testTarget)
 	is.Equal(w.size, 32.0)
 	for range 32 {
-		w.observe(-time.Second, testAim) // quicker than its reading
+		w.observe(-time.Second, testTarget) // quicker than its reading
 	}
 	is.True(w.size > 32.9 && w.size < 33.1)
 	for w.inFlight > 10 {
 		w.release()
 	}
 	before := w.size
-	w.observe(0, testAim)
+	w.observe(0, testTarget)
 	is.Equal(w.size, before) // not half full
 	w.fill()
 	for range 200000 {
-		w.observe(0, testAim)
+		w.observe(0, testTarget)
 		w.fill()
 	}
 	is.Equal(w.size, maxWindow)
--- a/router/cost.go
+++ b/router/cost.go
@@ -7,35 +7,42 @@
 	"asterridge/config"
 )
 
-// Costs are in milliseconds of prefill, rates in the prompt's units per millisecond. What each is worth: docs/policy.md.
+// Costs are in milliseconds of prefill, rates in the prompt's units per millisecond. The reasons for the values: docs/policy.md.
 const (
-	// defaultRate is the prefill rate of texts in bytes until a replica reports, segmentRate that of segments until it is observed.
-	defaultRate = 4.0
-	segmentRate = 100.0
-	// minSample is the size from which a prefill is a sample of the rate, prefillBase the time that a first chunk takes without any.
-	minSample   = 1000
-	prefillBase = 25 * time.Millisecond
+	// defaultPrefillRate is the assumed prefill rate of text, in bytes per millisecond, until a replica reports its own.
+	// segmentPrefillRate is the assumed prefill rate of segments until one is observed.
+	defaultPrefillRate = 4.0
+	segmentPrefillRate = 100.0
+	// minRateSample is the minimum prefill size that counts as a sample of the rate. firstChunkOverhead is the time to the first chunk of a
+	// request without any prefill.
+	minRateSample      = 1000
+	firstChunkOverhead = 25 * time.Millisecond
 
-	// homeGain lowers the cost of the replica on which routers without cache updates agree.
-	homeGain = 20.0
-	// againCost is a factor of the prefill of what others may share and nobody is known to have cached: it is best computed in one place.
-	// Measured: 4 and 0.5 are worse than 2 (docs/policy.md).
-	againCost = 2.0
-	// zoneCost is for a replica in another zone, waitCost for each request that a replica reports to be waiting.
-	zoneCost = 4.0
-	waitCost = 40.0
-	// oldCost is for a replica on old weights, which will be told to load at any moment, or one that has rejected the tenant.
-	oldCost    = 400.0
-	loadWeight = 40.0
-	newestWarm = 3 * time.Second
-	// fetchDelay is the time before the first byte of a fetched prefix, fetchTry the rate expected of a source that was not tried yet.
-	fetchDelay = 5.0
-	fetchTry   = 200.0
+	// notHomeCost is added for replicas other than the prompt's home, the one on which routers without cache updates agree.
+	notHomeCost = 20.0
+	// duplicatePrefillFactor weights the prefill of blocks that other prompts may share and that no replica is known to have cached. It is
+	// added for replicas other than the home, so that such blocks are computed in one place. 4 and 0.5 measured worse than 2
+	// (docs/policy.md).
+	duplicatePrefillFactor = 2.0
+	// crossZoneCost is added for a replica in another zone, waitingRequestCost for each request that a replica reports as waiting.
+	crossZoneCost      = 4.0
+	waitingRequestCost = 40.0
+	// avoidCost is added for a replica on old weights, which will be told to load new ones at any moment, or for one that has rejected the
+	// tenant. fullLoadCost is added for a replica whose slots are all in use; it scales with the square of the load.
+	avoidCost    = 400.0
+	fullLoadCost = 40.0
+	// warmUpTime is added for a replica that is still warming up.
+	warmUpTime = 3 * time.Second
+	// fetchLatency is the time before the first byte of a fetched prefix, untriedFetchRate the assumed rate of a source that has no measured
+	// one.
+	fetchLatency     = 5.0
+	untriedFetchRate = 200.0
 )
 
-// work estimates the milliseconds until a replica has the whole prompt. What it lacks is computed anew, or fetched from a peer or store
-// that is thought to have more of it cached, if that was measured to be quicker (docs/design.md §6.1). source names the peer or store.
-func (r *Router) work(x *Exchange, v *View, p *pool, rep *replica, d *cacheState) (ms float64, source string) {
+// estimatePrefill estimates the milliseconds until a replica has the whole prompt. The replica computes the uncached part, or fetches some
+// of it from a peer or store that is believed to have more cached, if the measured rates make that faster (docs/design.md §6.1). source is
+// the address of that peer or store.
+func (r *Router) estimatePrefill(x *Exchange, v *View, p *pool, rep *replica, d *cacheState) (ms float64, source string) {
 	has, size, rate := d.cached[rep.Name], x.Prompt.Size(), rep.rate()
 	ms = float64(size-has) / rate
 	for _, other := range d.holders {
@@ -44,7 +51,7 @@
 		if other.Name == rep.Name || more <= 0 {
 			continue
 		}
-		fetched := fetchDelay + float64(more)/max(r.fetchRate(v, p, rep, other), 0.01) + float64(size-theirs)/rate
+		fetched := fetchLatency + float64(more)/max(r.fetchRate(v, p, rep, other), 0.01) + float64(size-theirs)/rate
 		if fetched < ms {
 			ms, source = fetched, other.Address
 		}
@@ -52,9 +59,9 @@
 	return ms, source
 }
 
-// backUp names a store that has as much of the prompt as the replica is thought to: if the replica has dropped it since, it need not
-// compute it anew.
-func (r *Router) backUp(v *View, rep *replica, cached map[string]int) string {
+// backupStore returns the address of a store that has at least half as much of the prompt as the replica is believed to have: if the
+// replica has evicted its copy since, it can fetch that prefix instead of computing it. Empty if there is none.
+func (r *Router) backupStore(v *View, rep *replica, cached map[string]int) string {
 	for _, store := range v.stores {
 		if theirs := cached[store.Name]; theirs > 0 && theirs >= cached[rep.Name]/2 {
 			return store.Address
@@ -63,18 +70,18 @@
 	return ""
 }
 
-// sinkFor names a store that answers and lacks some of what other requests may share.
+// sinkFor returns the address of a reachable store that lacks part of the prompt's shareable prefix; empty if there is none.
 func (r *Router) sinkFor(x *Exchange, v *View, d *cacheState) string {
 	for _, store := range v.stores {
-		if _, up := r.sources.Load(store.Name); up && d.cached[store.Name] < d.shared {
+		if _, up := r.sources.Load(store.Name); up && d.cached[store.Name] < d.sharedSize {
 			return store.Address
 		}
 	}
 	return ""
 }
 
-// fetchRate is how much of a prompt a replica gets from a source per millisecond: as it has measured, or as the pool's links are
-// configured.
+// fetchRate returns how much of a prompt a replica fetches from a source per millisecond: the rate that the replica has measured, else one
+// derived from the configured bandwidth of the pools' links.
 func (r *Router) fetchRate(v *View, p *pool, rep, other *replica) float64 {
 	if report := rep.report.Load(); report != nil {
 		if rate, tried := report.Fetch[other.Name]; tried {
@@ -86,7 +93,7 @@
 		link = min(link, from.LinkMbps)
 	}
 	if link <= 0 || p.UnitBytes <= 0 {
-		return fetchTry
+		return untriedFetchRate
 	}
 	rate := link * 125 / float64(p.UnitBytes) // Mbit/s to bytes per ms
 	if rep.Zone != other.Zone {
@@ -95,37 +102,37 @@
 	return rate
 }
 
-// pendingTime estimates the milliseconds that a replica needs for what this router has sent there and that has not begun.
-func (r *Router) pendingTime(rep *replica) float64 { return float64(rep.pending.Load()) / rep.rate() }
+// pendingMs estimates the milliseconds of prefill at a replica for this router's requests whose first chunks are outstanding.
+func (r *Router) pendingMs(rep *replica) float64 { return float64(rep.pending.Load()) / rep.rate() }
 
-// cost adds the replica's load and warm-up to the work, in milliseconds.
-func (r *Router) cost(rep *replica, work float64, now time.Time) float64 {
+// loadedCost adds the costs of the replica's load and warm-up to the prefill time, in milliseconds.
+func (r *Router) loadedCost(rep *replica, work float64, now time.Time) float64 {
 	busy, warm := float64(rep.running.Load()), rep.State != config.ReplicaWarming
 	if report := rep.report.Load(); report != nil {
 		busy, warm = float64(report.Running)+float64(rep.sent.Load()), report.Warm
 	} else {
-		work += r.pendingTime(rep)
-		if seen := rep.seen.Load(); seen != nil && now.Sub(seen.at) < seenAge {
+		work += r.pendingMs(rep)
+		if seen := rep.occupancy.Load(); seen != nil && now.Sub(seen.at) < maxOccupancyAge {
 			busy = max(busy, float64(seen.Running)+float64(rep.sent.Load()))
-			work += waitCost * float64(seen.Waiting)
+			work += waitingRequestCost * float64(seen.Waiting)
 		}
 	}
-	cost := work + loadWeight*busy*busy/float64(max(1, rep.Limit))/float64(max(1, rep.Limit))
+	cost := work + fullLoadCost*busy*busy/float64(max(1, rep.Limit))/float64(max(1, rep.Limit))
 	if !warm {
-		cost += float64(newestWarm.Milliseconds())
+		cost += float64(warmUpTime.Milliseconds())
 	}
 	return cost
 }
 
-// occupied takes a replica's report of its load; what this router sends from then on counts beside it.
+// occupied records the load that a replica has told in a response, and restarts the count of requests sent since.
 func (rep *replica) occupied(o *Occupancy) {
-	if before := rep.seen.Load(); before == nil || before.at.Before(o.at) {
-		rep.seen.Store(o)
+	if before := rep.occupancy.Load(); before == nil || before.at.Before(o.at) {
+		rep.occupancy.Store(o)
 		rep.sent.Store(0)
 	}
 }
 
-// rate is how fast the replica prefills, in the prompt's units per millisecond: as it reports, or as was observed.
+// rate returns the replica's prefill rate in the prompt's units per millisecond: the reported one, else the observed one.
 func (rep *replica) rate() float64 {
 	if report := rep.report.Load(); report != nil {
 		return report.rate()
@@ -133,21 +140,21 @@
 	if learned := math.Float64frombits(rep.rateBits.Load()); learned > 0 {
 		return learned
 	}
-	return segmentRate
+	return segmentPrefillRate
 }
 
-// observePrefillRate takes the time to a first chunk as a sample of the prefill rate. A replica is slowed by more than its prefill, so a
-// quick sample counts for more than a slow one.
+// observePrefillRate takes the time to a first chunk as a sample of the prefill rate. Other things than prefill can delay a first chunk
+// too, so a sample above the current estimate has a higher gain than one below.
 func (r *Router) observePrefillRate(x *Exchange, delay time.Duration) {
 	rep := x.replica
 	work := x.prefill.work
 	if target := time.Duration(x.Path.LatencyTargetMs) * time.Millisecond; target > 0 {
-		x.prefill.pool.window.observe(delay-prefillBase-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), target)
+		x.prefill.pool.window.observe(delay-firstChunkOverhead-time.Duration(float64(work)/rep.rate()*float64(time.Millisecond)), target)
 	}
-	if work < minSample || x.source != "" || rep.pending.Load() > work || delay <= prefillBase {
+	if work < minRateSample || x.source != "" || rep.pending.Load() > work || delay <= firstChunkOverhead {
 		return
 	}
-	sample, before := float64(work)/float64((delay-prefillBase).Milliseconds()+1), rep.rate()
+	sample, before := float64(work)/float64((delay-firstChunkOverhead).Milliseconds()+1), rep.rate()
 	gain := 0.05
 	if sample > before {
 		gain = 0.3
@@ -155,10 +162,10 @@
 	rep.rateBits.Store(math.Float64bits(before + gain*(min(sample, 4*before)-before)))
 }
 
-// rate is the reported prefill rate in bytes per millisecond, or the default.
+// rate returns the reported prefill rate in bytes per millisecond, or the default.
 func (report *report) rate() float64 {
 	if report.Rate <= 0 {
-		return defaultRate
+		return defaultPrefillRate
 	}
 	return report.Rate
 }
--- a/router/draw_test.go
+++ b/router/draw_test.go
@@ -12,7 +12,7 @@
 )
 
 // Fetching a prefix is chosen while it was measured to be quicker than reading anew, tried where nothing was measured, and left where it loses.
-func TestFetchIsChosenByWhatWasMeasured(t *testing.T) {
+func TestPrefixSourceFollowsMeasuredFetchRates(t *testing.T) {
 	is := is.New(t)
 	r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop()})
 	text := make([]byte, 40*prefixindex.FineSize)
@@ -40,7 +40,7 @@
 	} {
 		own := made("own", c.fetch)
 		p := &pool{replicas: []*replica{own, peer}}
-		ms, source := r.work(x, v, p, own, &cacheState{cached: c.kept, holders: v.holders(p, c.kept)})
+		ms, source := r.estimatePrefill(x, v, p, own, &cacheState{cached: c.kept, holders: v.holders(p, c.kept)})
 		is.Equal(c.name+" "+source, c.name+" "+c.source)
 		is.True(ms <= float64(len(text))/100) // never dearer than reading anew
 	}
--- a/router/limits_test.go
+++ b/router/limits_test.go
@@ -16,8 +16,8 @@
 	"asterridge/sim"
 )
 
-// limited asks a router whose configuration has these limits, and gives the status that it answers for a header field and a body of these sizes.
-func limited(t *testing.T, limits config.Limits, header, body int) int {
+// statusWithLimits asks a router whose configuration has these limits, and gives the status that it answers for a header field and a body of these sizes.
+func statusWithLimits(t *testing.T, limits config.Limits, header, body int) int {
 	t.Helper()
 	status := 0
 	synctest.Test(t, func(t *testing.T) {
@@ -46,7 +46,7 @@
 }
 
 // What a header or a body may measure is the configuration's to say, whether it is more or less than our own bounds.
-func TestSizesFollowTheConfiguration(t *testing.T) {
+func TestSizeLimitsFollowConfiguration(t *testing.T) {
 	const others = 400 // bytes, at the most, of what else is in the header
 	for _, c := range []struct {
 		limits       config.Limits
@@ -63,7 +63,7 @@
 		{config.Limits{BodyBytes: 500}, 1, 501, apierror.Oversize.Status},
 		{config.Limits{}, 1, 1001, apierror.Oversize.Status},
 	} {
-		if status := limited(t, c.limits, c.header, c.body); status != c.status {
+		if status := statusWithLimits(t, c.limits, c.header, c.body); status != c.status {
 			t.Errorf("%+v: a header of %d and a body of %d bytes got %d, not %d", c.limits, c.header, c.body, status, c.status)
 		}
 	}
--- a/router/load.go
+++ b/router/load.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// load is what this router knows of a replica's load; it lives on from view to view.
+// load is what this router knows of a replica's load; it is carried over from view to view.
 type load struct {
-	// bad counts failures and rejections of everyone in a row; the replica is left alone until coolUntil.
+	// bad counts consecutive failures and rejections of requests of all tenants; the replica is ejected until coolUntil.
 	bad       atomic.Int64
 	coolUntil atomic.Pointer[time.Time]
-	// running are the requests that this router has sent and that have not ended, sent those since the last report.
+	// running counts this router's requests in flight, sent those sent since the last report.
 	running atomic.Int64
 	sent    atomic.Int64
-	// pending is what the replica has to prefill of this router's requests before their first chunks, in the prompts' units.
+	// pending is the uncached size of this router's requests whose first chunks are outstanding, in the prompts' units.
 	pending atomic.Int64
-	// rateBits is the observed prefill rate, a float64 in units per millisecond; zero: not observed.
+	// rateBits is the observed prefill rate, a float64 in units per millisecond; zero: not observed yet.
 	rateBits atomic.Uint64
-	// report is the last report, seen the last load that an answer told, seenVersion the highest model version that one told.
+	// report is the last report, occupancy the last load told in a response, seenVersion the highest model version told in one.
 	report      atomic.Pointer[report]
-	seen        atomic.Pointer[Occupancy]
+	occupancy   atomic.Pointer[Occupancy]
 	seenVersion atomic.Uint64
 }
 
-// Occupancy is what a replica tells of its load in an answer.
+// Occupancy is the load that a replica tells in a response.
 type Occupancy struct {
 	Running, Waiting, Slots int
 	at                      time.Time
 }
 
-// newLoad makes a load of which nothing is known.
+// newLoad returns a load of which nothing is known.
 func newLoad() *load {
 	l := &load{}
 	l.coolUntil.Store(&time.Time{})
 	return l
 }
 
-// Report is what a replica reports of itself. Number rises with each report of a run.
+// Report is a replica's report on itself. Number increases with each report of a run of the process.
 type Report struct {
 	Run     string  `json:"run"`
 	Number  uint64  `json:"number"`
 	Weights string  `json:"weights"`
 	Running int     `json:"running"`
 	Warm    bool    `json:"warm"`
-	Rate    float64 `json:"rate"` // bytes of prompt read anew per ms
-	// Fetch has, by source, the bytes of prompt that this replica has got per ms; a source that it has not tried is not there.
+	Rate    float64 `json:"rate"` // bytes of uncached prompt prefilled per ms
+	// Fetch has, by source, the bytes of prompt that this replica has fetched per ms; a source that it has not tried is absent.
 	Fetch map[string]float64 `json:"fetch,omitempty"`
 	AdapterReport
 }
 
-// report is a replica's last report, and when it came.
+// report is a replica's last report and the time at which it was received.
 type report struct {
 	Report
 	at time.Time
--- a/router/mix_test.go
+++ b/router/mix_test.go
@@ -63,6 +63,6 @@
 }
 
 // Whatever replicas and clients do wrong, in any mix: no answer is another request's, no request runs twice or unasked, no promise is broken.
-func TestMixesOfWrongAnswersAndClients(t *testing.T) { relaytest.PlaySeeds(t, mix(), *mixSeeds) }
+func TestSeededMixesOfFaults(t *testing.T) { relaytest.PlaySeeds(t, mix(), *mixSeeds) }
 
-func TestEachWrongAnswerByItself(t *testing.T) { relaytest.PlayEachAct(t, mix(), 3) }
+func TestEachFaultAlone(t *testing.T) { relaytest.PlayEachAct(t, mix(), 3) }
--- a/router/model_test.go
+++ b/router/model_test.go
@@ -15,7 +15,7 @@
 
 // An old version may start work until a term after the next one was named; a disturbance of the cores begins the term anew. A version of
 // which it is not known when it was superseded gets none.
-func TestOldVersionsEndInTime(t *testing.T) {
+func TestStartDeadlineOfOldModelVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { // on a clock that a busy machine does not move
 		is := is.New(t)
 		const oldWeights = 10 * time.Second
@@ -54,26 +54,26 @@
 				when := at(c.disturbed)
 				r.disturbed.Store(&when)
 			}
-			is.Equal(c.what+": "+yes(mayBegin(r, v, c.model, c.version, at(c.at))), c.what+": "+yes(c.allows))
+			is.Equal(c.what+": "+yesNo(mayStartAt(r, v, c.model, c.version, at(c.at))), c.what+": "+yesNo(c.allows))
 		}
 		r.disturbed.Store(nil)
 		// An older word for the same version counts, a younger one does not.
 		is.Equal(len(r.modelVersions.Apply(register.Fields{ModelVersionField("m", 6): []byte("1000")}, nil)), 0)
-		is.True(mayBegin(r, v, "m", 5, at(2.8)))
+		is.True(mayStartAt(r, v, "m", 5, at(2.8)))
 		is.Equal(len(r.modelVersions.Apply(register.Fields{ModelVersionField("m", 6): []byte("9000")}, nil)), 1)
-		is.True(!mayBegin(r, v, "m", 5, at(1.1)))
+		is.True(!mayStartAt(r, v, "m", 5, at(1.1)))
 	})
 }
 
-// mayBegin says whether work may begin at a replica.
-func mayBegin(r *Router, v *View, model string, version uint64, at time.Time) bool {
-	end, old := r.beginBy(v, model, version)
+// mayStartAt says whether work may begin at a replica.
+func mayStartAt(r *Router, v *View, model string, version uint64, at time.Time) bool {
+	end, old := r.startDeadline(v, model, version)
 	return !old || at.Before(end)
 }
 
 // Work is sent on an old version for as long as an answer is likely to be whole before the version's time is over: a second before any was
 // seen, and then what answers take in the mean; but always for half of the time.
-func TestOldVersionIsSentForAsLongAsAnswersEndInTime(t *testing.T) {
+func TestOldVersionIsUsedWhileAnswersCanComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { // on a clock that a busy machine does not move
 		is := is.New(t)
 		const oldWeights = 10 * time.Second
@@ -112,7 +112,7 @@
 	})
 }
 
-func yes(so bool) string {
+func yesNo(so bool) string {
 	if so {
 		return "yes"
 	}
@@ -120,7 +120,7 @@
 }
 
 // Hundreds of versions leave a bounded memory behind. What is forgotten is older than all that may be used: its time is over.
-func TestTimesOfVersionsAreForgottenFromTheOldestOn(t *testing.T) {
+func TestOldestVersionTimesAreForgottenFirst(t *testing.T) {
 	is := is.New(t)
 	var named ModelVersions
 	const newest = 500
--- a/router/model_versions.go
+++ b/router/model_versions.go
@@ -33,8 +33,8 @@
 // publishedVersions are those of one model.
 type publishedVersions struct {
 	since map[uint64]time.Time
-	// forgotten is the newest version that is remembered no more: the time of those below it is over.
-	forgotten uint64
+	// newestForgotten is the newest version that is remembered no more: the time of those below it is over.
+	newestForgotten uint64
 }
 
 // add remembers a version, and forgets the oldest one beyond MaxModelVersions.
@@ -43,7 +43,7 @@
 	if len(p.since) > MaxModelVersions {
 		oldest := slices.Min(slices.Collect(maps.Keys(p.since)))
 		delete(p.since, oldest)
-		p.forgotten = oldest
+		p.newestForgotten = oldest
 	}
 }
 
@@ -66,7 +66,7 @@
 		since := time.Now().Add(-time.Duration(ms) * time.Millisecond)
 		published := n.of(field[:at])
 		known, ok := published.since[version]
-		if version > published.forgotten && (!ok || since.Add(versionAgeSlack).Before(known)) {
+		if version > published.newestForgotten && (!ok || since.Add(versionAgeSlack).Before(known)) {
 			published.add(version, since)
 			moved[field] = json.RawMessage(strconv.FormatInt(ms, 10))
 		}
@@ -95,7 +95,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	published := n.of(model)
-	if version < published.forgotten {
+	if version < published.newestForgotten {
 		return time.Time{}, false
 	}
 	next := uint64(0)
@@ -107,10 +107,10 @@
 	return published.since[next], next > 0
 }
 
-// beginBy gives when work on a version of a model must have begun at the latest; old is false for the newest version. A version above the
+// startDeadline gives when work on a version of a model must have begun at the latest; old is false for the newest version. A version above the
 // one that we know of is newer all the same. An old one may be used for a time from when it was superseded, or from when the cores were
 // last disturbed if that was later. If nobody knows since when, its time is over.
-func (r *Router) beginBy(v *View, model string, version uint64) (end time.Time, old bool) {
+func (r *Router) startDeadline(v *View, model string, version uint64) (end time.Time, old bool) {
 	if version >= v.models[model].Version {
 		return time.Time{}, false
 	}
@@ -127,7 +127,7 @@
 // mayStart reports whether work may be sent to a replica on a version of a model. On an old version it may as long as an answer is likely
 // to be complete before no work may begin.
 func (r *Router) mayStart(v *View, p *pool, model string, version uint64, now time.Time) bool {
-	end, old := r.beginBy(v, model, version)
+	end, old := r.startDeadline(v, model, version)
 	return !old || now.Add(p.answers.expected(r.options.OldWeightsLimit/2)).Before(end)
 }
 
@@ -135,7 +135,7 @@
 // be used. The replica drops what it has not begun by then. That, and not what is expected of it, keeps work from beginning too late.
 func (r *Router) remainingTime(v *View, x *Exchange) time.Duration {
 	left := time.Until(x.Deadline)
-	if end, old := r.endOf(v, x); old {
+	if end, old := r.requestStartDeadline(v, x); old {
 		left = min(left, time.Until(end))
 	}
 	return left
@@ -144,18 +144,18 @@
 // isPastOldVersion reports whether a request that is written now would have time beyond the end of the old version that it goes to: it has
 // waited for a connection since it was told its time, or the version has become an old one.
 func (r *Router) isPastOldVersion(v *View, x *Exchange) bool {
-	end, old := r.endOf(v, x)
+	end, old := r.requestStartDeadline(v, x)
 	return old && time.Now().Add(x.remaining).After(end.Add(sendSlack))
 }
 
 // sendSlack is how long a request may take from being told its time to its write.
 const sendSlack = 200 * time.Millisecond
 
-// endOf is beginBy for the replica that a request was given.
-func (r *Router) endOf(v *View, x *Exchange) (end time.Time, old bool) {
+// requestStartDeadline is beginBy for the replica that a request was given.
+func (r *Router) requestStartDeadline(v *View, x *Exchange) (end time.Time, old bool) {
 	rep := v.replicas[x.replica.Name]
 	if x.weights == "" || rep == nil || r.options.Protocol.ReportPath() != "" {
 		return time.Time{}, false
 	}
-	return r.beginBy(v, x.Prompt.Model, rep.version(x.Prompt.Model))
+	return r.startDeadline(v, x.Prompt.Model, rep.version(x.Prompt.Model))
 }
--- a/router/old_version_test.go
+++ b/router/old_version_test.go
@@ -29,11 +29,11 @@
 	return router.Prompt{Model: "m"}, nil
 }
 
-// queueing is a replica that lets requests wait before they begin. It stops at the deadline that it was handed, and drops what has not begun
+// queueingReplica is a replica that lets requests wait before they begin. It stops at the deadline that it was handed, and drops what has not begun
 // by then as not run.
-type queueing struct {
+type queueingReplica struct {
 	wait   func() time.Duration // of a request that comes now
-	pieces int                  // one each 100 ms
+	chunks int                  // one each 100 ms
 
 	mu     sync.Mutex
 	begun  []time.Time
@@ -43,9 +43,9 @@
 	lastMiss time.Time
 }
 
-const pieceStep = 100 * time.Millisecond
+const chunkInterval = 100 * time.Millisecond
 
-func (s *queueing) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (s *queueingReplica) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	_, _ = io.Copy(io.Discard, q.Body)
 	left, _ := strconv.Atoi(q.Header.Get("X-Left-Ms"))
 	deadline := time.Now().Add(time.Duration(left) * time.Millisecond)
@@ -66,7 +66,7 @@
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w)
-	for n := range s.pieces {
+	for n := range s.chunks {
 		if time.Now().After(deadline) {
 			s.mu.Lock()
 			s.cut++
@@ -75,12 +75,12 @@
 		}
 		_, _ = io.WriteString(w, event(n+1))
 		_ = flush.Flush()
-		time.Sleep(pieceStep)
+		time.Sleep(chunkInterval)
 	}
 }
 
-// onOldVersion has a router before one replica that stays on version 1, and callers that ask for a while from when version 2 is named.
-func onOldVersion(t *testing.T, bound time.Duration, s *queueing, play func(is *is.I, stand *sim.Testbed, ask func(id string) int, named time.Time)) {
+// runOnOldVersion has a router before one replica that stays on version 1, and callers that ask for a while from when version 2 is named.
+func runOnOldVersion(t *testing.T, bound time.Duration, s *queueingReplica, play func(is *is.I, stand *sim.Testbed, ask func(id string) int, named time.Time)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -119,8 +119,8 @@
 	})
 }
 
-// keepAsking sends requests at a steady pace until a moment, and waits for the last one's answer.
-func keepAsking(ask func(id string) int, until time.Time) (answered map[int]int) {
+// sendSteadily sends requests at a steady pace until a moment, and waits for the last one's answer.
+func sendSteadily(ask func(id string) int, until time.Time) (answered map[int]int) {
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	answered = map[int]int{}
@@ -131,7 +131,7 @@
 			defer mu.Unlock()
 			answered[status]++
 		})
-		time.Sleep(pieceStep)
+		time.Sleep(chunkInterval)
 	}
 	asking.Wait()
 	return answered
@@ -139,7 +139,7 @@
 
 // Nothing begins on an old version after its bound, however long requests wait at the replica before they begin: also where the queue grows
 // from nothing to seconds, so that what was seen is no guide. Old versions are used for most of their time all the same.
-func TestOldVersionBeginsNoWorkAfterItsBound(t *testing.T) {
+func TestOldVersionStartsNoWorkAfterLimit(t *testing.T) {
 	const bound = 15 * time.Second
 	for name, wait := range map[string]func(named time.Time) time.Duration{
 		"a short queue":    func(time.Time) time.Duration { return 100 * time.Millisecond },
@@ -149,16 +149,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var began time.Time
-			s := &queueing{pieces: 3}
+			s := &queueingReplica{chunks: 3}
 			s.wait = func() time.Duration {
 				if began.IsZero() {
 					return 0
 				}
 				return wait(began)
 			}
-			onOldVersion(t, bound, s, func(is *is.I, _ *sim.Testbed, ask func(string) int, named time.Time) {
+			runOnOldVersion(t, bound, s, func(is *is.I, _ *sim.Testbed, ask func(string) int, named time.Time) {
 				began = named
-				answered := keepAsking(ask, named.Add(bound+2*time.Second))
+				answered := sendSteadily(ask, named.Add(bound+2*time.Second))
 				last := time.Duration(0)
 				for _, at := range s.begun {
 					last = max(last, at.Sub(named))
@@ -173,10 +173,10 @@
 
 // A stream that has begun is not stopped by the deadline that stands for the bound: as long as answers have been seen to take, nothing new
 // is sent.
-func TestStreamsOnAnOldVersionEndWhole(t *testing.T) {
-	s := &queueing{pieces: 25, wait: func() time.Duration { return 200 * time.Millisecond }}
-	onOldVersion(t, 15*time.Second, s, func(is *is.I, _ *sim.Testbed, ask func(string) int, named time.Time) {
-		answered := keepAsking(ask, named.Add(15*time.Second))
+func TestStreamsOnOldVersionComplete(t *testing.T) {
+	s := &queueingReplica{chunks: 25, wait: func() time.Duration { return 200 * time.Millisecond }}
+	runOnOldVersion(t, 15*time.Second, s, func(is *is.I, _ *sim.Testbed, ask func(string) int, named time.Time) {
+		answered := sendSteadily(ask, named.Add(15*time.Second))
 		t.Logf("answered: %v; dropped in the queue: %d, cut: %d", answered, s.missed, s.cut)
 		is.Equal(s.cut, 0)
 		is.Equal(s.missed, 0)
@@ -185,8 +185,8 @@
 }
 
 // A deadline that was worked out before a connection was sought is looked at again when the connection is there.
-func TestDeadlineForAnOldVersionCountsFromTheWrite(t *testing.T) {
-	s := &queueing{pieces: 1}
+func TestOldVersionDeadlineIsCheckedAtWrite(t *testing.T) {
+	s := &queueingReplica{chunks: 1}
 	var began time.Time
 	s.wait = func() time.Duration {
 		if began.IsZero() {
@@ -195,7 +195,7 @@
 		return 10 * time.Second
 	}
 	const bound = 15 * time.Second
-	onOldVersion(t, bound, s, func(is *is.I, stand *sim.Testbed, ask func(string) int, named time.Time) {
+	runOnOldVersion(t, bound, s, func(is *is.I, stand *sim.Testbed, ask func(string) int, named time.Time) {
 		began = named
 		time.Sleep(time.Until(named.Add(12 * time.Second))) // no idle connection is left
 		stand.Net.PartitionGroups([]string{"10.0.1.1"}, []string{"10.0.2.1"}, true)
--- a/router/options.go
+++ b/router/options.go
@@ -64,7 +64,7 @@
 		o.BodyMemory = defaultBodyMemory
 	}
 	if o.OldWeightsLimit == 0 {
-		o.OldWeightsLimit = oldWeightsTime
+		o.OldWeightsLimit = defaultOldWeightsLimit
 	}
 	if o.AgentWatchWait == 0 {
 		o.AgentWatchWait = defaultAgentWatchWait
--- a/router/prompt_cache.go
+++ b/router/prompt_cache.go
@@ -6,20 +6,20 @@
 	"asterridge/rendezvous"
 )
 
-// cacheState is what is known of a prompt in one cache domain.
+// cacheState is what is known about the cached parts of a prompt in one cache domain.
 type cacheState struct {
-	anchor    string
-	cached    map[string]int // by replica or store
-	holders   []*replica     // of some of it
-	maxCached int            // that any of them keeps
-	shared    int            // what of it others may ask for too
-	// sharedBlocks are the keys of the blocks that make shared.
+	anchor     string
+	cached     map[string]int // cached size, by replica or store
+	holders    []*replica     // replicas and stores that have some of it cached
+	maxCached  int            // the largest cached size
+	sharedSize int            // size of the prefix that other requests may share
+	// sharedBlocks are the keys of the blocks of that prefix.
 	sharedBlocks []string
-	home         string // of the replicas that may serve: the one on which proxies without news agree
-	weight       uint64
+	home         string // of the replicas that may serve: the one on which routers without cache updates agree
+	homeWeight   uint64
 }
 
-// cacheStateOf looks a prompt up in one cache domain.
+// cacheStateOf looks up what is cached of a prompt in one cache domain.
 func (r *Router) cacheStateOf(x *Exchange, v *View, p *pool, domain string) *cacheState {
 	d := &cacheState{anchor: x.anchor(domain)}
 	if p.Kind != config.ModelPool {
@@ -31,7 +31,7 @@
 	}
 	d.holders = v.holders(p, d.cached)
 	if n := len(x.Prompt.Segments); n > 1 {
-		d.shared = x.Prompt.Size() - x.Prompt.Segments[n-1].Size
+		d.sharedSize = x.Prompt.Size() - x.Prompt.Segments[n-1].Size
 		for _, block := range x.chain(domain)[:n-1] {
 			d.sharedBlocks = append(d.sharedBlocks, block.Key)
 		}
@@ -39,7 +39,7 @@
 	return d
 }
 
-// holders gives the replicas of a pool that are not draining, and the stores, that have some of a prompt cached.
+// holders returns the replicas of a pool that are not draining, and the stores, that have some of a prompt cached.
 func (v *View) holders(p *pool, cached map[string]int) (holders []*replica) {
 	for _, sources := range [][]*replica{p.replicas, v.stores} {
 		for _, rep := range sources {
@@ -51,14 +51,14 @@
 	return holders
 }
 
-// meet has a replica compete for being the home: the one on which routers without cache updates agree.
-func (d *cacheState) meet(name string) {
-	if w := rendezvous.Weight(d.anchor, name); d.home == "" || w > d.weight {
-		d.home, d.weight = name, w
+// considerHome makes a replica the home if it has the highest rendezvous weight so far. Routers without cache updates agree on the home.
+func (d *cacheState) considerHome(name string) {
+	if w := rendezvous.Weight(d.anchor, name); d.home == "" || w > d.homeWeight {
+		d.home, d.homeWeight = name, w
 	}
 }
 
-// chain gives the prompt's blocks in a cache domain; they are computed once.
+// chain returns the prompt's blocks in a cache domain; they are computed once per domain.
 func (x *Exchange) chain(domain string) []prefixindex.Block {
 	if x.blocks == nil {
 		x.blocks = map[string][]prefixindex.Block{}
@@ -76,8 +76,8 @@
 	return chain
 }
 
-// anchor stands for the beginning of the prompt, by which routers without cache updates agree on a replica. The last segment of a prompt is
-// its own.
+// anchor identifies the beginning of the prompt, by which routers without cache updates agree on a replica. The last segment of a prompt is
+// not shared with other prompts, so it is left out if there are others.
 func (x *Exchange) anchor(domain string) string {
 	chain := x.chain(domain)
 	if x.Prompt.Segments != nil {
