--- a/router/adapter.go
+++ b/router/adapter.go
@@ -10,7 +10,7 @@
 	"asterridge/register"
 )
 
-// AdapterReport is what a replica reports of the bases beside its weights and of the adapters on them (docs/design.md §6.6).
+// AdapterReport is what a replica reports of additional base models and of the adapters on them (docs/design.md §6.6).
 type AdapterReport struct {
 	Bases    map[string]Base    `json:"bases,omitempty"`
 	Adapters map[string]Adapter `json:"adapters,omitempty"` // by NAME@BASE
@@ -25,11 +25,11 @@
 // Adapter is a build of an adapter that a replica has on a base.
 type Adapter struct {
 	Build string `json:"build"`
-	State string `json:"state"`          // "loading", "loaded", "tried", or "bad": its trial answer was wrong
-	Live  int    `json:"live,omitempty"` // whole answers to callers
+	State string `json:"state"`          // AdapterLoading, AdapterLoaded, AdapterTried, or AdapterBad
+	Live  int    `json:"live,omitempty"` // complete responses to clients
 }
 
-// States of an adapter on a replica.
+// States of an adapter on a replica. AdapterTried and AdapterBad tell whether its response to the trial prompt was right.
 const (
 	AdapterLoading = "loading"
 	AdapterLoaded  = "loaded"
@@ -37,7 +37,7 @@
 	AdapterBad     = "bad"
 )
 
-// compileAdapters adds the routes of the adapters to the view.
+// compileAdapters adds the current placements of the adapters to the view.
 func (v *View) compileAdapters(plan *config.Config, read func(key string) (register.Revision, register.Fields)) error {
 	_, fields := read(config.RetirementKey)
 	retirements, _, err := config.ParseRetirements(fields)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// adapter is a route, and the tenants that may use it; none named: everybody.
+// adapter is an adapter's current placement, and the tenants that may use it; all may if there are none.
 type adapter struct {
 	tenants   []string
 	placement config.Placement
@@ -61,13 +61,13 @@
 // mayUse rejects a tenant that may not use the path's adapter, with apierror.NoAdapter.
 func (v *View) mayUse(t *tenant, p *path) error {
 	if a := v.adapters[p.Adapter]; len(a.tenants) > 0 && !slices.Contains(a.tenants, t.Name) {
-		return apierror.New(apierror.NoAdapter, "adapter %s is not for %s", p.Adapter, t.Name)
+		return apierror.New(apierror.NoAdapter, "adapter %s is not available to tenant %s", p.Adapter, t.Name)
 	}
 	return nil
 }
 
-// placement gives the base and adapter that the path's requests run on now, and reports whether the replica has them. A stream that is
-// resumed goes on where it began, or not at all.
+// placement returns the base and adapter that the path's requests run on now, and reports whether the replica has them. A resumed stream
+// only continues on the placement on which it began.
 func (v *View) placement(x *Exchange, p *path, rep *replica) (on config.Placement, fit bool) {
 	if p.Adapter == "" {
 		return on, true
@@ -81,10 +81,10 @@
 	return on, on.Build != "" && has.Build == on.Build && has.State == AdapterTried
 }
 
-// isPlacementMissing reports whether a rejection's reason is a base or adapter that the replica does not have.
+// isPlacementMissing reports whether a rejection's reason is that the replica does not have the request's base or adapter.
 func isPlacementMissing(reason string) bool { return reason == "base_gone" || reason == "adapter_gone" }
 
-// forgetPlacement notes, until the replica's next report, that it does not have what a request was to run on.
+// forgetPlacement records, until the replica's next report, that it does not have the request's adapter on its base.
 func (x *Exchange) forgetPlacement() {
 	if report := x.replica.report.Load(); report != nil {
 		less := *report
@@ -94,8 +94,8 @@
 	}
 }
 
-// firstAnswerDiscount is what the cost of a replica is lowered by that has not answered a client from the adapter yet. Cached prefixes would lead all
-// clients to a few replicas, and a move waits until more than half have answered.
+// firstAnswerDiscount returns by how much the cost of a replica is lowered that has not yet answered a client with the adapter. Cached
+// prefixes would lead all clients to a few replicas, and a move to another base waits until more than half of the replicas have answered.
 func firstAnswerDiscount(rep *replica, on config.Placement) float64 {
 	if on.Adapter != "" && rep.report.Load().Adapters[on.Key()].Live == 0 {
 		return avoidCost
@@ -103,7 +103,7 @@
 	return 0
 }
 
-// domainOf adds the base and the adapter to the cache domain (docs/design.md §6.3).
+// domainOf adds the placement to the weights for the cache domain (docs/design.md §6.3).
 func domainOf(weights string, on config.Placement) string {
 	if on.Adapter == "" {
 		return weights
@@ -111,14 +111,14 @@
 	return weights + "+" + on.Key() + "." + on.Build
 }
 
-// Headers that tell a replica what a request runs on.
+// Headers that tell a replica which base and adapter a request runs on.
 const (
 	baseHeader    = "X-Base"
 	adapterHeader = "X-Adapter"
 	buildHeader   = "X-Adapter-Build"
 )
 
-// setPlacementHeaders tells the replica what the request runs on, in place of anything that the client set.
+// setPlacementHeaders sets the headers for a placement, and removes those that the client set.
 func setPlacementHeaders(h http.Header, on config.Placement) {
 	for name, value := range map[string]string{baseHeader: on.Base, adapterHeader: on.Adapter, buildHeader: on.Build} {
 		h.Del(name)
@@ -128,24 +128,24 @@
 	}
 }
 
-// AdapterPath is where replicas take orders for bases and adapters.
+// AdapterPath is the path at which replicas take orders for bases and adapters.
 const AdapterPath = "/adapters"
 
-// AdapterOrder has a replica load or drop a base, or load or try an adapter. A replica refuses an order under a lower lease than it has
-// met.
+// AdapterOrder tells a replica to load or drop a base, or to load or try an adapter. A replica refuses an order with a lower fencing token
+// than the highest that it has received.
 type AdapterOrder struct {
 	config.Placement
 	Do    string `json:"do"`
 	Lease uint64 `json:"term"`
 }
 
-// The actions of an order.
+// Actions of an AdapterOrder.
 const (
 	LoadBase    = "load base"
-	DropBase    = "drop base" // refused while work runs on it
+	DropBase    = "drop base" // refused while requests run on the base
 	LoadAdapter = "load adapter"
-	TryAdapter  = "try adapter" // the replica answers a trial prompt with it
+	TryAdapter  = "try adapter" // the replica answers a trial prompt with the adapter
 )
 
-// SendTime is W + A: a request that was checked so long ago is with its replica, or never will be (docs/design.md §3.2).
+// SendTime is W + A: a request whose check is longer ago either is at its replica or will never get there (docs/design.md §3.2).
 const SendTime = writeLimit + ackLimit
--- a/router/answer_time.go
+++ b/router/answer_time.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Bounds and smoothing of the expected time of an answer.
+// Bounds and smoothing of the expected response time.
 const (
-	minAnswerTime = time.Second // expected until an answer has been seen, and the least
-	answerTimeGain  = 0.125       // of a sample in the mean, as for a transport's round trips (RFC 6298)
+	minAnswerTime  = time.Second // lower bound, also the value before the first response
+	answerTimeGain = 0.125       // weight of a sample in the mean, as for round-trip times of TCP (RFC 6298)
 )
 
-// answerTime is how long a pool's replicas take from the sending of a request to the end of its answer, their own queues included.
+// answerTime is the mean time from sending a request to one of a pool's replicas to the end of the response, with queueing at the replica.
 type answerTime struct {
 	mu   sync.Mutex
 	mean float64
 }
 
-// observe adds the time of a complete answer.
+// observe adds the time of a complete response.
 func (a *answerTime) observe(took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -28,7 +28,7 @@
 	a.mean += answerTimeGain * (float64(took) - a.mean)
 }
 
-// expected is how long an answer is likely to take, within bounds.
+// expected returns how long a response is likely to take, between minAnswerTime and a limit.
 func (a *answerTime) expected(limit time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/router/body_memory.go
+++ b/router/body_memory.go
@@ -12,16 +12,16 @@
 	"asterridge/apierror"
 )
 
-// Bounds on clients' bodies.
+// Bounds on request bodies.
 const (
-	defaultBodyMemory = 256 << 20 // bytes of callers' bodies that a router holds, unless its options say otherwise
-	tenantMemoryDivisor       = 4         // no tenant holds more than this part of them
-	memoryStep        = 64 << 10
-	bodyReadTimeout         = 10 * time.Second // for a body to come, and beyond that the time of its size at bodyRate
-	minBodyRate          = 256 << 10        // bytes a second
+	defaultBodyMemory   = 256 << 20 // default of Options.BodyMemory, in bytes
+	tenantMemoryDivisor = 4         // one tenant may hold at most 1/4 of the memory
+	memoryStep          = 64 << 10
+	bodyReadTimeout     = 10 * time.Second // time to read a body, plus its size divided by minBodyRate
+	minBodyRate         = 256 << 10        // bytes per second
 )
 
-// memoryBudget is the memory for clients' bodies while they are read, wait or are being sent (docs/design.md §5.3).
+// memoryBudget bounds the memory for request bodies while they are read, queued or sent (docs/design.md §5.3).
 type memoryBudget struct {
 	mu       sync.Mutex
 	limit    int64
@@ -49,7 +49,7 @@
 	m.byTenant[tenant] -= n
 }
 
-// inUse is how much is reserved now.
+// inUse returns how much memory is reserved.
 func (m *memoryBudget) inUse() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -60,30 +60,31 @@
 type clientConn struct {
 	id      string
 	header  ClientHeader
-	failure error // why the opening could not be read
+	failure error // why the client header could not be read
 	control *http.ResponseController
-	onDone  []func() // when the request is over
+	onDone  []func() // called when the request has ended
 }
 
 // clientConnKey is the key of a clientConn in a request's context.
 type clientConnKey struct{}
 
-// readBody reads a body within bounds of size, memory and time. The errors are apierror.Oversize, NoMemory, TooSlow and Malformed.
+// readBody reads a body within limits of size, memory and time. It fails with apierror.Oversize, NoMemory, TooSlow or Malformed.
 func (r *Router) readBody(x *Exchange) ([]byte, error) {
 	q, limit := x.Request, max(defaultBodyBytes, x.View.limits.BodyBytes)
 	if q.ContentLength > int64(limit) {
-		return nil, apierror.New(apierror.Oversize, "a body of %d bytes", q.ContentLength)
+		return nil, apierror.New(apierror.Oversize, "request body of %d bytes exceeds the limit", q.ContentLength)
 	}
 	taken, tenant := int64(0), x.Tenant.index
 	x.connection.onDone = append(x.connection.onDone, func() { r.bodyMemory.release(tenant, taken) })
 	grow := func(n int64) error {
 		if !r.bodyMemory.reserve(tenant, n) {
-			return again(apierror.New(apierror.NoMemory, "no room for %d more bytes", n), time.Second)
+			return again(apierror.New(apierror.NoMemory, "not enough memory for %d more bytes of request bodies", n), time.Second)
 		}
 		taken += n
 		return nil
 	}
-	_ = x.connection.control.SetReadDeadline(time.Now().Add(bodyReadTimeout + time.Duration(max(0, q.ContentLength))*time.Second/minBodyRate)) // a connection that knows none has its own bounds
+	// An error means that the connection has no read deadline; such a connection has bounds of its own.
+	_ = x.connection.control.SetReadDeadline(time.Now().Add(bodyReadTimeout + time.Duration(max(0, q.ContentLength))*time.Second/minBodyRate))
 	var body bytes.Buffer
 	if q.ContentLength > 0 {
 		if err := grow(q.ContentLength); err != nil {
@@ -100,11 +101,11 @@
 		n, err := io.CopyN(&body, q.Body, memoryStep)
 		switch {
 		case body.Len() > limit:
-			return nil, apierror.New(apierror.Oversize, "a body of over %d bytes", limit)
+			return nil, apierror.New(apierror.Oversize, "request body exceeds the limit of %d bytes", limit)
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return nil, apierror.New(apierror.TooSlow, "%d bytes came in time", body.Len())
+			return nil, apierror.New(apierror.TooSlow, "request body incomplete at the read deadline: got %d bytes", body.Len())
 		case err == io.EOF || err == nil && n == 0:
-			_ = x.connection.control.SetReadDeadline(time.Time{}) // streams are as long as they are
+			_ = x.connection.control.SetReadDeadline(time.Time{}) // the response stream may take any time
 			return body.Bytes(), nil
 		case err != nil:
 			return nil, apierror.Wrap(err, apierror.Malformed, "read body")
--- a/router/compile.go
+++ b/router/compile.go
@@ -11,10 +11,10 @@
 	"asterridge/rendezvous"
 )
 
-// indices gives dense numbers to names. A name keeps its number.
+// indices assigns dense indices to names. A name keeps its index for the life of the process.
 type indices struct{ byName map[string]int }
 
-// of gives a name's number, a new one if it has none.
+// of returns a name's index, and assigns one if it has none.
 func (x *indices) of(name string) int {
 	i, ok := x.byName[name]
 	if !ok {
@@ -24,24 +24,24 @@
 	return i
 }
 
-// defaultOldWeightsLimit is how long work may begin on old weights after the new ones were learned, if the options do not say.
+// defaultOldWeightsLimit is the default of Options.OldWeightsLimit.
 const defaultOldWeightsLimit = 12 * time.Second
 
-// readRegister gives a register's revision and content, as the agent has told it; nothing if there is none.
+// readRegister returns a register's revision and content as received from the agent; zero values if there is none.
 type readRegister func(key string) (register.Revision, register.Fields)
 
-// compilation is a view that is being compiled from the registers.
+// compilation is the state of compiling one view from the registers.
 type compilation struct {
 	router *Router
 	read   readRegister
 	plan   *config.Config
-	// previous is the view before, nil at first; wasCurrent: it was vouched for until now.
-	previous        *View
+	// previous is the view before this one, nil at first; wasCurrent reports whether the router was current with it until now.
+	previous   *View
 	wasCurrent bool
 	view       *View
 }
 
-// compile makes a view of the registers. keys are those that there are.
+// compile builds a view of the registers. keys are the keys of all registers.
 func (r *Router) compile(read readRegister, keys []string, wasCurrent bool) (*View, error) {
 	revision, fields := read(config.Key)
 	plan, err := config.FromFields(fields)
@@ -67,7 +67,7 @@
 	return c.view, nil
 }
 
-// newView makes a view that has what the configuration itself says, and no tenants, pools, paths or replicas yet.
+// newView returns a view with the fleet-wide settings of the configuration, and without tenants, pools, paths or replicas.
 func (r *Router) newView(revision register.Revision, plan *config.Config) *View {
 	return &View{
 		Version:      revision,
@@ -83,14 +83,14 @@
 	}
 }
 
-// compileModels takes the published versions of the models.
+// compileModels reads the published versions of the models.
 func (c *compilation) compileModels() (err error) {
 	_, versions := c.read(config.ModelsKey)
 	c.view.models, err = config.Load[config.Model](versions)
 	return err
 }
 
-// compileProxies takes the names of the proxies that share the replicas.
+// compileProxies reads the names of the proxies that share the replicas.
 func (c *compilation) compileProxies() {
 	_, proxies := c.read(ProxiesKey)
 	for name := range proxies {
@@ -99,7 +99,7 @@
 	sort.Strings(c.view.proxies)
 }
 
-// compileTenants takes the tenants with the access keys of the configuration and of the registers.
+// compileTenants adds the tenants, and their access keys from the configuration and from the registers.
 func (c *compilation) compileTenants(keys []string) error {
 	for name, configured := range c.plan.Tenants {
 		t := &tenant{Tenant: configured, index: c.router.names.of("tenant/" + name)}
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// compilePools takes the pools; what was learned of a pool lives on.
+// compilePools adds the pools; what was measured for a pool is carried over from the previous view.
 func (c *compilation) compilePools() {
 	for name, configured := range c.plan.Pools {
 		window, _ := c.router.windows.LoadOrStore(name, &concurrencyWindow{})
@@ -147,7 +147,7 @@
 	}
 }
 
-// oldPool gives the pool of that name in the view before; nil if there was none.
+// oldPool returns the pool of that name in the previous view; nil if there was none.
 func (c *compilation) oldPool(name string) *pool {
 	if c.previous == nil {
 		return nil
@@ -155,7 +155,7 @@
 	return c.previous.pools[name]
 }
 
-// keepOldWeights lets the weights before be used for a while from when new ones were learned.
+// keepOldWeights allows the previous weights for a limited time after new ones were received.
 func (p *pool) keepOldWeights(before *pool, limit time.Duration) {
 	p.oldWeights, p.oldUntil = before.oldWeights, before.oldUntil
 	if before.Weights != p.Weights {
@@ -163,7 +163,7 @@
 	}
 }
 
-// compilePaths takes the paths by host; of one host the longest address goes first, and one with a model before one for any.
+// compilePaths adds the paths by host, each host's in the order of precedence.
 func (c *compilation) compilePaths() {
 	for name, configured := range c.plan.Paths {
 		p := &path{Path: configured, index: c.router.names.of("path/" + name)}
@@ -178,7 +178,8 @@
 	}
 }
 
-// precedes reports whether a path is tried before another one of its host.
+// precedes reports whether a path is matched before another one of its host: a longer address comes first, then a path for one model before
+// one for any model.
 func (p *path) precedes(other *path) bool {
 	if len(p.Address) != len(other.Address) {
 		return len(p.Address) > len(other.Address)
@@ -189,7 +190,7 @@
 	return p.Name < other.Name
 }
 
-// compileReplicas takes the replicas; the load of one that keeps its address lives on.
+// compileReplicas adds the replicas; the load of one that keeps its address is carried over from the previous view.
 func (c *compilation) compileReplicas() error {
 	_, listed := c.read(config.ReplicasKey)
 	replicas, err := config.Load[config.Replica](listed)
@@ -217,7 +218,7 @@
 	return nil
 }
 
-// newReplica makes a replica with its last order and this router's share of its slots.
+// newReplica returns a replica with its last load order and this router's share of its slots.
 func (c *compilation) newReplica(name string, configured config.Replica, orders map[string]config.LoadOrder) *replica {
 	rep := &replica{Replica: configured, load: newLoad(), index: c.router.names.of("replica/" + name)}
 	rep.share = share(configured.Limit, c.view.proxies, c.router.options.Name, name)
@@ -240,7 +241,7 @@
 	}
 }
 
-// share is this router's fixed part of a replica's slots; over all routers the shares add up to the limit (docs/design.md §5.3).
+// share returns this router's fixed part of a replica's slots; the shares of all routers add up to the limit (docs/design.md §5.3).
 func share(limit int, proxies []string, own, replica string) int {
 	if len(proxies) == 0 {
 		return limit
--- a/router/counts.go
+++ b/router/counts.go
@@ -13,46 +13,46 @@
 	byName map[string]int64
 }
 
-// newCounts makes counters at zero.
+// newCounts returns counters at zero.
 func newCounts() counts { return counts{byName: map[string]int64{}} }
 
-// add adds to a counter.
+// add adds n to a counter.
 func (c *counts) add(name string, n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.byName[name] += n
 }
 
-// step counts a request's step to a state.
+// step counts a request's transition to a state.
 func (c *counts) step(to State) { c.add("state_"+string(to), 1) }
 
 // reject counts a rejection by its code.
 func (c *counts) reject(code apierror.Code) { c.add("bounce_"+code.Name, 1) }
 
-// all gives the counters' values.
+// all returns a copy of the counters.
 func (c *counts) all() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.byName)
 }
 
-// budget pays for retries, so that they cannot outgrow the first attempts (docs/design.md §5.4).
+// budget is a token bucket that bounds retries to a part of the first attempts (docs/design.md §5.4).
 type budget struct {
 	mu     sync.Mutex
 	tokens float64
-	limit  float64 // what may be saved up; 0: maxRetryTokens
-	ratio  float64 // of a retry that each first attempt pays for; 0: defaultRetryRatio
+	limit  float64 // maximum number of tokens; 0: maxRetryTokens
+	ratio  float64 // tokens that each first attempt adds; 0: defaultRetryRatio
 }
 
-// A retry costs one token.
+// Tokens of the retry budget. A retry costs one token.
 const (
 	defaultRetryRatio = 0.1
-	retryAllowance    = 1   // of each life of the process
-	slackRatio        = 0.5 // of the fleet's slack that may be saved up by all routers: the rest is for lives of processes
-	maxRetryTokens    = 5   // what is saved up: a burst beyond the part is no larger
+	retryAllowance    = 1   // tokens at the start of the process
+	slackRatio        = 0.5 // part of the fleet's retry slack that all routers may accumulate; the rest covers the tokens of process starts
+	maxRetryTokens    = 5   // maximum number of tokens, which bounds a burst of retries
 )
 
-// first adds what a first attempt earns.
+// first adds the tokens of a first attempt.
 func (b *budget) first() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,8 +67,8 @@
 	b.tokens = min(b.tokens+earned, limit)
 }
 
-// ratioOf is what each first attempt earns where retries are bound to a ratio of them: half of it. The rest is for how unevenly retries
-// fall on the pools and on the windows in which they are counted.
+// ratioOf returns how many tokens each first attempt adds where retries must stay below a ratio of the first attempts: half of the ratio.
+// The other half allows for retries that are spread unevenly over pools and over the time windows in which they are counted.
 func ratioOf(ratio float64) float64 {
 	if ratio == 0 {
 		return defaultRetryRatio
@@ -76,7 +76,7 @@
 	return min(defaultRetryRatio, ratio/2)
 }
 
-// share bounds what may be saved up by this router's part of what the whole fleet may send beyond the ratio; one token stays.
+// share limits the tokens to this router's part of the fleet's retry slack, but to no less than one.
 func (b *budget) share(slack float64, routers int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// spend takes a token, and reports whether there was one.
+// spend takes a token, and reports whether one was available.
 func (b *budget) spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/router/model_versions.go
+++ b/router/model_versions.go
@@ -12,32 +12,34 @@
 	"asterridge/register"
 )
 
-// ModelVersionsKey has, for each published version of a model, how long ago a core took it: MODEL/VERSION → milliseconds when it was
-// published. A router that starts while replicas load learns by it how long old versions may still be used (docs/design.md §6.5).
+// ModelVersionsKey is the register of when model versions were published: a field MODEL/VERSION has the age in milliseconds of the version
+// at the core that published it. A router that starts during a rollout learns from it how long old versions may still be used
+// (docs/design.md §6.5).
 const ModelVersionsKey = "named"
 
-// ModelVersionField is the field of a model's version.
+// ModelVersionField returns the name of the field for a model version.
 func ModelVersionField(model string, version uint64) string {
 	return model + "/" + strconv.FormatUint(version, 10)
 }
 
-// MaxModelVersions is how many versions of a model are remembered, the newest.
+// MaxModelVersions is how many versions of a model are remembered; the oldest are forgotten first.
 const MaxModelVersions = 32
 
-// ModelVersions remembers since when versions are published; of several ages the oldest counts. The zero value is ready to use.
+// ModelVersions records when model versions were published. Of several ages told for one version the greatest counts. The zero value is
+// ready to use.
 type ModelVersions struct {
 	mu     sync.Mutex
 	models map[string]*publishedVersions
 }
 
-// publishedVersions are those of one model.
+// publishedVersions are the recorded versions of one model.
 type publishedVersions struct {
 	since map[uint64]time.Time
-	// newestForgotten is the newest version that is remembered no more: the time of those below it is over.
+	// newestForgotten is the newest version that was forgotten: versions below it must no longer be used.
 	newestForgotten uint64
 }
 
-// add remembers a version, and forgets the oldest one beyond MaxModelVersions.
+// add records a version, and forgets the oldest one beyond MaxModelVersions.
 func (p *publishedVersions) add(version uint64, since time.Time) {
 	p.since[version] = since
 	if len(p.since) > MaxModelVersions {
@@ -47,7 +49,7 @@
 	}
 }
 
-// Apply takes a watch update, and gives the fields whose time moved, with what is known of them now.
+// Apply applies a watch update, and returns the fields whose recorded time changed, with their ages.
 func (n *ModelVersions) Apply(fields register.Fields, agesMs map[string]int64) register.Fields {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,7 +76,7 @@
 	return moved
 }
 
-// of gives a model's versions; n.mu is held.
+// of returns the recorded versions of a model; n.mu is held.
 func (n *ModelVersions) of(model string) *publishedVersions {
 	if n.models == nil {
 		n.models = map[string]*publishedVersions{}
@@ -87,10 +89,10 @@
 	return published
 }
 
-// versionAgeSlack is how much older an age must be to move a time: updates take a little longer or shorter each time.
+// versionAgeSlack is how much greater a told age must be to change a recorded time: the delay of updates varies.
 const versionAgeSlack = 100 * time.Millisecond
 
-// Superseded gives since when there is a newer version of a model than this one; not ok if that is not known, or not any more.
+// Superseded returns since when there is a newer version of a model than this one; ok is false if that is unknown or forgotten.
 func (n *ModelVersions) Superseded(model string, version uint64) (since time.Time, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -107,9 +109,9 @@
 	return published.since[next], next > 0
 }
 
-// startDeadline gives when work on a version of a model must have begun at the latest; old is false for the newest version. A version above the
-// one that we know of is newer all the same. An old one may be used for a time from when it was superseded, or from when the cores were
-// last disturbed if that was later. If nobody knows since when, its time is over.
+// startDeadline returns by when work on a model version must have started; old is false if the version is not outdated. A version above the
+// newest one known here is newer, so it is not old. An old version may be used for a limited time, counted from when it was superseded, or
+// from the last disturbance of the cores if that was later. If it is unknown when it was superseded, it must not be used.
 func (r *Router) startDeadline(v *View, model string, version uint64) (end time.Time, old bool) {
 	if version >= v.models[model].Version {
 		return time.Time{}, false
@@ -124,15 +126,16 @@
 	return since.Add(r.options.OldWeightsLimit), true
 }
 
-// mayStart reports whether work may be sent to a replica on a version of a model. On an old version it may as long as an answer is likely
-// to be complete before no work may begin.
+// mayStart reports whether work on a model version may be sent to a replica. On an old version it may as long as a response is likely to
+// be complete before the start deadline.
 func (r *Router) mayStart(v *View, p *pool, model string, version uint64, now time.Time) bool {
 	end, old := r.startDeadline(v, model, version)
 	return !old || now.Add(p.answers.expected(r.options.OldWeightsLimit/2)).Before(end)
 }
 
-// remainingTime is the time that a replica is told it has for a request: up to the request's deadline, and no longer than its version may
-// be used. The replica drops what it has not begun by then. That, and not what is expected of it, keeps work from beginning too late.
+// remainingTime returns the deadline that a replica is given for a request, as a duration: until the request's own deadline, and no longer
+// than the replica's model version may be used. The replica drops requests that it has not started by then. This guarantees that no work
+// starts too late; the expected response time in mayStart does not.
 func (r *Router) remainingTime(v *View, x *Exchange) time.Duration {
 	left := time.Until(x.Deadline)
 	if end, old := r.requestStartDeadline(v, x); old {
@@ -141,17 +144,17 @@
 	return left
 }
 
-// isPastOldVersion reports whether a request that is written now would have time beyond the end of the old version that it goes to: it has
-// waited for a connection since it was told its time, or the version has become an old one.
+// isPastOldVersion reports whether the deadline of a request would end, if it is written now, after the time of the old model version at
+// its replica. That happens if it waited for a connection after the deadline was computed, or if the version has become old since.
 func (r *Router) isPastOldVersion(v *View, x *Exchange) bool {
 	end, old := r.requestStartDeadline(v, x)
 	return old && time.Now().Add(x.remaining).After(end.Add(sendSlack))
 }
 
-// sendSlack is how long a request may take from being told its time to its write.
+// sendSlack is how long a request may take from the computation of its remaining time to the write.
 const sendSlack = 200 * time.Millisecond
 
-// requestStartDeadline is beginBy for the replica that a request was given.
+// requestStartDeadline returns the startDeadline for the replica that a request was assigned to.
 func (r *Router) requestStartDeadline(v *View, x *Exchange) (end time.Time, old bool) {
 	rep := v.replicas[x.replica.Name]
 	if x.weights == "" || rep == nil || r.options.Protocol.ReportPath() != "" {
--- a/router/options.go
+++ b/router/options.go
@@ -8,51 +8,52 @@
 	"asterridge/rpc"
 )
 
-// What options have where they are not set.
+// Defaults of options.
 const (
 	defaultAudit          = 4096
 	defaultAgentWatchWait = 100 * time.Millisecond
 	defaultKeepAlive      = 5 * time.Second
 )
 
-// Options of a router.
+// Options configure a router.
 type Options struct {
-	// Name is unique in the fleet.
+	// Name is this router's name, unique in the fleet.
 	Name  string
 	Zone  string
 	Fleet string
-	// Agent is the agent's address on loopback, Admin the one where the agent reaches this router's queries.
+	// Agent is the agent's address on loopback, Admin the address at which the agent reaches this router's queries.
 	Agent string
 	Admin string
 	Net   rpc.Network
 	Log   zerolog.Logger
-	// Seed is of the random choices.
+	// Seed is the seed of the random choices.
 	Seed uint64
-	// Protocol is how clients and replicas are spoken to; nil: ChatProtocol.
+	// Protocol is the protocol of clients and replicas; nil: ChatProtocol.
 	Protocol Protocol
-	// Filters are policies of one's own; they run after tenant and path are known.
+	// Filters are additional policies; they run after tenant and path are known.
 	Filters []Filter
-	// Audit is the number of events kept; 0: 4096.
+	// Audit is the number of audit events kept; 0: 4096.
 	Audit int
-	// PrefixIndexSize is the number of entries of the prefix index; 0: no index, replicas are chosen by load and by the prompt's beginning.
+	// PrefixIndexSize is the number of entries of the prefix index; 0: no index, so replicas are chosen by load and by the beginning of the
+	// prompt.
 	PrefixIndexSize int
-	// BodyMemory bounds the bytes of clients' bodies that are held at a time; 0: 256 MiB.
+	// BodyMemory bounds the bytes of request bodies that are held at a time; 0: 256 MiB.
 	BodyMemory int64
-	// OldWeightsLimit is how long work may begin on old weights after the new ones were learned; 0: 12 s (docs/design.md §6.2).
+	// OldWeightsLimit is how long work may start on old weights after new ones were received; 0: 12 s (docs/design.md §6.2).
 	OldWeightsLimit time.Duration
-	// RetrySlack is how many retries all routers together may send beyond RetryRatio; 0: five each (docs/design.md §5.4).
+	// RetrySlack is how many retries all routers together may send beyond RetryRatio; 0: five per router (docs/design.md §5.4).
 	RetrySlack float64
-	// RetryRatio is the part of first attempts that retries may be; 0: not told.
+	// RetryRatio is the highest ratio of retries to first attempts; 0: none is set, and each first attempt adds 0.1 of a retry.
 	RetryRatio float64
 	// AgentWatchWait is how long the agent may hold a watch request open; 0: 100 ms.
 	AgentWatchWait time.Duration
 	// KeepAlive is how long an idle connection to a replica is kept; 0: 5 s.
 	KeepAlive time.Duration
-	// Clock is the wall clock, for audit events and for dates of replicas that send none; nil: the machine's.
+	// Clock is the wall clock for audit events, and for the dates of responses without one; nil: the machine's clock.
 	Clock func() time.Time
 }
 
-// withDefaults gives the options with the usual value of each that is not set.
+// withDefaults returns the options with defaults for those that are not set.
 func (o Options) withDefaults() Options {
 	if o.Protocol == nil {
 		o.Protocol = ChatProtocol{}
--- a/router/query.go
+++ b/router/query.go
@@ -19,19 +19,19 @@
 // Row is one line of a query's result.
 type Row map[string]any
 
-// Query asks a router for rows of one kind; Name narrows it.
+// Query asks a router for rows of one kind; Name restricts the rows.
 type Query struct {
 	What string `json:"what"`
 	Name string `json:"name,omitempty"`
 }
 
-// streaks counts how often in a row a scope was throttled again after its throttle had ended.
+// streaks counts, by scope, how often in a row a throttle was set after the previous one had ended.
 type streaks struct {
 	mu      sync.Mutex
 	byScope map[string]int
 }
 
-// streak is the scope's attempt for the backoff (docs/design.md §4.3).
+// streak counts a new throttle of the request's scope and returns the attempt number for the backoff (docs/design.md §4.3).
 func (r *Router) streak(x *Exchange) int {
 	r.streaks.mu.Lock()
 	defer r.streaks.mu.Unlock()
@@ -41,7 +41,7 @@
 	return max(0, r.streaks.byScope[x.item.Scope]-1)
 }
 
-// calm forgets the streak when an answer begins and no throttle stands.
+// calm resets the scope's streak when a response begins and no throttle is active.
 func (r *Router) calm(x *Exchange) {
 	if !r.throttles.Until(x.item.Scope).IsZero() {
 		return
@@ -59,10 +59,10 @@
 	return mux
 }
 
-// Counts gives this router's counters by name.
+// Counts returns this router's counters by name.
 func (r *Router) Counts() map[string]int64 { return r.counts.all() }
 
-// Waiting gives how many requests wait, by tenant.
+// Waiting returns the number of queued requests by tenant.
 func (r *Router) Waiting() map[string]int {
 	waiting := map[string]int{}
 	for _, d := range r.depths() {
@@ -77,7 +77,7 @@
 	tenant, pool string
 }
 
-// depths gives the depths of the queues that are not empty.
+// depths returns the depths of the queues that are not empty.
 func (r *Router) depths() (all []depth) {
 	v := r.view.Load()
 	if v == nil {
@@ -96,7 +96,7 @@
 	return all
 }
 
-// FieldRows lists a register's content as a process has it.
+// FieldRows lists a register's fields as a process has them.
 func FieldRows(where, key string, revision register.Revision, fields register.Fields) (rows []Row) {
 	for name, raw := range fields {
 		rows = append(rows, Row{"where": where, "key": key, "epoch": revision.Epoch, "version": revision.Version, "field": name, "value": raw})
@@ -104,7 +104,7 @@
 	return rows
 }
 
-// Rows answers a query on this router's own state. The error is apierror.NotFound for a kind that there is not.
+// Rows answers a query on this router's own state. It fails with apierror.NotFound for an unknown kind.
 func (r *Router) Rows(_ context.Context, q Query) ([]Row, error) {
 	switch q.What {
 	case "requests":
@@ -120,10 +120,10 @@
 	case "counts":
 		return r.countRows(), nil
 	}
-	return nil, apierror.New(apierror.NotFound, "no query %q", q.What)
+	return nil, apierror.New(apierror.NotFound, "unknown query kind %q", q.What)
 }
 
-// requestRows shows the steps of one request, or of all that the audit has.
+// requestRows lists the state transitions of one request, or of all in the audit log if id is empty.
 func (r *Router) requestRows(id string) (rows []Row) {
 	for _, e := range r.audit.find(func(e Event) bool { return id == "" || e.Request == id }) {
 		rows = append(rows, Row{"proxy": r.options.Name, "request": e.Request, "tenant": e.Tenant, "prior": e.Prior,
@@ -132,7 +132,7 @@
 	return rows
 }
 
-// backlogRows shows the queues that are not empty.
+// backlogRows lists the queues that are not empty.
 func (r *Router) backlogRows() (rows []Row) {
 	for _, d := range r.depths() {
 		rows = append(rows, Row{"proxy": r.options.Name, "tenant": d.tenant, "pool": d.pool, "waiting": d.Count, "oldest_ms": d.Oldest.Milliseconds()})
@@ -140,7 +140,7 @@
 	return rows
 }
 
-// throttleRows shows the throttles that stand here.
+// throttleRows lists the throttles that are active at this router.
 func (r *Router) throttleRows() (rows []Row) {
 	for _, n := range r.throttles.All() {
 		rows = append(rows, Row{"where": r.options.Name, "scope": n.Scope, "remaining_ms": n.RemainingMs, "reason": n.Reason,
@@ -149,7 +149,7 @@
 	return rows
 }
 
-// replicaRows shows the replicas as this router sees them, in the order of their names.
+// replicaRows lists the replicas as this router sees them, sorted by name.
 func (r *Router) replicaRows() (rows []Row) {
 	v := r.view.Load()
 	if v == nil {
@@ -171,7 +171,7 @@
 	return rows
 }
 
-// servesAny reports whether a replica can serve some model of its pool now; one of a pool without models always can.
+// servesAny reports whether a replica can serve some model of its pool now; true for every replica of a pool without models.
 func (r *Router) servesAny(v *View, p *pool, rep *replica) bool {
 	serves := len(p.Models) == 0
 	for _, model := range append([]string{""}, p.Models...) {
@@ -181,7 +181,7 @@
 	return serves
 }
 
-// registerRows shows what the agent has told of the configuration, the replicas and the access keys.
+// registerRows lists the fields of the configuration, the replicas and the access keys as received from the agent.
 func (r *Router) registerRows() (rows []Row) {
 	for _, key := range r.agent.Keys() {
 		if key == config.Key || key == config.ReplicasKey || strings.HasPrefix(key, config.KeysPrefix) {
@@ -192,7 +192,7 @@
 	return rows
 }
 
-// countRows shows the counters in one row.
+// countRows lists the counters in one row.
 func (r *Router) countRows() []Row {
 	row := Row{"proxy": r.options.Name, "index": r.index.Len(), "room_used": r.bodyMemory.inUse()}
 	for name, n := range r.counts.all() {
--- a/router/running.go
+++ b/router/running.go
@@ -4,14 +4,14 @@
 	"sync"
 )
 
-// running counts the requests that are being served. A request may still come while the end is waited for.
+// running counts the requests that are being served. New requests may arrive while someone waits for the count to reach zero.
 type running struct {
 	mu    sync.Mutex
 	count int
-	ended chan struct{} // closed at zero, if somebody waits
+	ended chan struct{} // closed when the count reaches zero; nil unless someone waits
 }
 
-// add counts a request that comes (1) or goes (-1).
+// add counts the start (1) or the end (-1) of a request.
 func (o *running) add(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -21,7 +21,7 @@
 	}
 }
 
-// idle gives a channel that is closed when no request is being served.
+// idle returns a channel that is closed when no request is being served.
 func (o *running) idle() <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/router/updates.go
+++ b/router/updates.go
@@ -10,7 +10,7 @@
 	"asterridge/watch"
 )
 
-// applyUpdates brings the router's state up to the agent's.
+// applyUpdates applies a watch response of the agent to the router's state.
 func (r *Router) applyUpdates(f *watch.Client, answer watch.Response) {
 	recompile := answer.Snapshot
 	for _, e := range answer.Updates {
@@ -50,7 +50,7 @@
 	r.queue.WakeAll()
 }
 
-// applyReports takes the reports of replicas as the agent has polled them.
+// applyReports applies the replicas' reports that the agent has polled.
 func (r *Router) applyReports(fields register.Fields) {
 	v := r.view.Load()
 	if v == nil {
@@ -74,7 +74,7 @@
 	}
 }
 
-// applyCached takes what a replica or store has cached.
+// applyCached applies changes of what a replica or store has cached.
 func (r *Router) applyCached(replica string, fields register.Fields, snapshot bool) {
 	if snapshot {
 		r.index.Forget(replica, nil)
@@ -102,7 +102,8 @@
 	}
 }
 
-// fresh extends the time for which the agent vouches, counted from when the request was sent (docs/design.md §3.2).
+// fresh extends the time until which this router's state counts as current, counted from when the watch request was sent (docs/design.md
+// §3.2).
 func (r *Router) fresh(_ *watch.Client, sent time.Time, remaining time.Duration) {
 	until := sent.Add(remaining)
 	if remaining <= 0 {
--- a/router/view.go
+++ b/router/view.go
@@ -11,7 +11,7 @@
 	"asterridge/rendezvous"
 )
 
-// View is one compiled state of the registers. It is never changed, only replaced. Names are dense indices in it.
+// View is one compiled state of the registers. It is immutable, and replaced as a whole. Names are resolved to dense indices in it.
 type View struct {
 	Version      register.Revision
 	tenants      map[string]*tenant
@@ -19,10 +19,10 @@
 	paths        map[string][]*path // by host, longest address first
 	pools        map[string]*pool
 	replicas     map[string]*replica
-	stores       []*replica // of pools that cache prompts for the others
+	stores       []*replica // stores, which cache prompts for replicas
 	models       map[string]config.Model
-	public       *tenant // of requests that need no access key
-	open         bool    // a numbered configuration without tenants: nobody needs an access key
+	public       *tenant // tenant of requests that need no access key
+	open         bool    // a numbered configuration without tenants: no request needs an access key
 	throttleRule config.ThrottleRule
 	limits       config.Limits
 	proxies      []string
@@ -39,10 +39,10 @@
 type path struct {
 	config.Path
 	index int
-	pools []*pool // of the targets, in their order
+	pools []*pool // pools of the targets, in the order of the targets
 }
 
-// pick gives the request's pool by the targets' weights; a request gets the same one each time.
+// pick returns the request's pool, chosen by the targets' weights. The choice depends only on the path and the request.
 func (p *path) pick(request string) *pool {
 	targets, sum := p.Path.Pools(), 0
 	for _, t := range targets {
@@ -57,29 +57,29 @@
 	return p.pools[0]
 }
 
-// pool is a configured pool with its replicas and what was learned of it.
+// pool is a configured pool with its replicas and what was measured for it.
 type pool struct {
 	config.Pool
 	index    int
 	replicas []*replica
-	names    []string // of the replicas that are not draining
+	names    []string // names of the replicas that are not draining
 	window   *concurrencyWindow
 	answers  *answerTime
-	// oldWeights may still be used until oldUntil (docs/design.md §6.2).
+	// oldWeights are the previous weights, allowed until oldUntil (docs/design.md §6.2).
 	oldWeights string
 	oldUntil   time.Time
 }
 
-// replica is one back end; its load lives on from view to view.
+// replica is a model server, web server or store that requests are sent to; its load is carried over from view to view.
 type replica struct {
 	config.Replica
 	*load
 	index int
 	share int
-	order *config.LoadOrder // the last one; nil: none
+	order *config.LoadOrder // the last order to load a model version; nil: none
 }
 
-// version is the newest version of a model that the replica is known to have. Versions only rise within a replica's incarnation.
+// version returns the newest version of a model that the replica is known to have. Versions never decrease within a replica's incarnation.
 func (rep *replica) version(model string) uint64 {
 	version := max(1, rep.Models[model], rep.seenVersion.Load())
 	if rep.order != nil && rep.order.Done && rep.order.Model == model {
@@ -88,13 +88,13 @@
 	return version
 }
 
-// Names and sizes of what is not configured.
+// Properties of objects that the configuration does not list.
 const (
 	publicBacklog = 1024
-	storeName     = "store:" // in the index, before the pool's name
+	storeName     = "store:" // prefix of a store's name in the prefix index, before the pool's name
 )
 
-// find gives the path for a host, address and model; nil if there is none. A path of the host goes before one of any host.
+// find returns the path for a host, address and model; nil if there is none. Paths of the host take precedence over those of any host.
 func (v *View) find(host, address, model string) *path {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -110,13 +110,13 @@
 	return nil
 }
 
-// isPublic reports whether the path at the address needs no access key.
+// isPublic reports whether the path at an address needs no access key.
 func (v *View) isPublic(host, address, model string) bool {
 	p := v.find(host, address, model)
 	return p != nil && p.Public
 }
 
-// isStaffed reports whether the platform lists a replica that is not draining.
+// isStaffed reports whether the pool has a replica that is not draining.
 func (p *pool) isStaffed() bool {
 	return slices.ContainsFunc(p.replicas, func(rep *replica) bool { return rep.State != config.ReplicaDraining })
 }
