--- a/router/adapter_test.go
+++ b/router/adapter_test.go
@@ -13,7 +13,7 @@
 	"asterridge/register"
 )
 
-// A request runs where its adapter's build on its base was tried; a stream that is taken up again runs on no other base.
+// A request runs only at a replica where its adapter's build on its base was tried; a stream is not resumed on another base.
 func TestPlacementFollowsRouteAndReplicaReport(t *testing.T) {
 	is := is.New(t)
 	plan, err := config.Parse([]byte(`{"tenants":[{"name":"a"},{"name":"b"}],"pools":[{"name":"p","weights":"w1"}],
@@ -33,23 +33,23 @@
 	x, huts, plain := &Exchange{}, &path{Path: plan.Paths["x"]}, &path{Path: plan.Paths["y"]}
 	rep := &replica{load: newLoad()}
 	_, fit := before.placement(x, plain, rep)
-	is.True(fit) // it needs none
+	is.True(fit) // the path has no adapter
 	_, fit = before.placement(x, huts, rep)
-	is.True(!fit) // not heard
-	says := func(has map[string]Adapter) {
+	is.True(!fit) // no report yet
+	setAdapters := func(has map[string]Adapter) {
 		rep.report.Store(&report{Report: Report{AdapterReport: AdapterReport{Adapters: has}}, at: time.Now()})
 	}
-	says(map[string]Adapter{"huts@m1": {Build: "h1", State: AdapterTried}, "huts@m2": {Build: "h2", State: AdapterLoaded}})
+	setAdapters(map[string]Adapter{"huts@m1": {Build: "h1", State: AdapterTried}, "huts@m2": {Build: "h2", State: AdapterLoaded}})
 	old, fit := before.placement(x, huts, rep)
 	is.True(fit)
 	is.Equal(old, config.Placement{Adapter: "huts", Base: "m1", Build: "h1"})
 	on, fit := after.placement(x, huts, rep)
-	is.True(!fit) // not tried there
+	is.True(!fit) // loaded, but not tried
 	is.Equal(on, config.Placement{Adapter: "huts", Base: "m2", Build: "h2"})
-	says(map[string]Adapter{"huts@m1": {Build: "h1", State: AdapterTried}, "huts@m2": {Build: "h3", State: AdapterTried}})
+	setAdapters(map[string]Adapter{"huts@m1": {Build: "h1", State: AdapterTried}, "huts@m2": {Build: "h3", State: AdapterTried}})
 	_, fit = after.placement(x, huts, rep)
 	is.True(!fit) // another build
-	says(map[string]Adapter{"huts@m1": {Build: "h1", State: AdapterTried}, "huts@m2": {Build: "h2", State: AdapterTried, Live: 1}})
+	setAdapters(map[string]Adapter{"huts@m1": {Build: "h1", State: AdapterTried}, "huts@m2": {Build: "h2", State: AdapterTried, Live: 1}})
 	_, fit = after.placement(x, huts, rep)
 	is.True(fit)
 	is.Equal(firstAnswerDiscount(rep, on), 0.0)
@@ -59,14 +59,14 @@
 	_, fit = before.placement(x, huts, rep)
 	is.True(fit)
 	_, fit = after.placement(x, huts, rep)
-	is.True(!fit) // its first pieces came from m1
+	is.True(!fit) // its first chunks came from m1
 
 	x.replica, x.placement = rep, on
 	x.forgetPlacement()
 	_, fit = after.placement(&Exchange{}, huts, rep)
 	is.True(!fit)
 	_, fit = before.placement(&Exchange{}, huts, rep)
-	is.True(fit) // of the other base it said nothing
+	is.True(fit) // the rejection was about the other base
 
 	is.NoErr(before.mayUse(&tenant{Tenant: plan.Tenants["a"]}, huts))
 	is.True(apierror.Is(before.mayUse(&tenant{Tenant: plan.Tenants["b"]}, huts), apierror.NoAdapter))
@@ -80,8 +80,8 @@
 		met[prefixindex.Domain("t", 1, false, domainOf("w1", on))] = true
 	}
 	is.Equal(len(met), 5)
-	is.Equal(domainOf("w1", config.Placement{}), "w1") // without an adapter nothing has changed
+	is.Equal(domainOf("w1", config.Placement{}), "w1") // unchanged without an adapter
 	h := http.Header{"X-Base": {"mine"}, "X-Adapter": {"mine"}, "X-Adapter-Build": {"mine"}}
 	setPlacementHeaders(h, config.Placement{})
-	is.Equal(len(h), 0) // a caller does not say it
+	is.Equal(len(h), 0) // a client cannot set them
 }
--- a/router/balancer_test.go
+++ b/router/balancer_test.go
@@ -14,7 +14,7 @@
 	"asterridge/rpc"
 )
 
-// A request waits for a core's choice in proportion to its latency target, and never for long.
+// A request waits for a core's choice in proportion to its latency target, up to a fixed maximum.
 func TestCoreQueryTimeoutFollowsLatencyTarget(t *testing.T) {
 	is := is.New(t)
 	is.Equal(queryTimeoutOf(0), queryTimeout)
@@ -22,8 +22,8 @@
 	is.Equal(queryTimeoutOf(600000), maxQueryTimeout)
 }
 
-// A core that has failed is passed over for a while by the next one in rank, and then asked again; a fleet with more replicas than one core
-// owns the loads of has several owners, and each replica's is the same for all proxies.
+// A failed core is passed over for the next one in rank until the backoff has passed. A fleet with more replicas than one core owns the loads
+// of has several owners, and all proxies agree on each replica's owner.
 func TestLoadOwnersAgreeAndSkipFailedCores(t *testing.T) {
 	is := is.New(t)
 	cores := register.Fields{}
@@ -56,10 +56,11 @@
 	one.setCores(register.Fields{})
 	is.Equal(one.owners(now), []string{"", "", "", ""})
 	_, _, request := one.placementRequest(&View{}, []candidate{{replica: &replica{load: newLoad()}, cache: &cacheState{}}}, now)
-	is.Equal(request, inflight.Request{}) // nobody to ask
+	is.Equal(request, inflight.Request{}) // there is no core to ask
 }
 
-// A core that cannot be reached is passed over for a while; that a client has left before the answer says nothing of the core.
+// A core that cannot be reached is paused. A request that is canceled by its client before the core answers does not pause the core: that
+// would take a healthy core out of use.
 func TestCanceledRequestDoesNotPauseCore(t *testing.T) {
 	is := is.New(t)
 	r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop()})
--- a/router/concurrency_window_test.go
+++ b/router/concurrency_window_test.go
@@ -10,7 +10,7 @@
 
 const testTarget = 400 * time.Millisecond
 
-// fill enters as many as there are places for, and says how many.
+// fill enters the window until it is full, and returns how many requests entered.
 func (w *concurrencyWindow) fill() (n int) {
 	for w.enter() {
 		n++
@@ -18,7 +18,7 @@
 	return n
 }
 
-// The window has its first size, gives each place once, and takes it again.
+// The window starts at its initial size, grants each place once, and grants a released place again.
 func TestWindowBoundsRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	w := &concurrencyWindow{}
@@ -29,7 +29,7 @@
 	is.Equal(w.fill(), 2)
 }
 
-// While first pieces take long it shrinks by a fifth, at most each 100 ms, and never below two.
+// While first chunks are slow the window shrinks by a fifth, at most once per 100 ms, and never below two.
 func TestWindowShrinksToItsMinimum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -38,7 +38,7 @@
 		time.Sleep(time.Second)
 		before := w.size
 		for range 50 {
-			w.observe(testTarget/2+time.Millisecond, testTarget) // all at once: one cut
+			w.observe(testTarget/2+time.Millisecond, testTarget) // simultaneous: only one cut
 		}
 		is.Equal(w.size, before*0.8)
 		time.Sleep(99 * time.Millisecond)
@@ -60,7 +60,7 @@
 	})
 }
 
-// A window that is larger than what is in is cut from what is in: the places that nobody uses are no room to grow into.
+// A window that is larger than the number of requests in flight is cut from that number: cutting unused places would not reduce the load.
 func TestWindowIsCutFromRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -74,17 +74,17 @@
 	})
 }
 
-// While it is full and first pieces are quick it grows, by about one for each round, up to its bound; half empty it does not, and neither
-// does a middling wait change it.
+// While at least half of the window is in use and first chunks are quick it grows, by about one per round, up to its maximum. It does not
+// grow when less than half is in use, and a medium wait does not change it.
 func TestWindowGrowsWhileFullAndQuick(t *testing.T) {
 	is := is.New(t)
 	w := &concurrencyWindow{}
 	w.fill()
-	w.observe(testTarget/4, testTarget) // neither quick nor long
+	w.observe(testTarget/4, testTarget) // neither quick nor slow
 	w.observe(testTarget/2, testTarget)
 	is.Equal(w.size, 32.0)
 	for range 32 {
-		w.observe(-time.Second, testTarget) // quicker than its reading
+		w.observe(-time.Second, testTarget) // quicker than the estimated prefill
 	}
 	is.True(w.size > 32.9 && w.size < 33.1)
 	for w.inFlight > 10 {
@@ -92,7 +92,7 @@
 	}
 	before := w.size
 	w.observe(0, testTarget)
-	is.Equal(w.size, before) // not half full
+	is.Equal(w.size, before) // less than half in use
 	w.fill()
 	for range 200000 {
 		w.observe(0, testTarget)
--- a/router/cost.go
+++ b/router/cost.go
@@ -43,11 +43,11 @@
 // of it from a peer or store that is believed to have more cached, if the measured rates make that faster (docs/design.md §6.1). source is
 // the address of that peer or store.
 func (r *Router) estimatePrefill(x *Exchange, v *View, p *pool, rep *replica, d *cacheState) (ms float64, source string) {
-	has, size, rate := d.cached[rep.Name], x.Prompt.Size(), rep.rate()
-	ms = float64(size-has) / rate
+	cached, size, rate := d.cached[rep.Name], x.Prompt.Size(), rep.rate()
+	ms = float64(size-cached) / rate
 	for _, other := range d.holders {
 		theirs := d.cached[other.Name]
-		more := theirs - has
+		more := theirs - cached
 		if other.Name == rep.Name || more <= 0 {
 			continue
 		}
--- a/router/limits_test.go
+++ b/router/limits_test.go
@@ -16,7 +16,7 @@
 	"asterridge/sim"
 )
 
-// statusWithLimits asks a router whose configuration has these limits, and gives the status that it answers for a header field and a body of these sizes.
+// statusWithLimits returns the status with which a router with these limits answers a request with a header field and a body of these sizes.
 func statusWithLimits(t *testing.T, limits config.Limits, header, body int) int {
 	t.Helper()
 	status := 0
@@ -45,18 +45,18 @@
 	return status
 }
 
-// What a header or a body may measure is the configuration's to say, whether it is more or less than our own bounds.
+// The limits on header and body sizes are those of the configuration, whether they are above or below the router's defaults.
 func TestSizeLimitsFollowConfiguration(t *testing.T) {
-	const others = 400 // bytes, at the most, of what else is in the header
+	const otherHeaderBytes = 400 // upper bound for the rest of the header
 	for _, c := range []struct {
 		limits       config.Limits
 		header, body int
 		status       int
 	}{
-		{config.Limits{HeaderBytes: 16 << 10}, 16<<10 - others, 1, http.StatusOK},
+		{config.Limits{HeaderBytes: 16 << 10}, 16<<10 - otherHeaderBytes, 1, http.StatusOK},
 		{config.Limits{HeaderBytes: 16 << 10}, 16 << 10, 1, apierror.HeaderOversize.Status},
-		{config.Limits{HeaderBytes: 200 << 10}, 200<<10 - others, 1, http.StatusOK},
-		{config.Limits{}, 64<<10 - others, 1, http.StatusOK},
+		{config.Limits{HeaderBytes: 200 << 10}, 200<<10 - otherHeaderBytes, 1, http.StatusOK},
+		{config.Limits{}, 64<<10 - otherHeaderBytes, 1, http.StatusOK},
 		{config.Limits{}, 64 << 10, 1, apierror.HeaderOversize.Status},
 		{config.Limits{BodyBytes: 20 << 20}, 1, 20 << 20, http.StatusOK},
 		{config.Limits{BodyBytes: 20 << 20}, 1, 20<<20 + 1, apierror.Oversize.Status},
@@ -64,7 +64,7 @@
 		{config.Limits{}, 1, 1001, apierror.Oversize.Status},
 	} {
 		if status := statusWithLimits(t, c.limits, c.header, c.body); status != c.status {
-			t.Errorf("%+v: a header of %d and a body of %d bytes got %d, not %d", c.limits, c.header, c.body, status, c.status)
+			t.Errorf("limits %+v: header of %d and body of %d bytes: got status %d, want %d", c.limits, c.header, c.body, status, c.status)
 		}
 	}
 }
--- a/router/mix_test.go
+++ b/router/mix_test.go
@@ -25,8 +25,8 @@
 	{"name":"once","address":"/once/","pool":"back","public":true,"deadline_ms":3000},
 	{"name":"stream","address":"/stream/","pool":"back","public":true,"deadline_ms":3000}]}`
 
-// chatSpeech is the product's own manner, between a scripted client and scripted replicas. The router names each request; the client's tag
-// is a header of its own, which is handed on.
+// chatSpeech describes ChatProtocol for scripted clients and replicas. The router assigns request IDs; the client's own tag is in a header
+// that is passed through.
 func chatSpeech() relaytest.Speech {
 	refusal := func(status int, kind string) relaytest.Refusal {
 		return relaytest.Refusal{Status: status, Body: `{"error":{"type":"` + kind + `","message":"not run"}}`}
@@ -37,7 +37,7 @@
 		Path:     func(kind relaytest.Kind) string { return "/" + []string{"again", "once", "stream"}[kind] + "/" },
 		Deadline: 3 * time.Second,
 		Refusals: []relaytest.Refusal{refusal(503, "overloaded"), refusal(503, "leaving"), refusal(429, "busy"), refusal(412, "weights_mismatch")},
-		// A 503 of any other kind is the replica's own answer here, and a 429 always says that it was not run.
+		// A 503 of any other type is a regular response of the replica here; a 429 always means that the request was not run.
 		Declare: func(s *sim.Testbed) {
 			b, err := config.Parse([]byte(mixPaths), nil, false)
 			if err != nil {
@@ -48,7 +48,7 @@
 			s.Repeat(500*time.Millisecond, func(number uint64) {
 				reports := register.Fields{}
 				for _, r := range replicas {
-					raw, _ := json.Marshal(router.Report{Run: "run", Number: number, Warm: true}) // a plain struct always encodes
+					raw, _ := json.Marshal(router.Report{Run: "run", Number: number, Warm: true}) // this struct always encodes
 					reports[r.Name] = raw
 				}
 				s.Publish(router.ReportsKey, reports)
@@ -62,7 +62,8 @@
 	return relaytest.Mix{Seed: *mixFirst, Speech: chatSpeech(), Router: router.Options{Name: "proxy-1", Log: zerolog.Nop(), PrefixIndexSize: 1000}}
 }
 
-// Whatever replicas and clients do wrong, in any mix: no answer is another request's, no request runs twice or unasked, no promise is broken.
+// For any mix of faulty replicas and clients: no client gets the response of another request, no request runs twice or without having been
+// sent, and no guarantee is broken.
 func TestSeededMixesOfFaults(t *testing.T) { relaytest.PlaySeeds(t, mix(), *mixSeeds) }
 
 func TestEachFaultAlone(t *testing.T) { relaytest.PlayEachAct(t, mix(), 3) }
--- a/router/model_test.go
+++ b/router/model_test.go
@@ -13,10 +13,10 @@
 	"asterridge/rpc"
 )
 
-// An old version may start work until a term after the next one was named; a disturbance of the cores begins the term anew. A version of
-// which it is not known when it was superseded gets none.
+// Work may start on an old version for a limited time after the next one was published; a disturbance of the cores restarts that time. A
+// version must not be used if it is unknown when it was superseded.
 func TestStartDeadlineOfOldModelVersions(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // on a clock that a busy machine does not move
+	synctest.Test(t, func(t *testing.T) { // on a clock that does not depend on the machine's load
 		is := is.New(t)
 		const oldWeights = 10 * time.Second
 		now := time.Now()
@@ -32,22 +32,22 @@
 			disturbed float64 // 0: never
 			allows    bool
 		}{
-			{"the named one", "m", 6, 100, 0, true},
-			{"a newer one than was heard of", "m", 7, 100, 0, true},
-			{"a model that nobody named a version of", "o", 1, 100, 0, true},
-			{"within its term", "m", 5, 2.8, 0, true},
-			{"at its end", "m", 5, 3.1, 0, false},
-			{"another that was superseded with it", "m", 4, 2.8, 0, true},
-			{"an older one's is over", "m", 3, 0, 0, false},
-			{"nobody knows since when", "n", 5, 0, 0, false},
-			{"disturbed long ago: the term stands", "m", 5, 2.8, -60, true},
-			{"disturbed long ago: and ends", "m", 5, 3.1, -60, false},
-			{"disturbed lately: counted anew", "m", 5, 9.7, -0.1, true},
-			{"and ends a term after it", "m", 5, 10, -0.1, false},
-			{"the older one's too", "m", 3, 9.7, -0.1, true},
-			{"and its end", "m", 3, 10, -0.1, false},
-			{"nobody knows since when: it gets none", "n", 5, 1, -0.1, false},
-			{"the named one needs none", "m", 6, 100, -0.1, true},
+			{"the newest version", "m", 6, 100, 0, true},
+			{"a version above the newest known one", "m", 7, 100, 0, true},
+			{"a model without published versions", "o", 1, 100, 0, true},
+			{"an old version within its time", "m", 5, 2.8, 0, true},
+			{"an old version after its time", "m", 5, 3.1, 0, false},
+			{"an older version superseded at the same time", "m", 4, 2.8, 0, true},
+			{"a version superseded earlier", "m", 3, 0, 0, false},
+			{"unknown when it was superseded", "n", 5, 0, 0, false},
+			{"disturbed long ago: within the original time", "m", 5, 2.8, -60, true},
+			{"disturbed long ago: after the original time", "m", 5, 3.1, -60, false},
+			{"disturbed recently: the time starts again", "m", 5, 9.7, -0.1, true},
+			{"disturbed recently: after the new time", "m", 5, 10, -0.1, false},
+			{"disturbed recently: also for a version superseded earlier", "m", 3, 9.7, -0.1, true},
+			{"disturbed recently: after its new time", "m", 3, 10, -0.1, false},
+			{"disturbed recently: unknown when it was superseded", "n", 5, 1, -0.1, false},
+			{"disturbed recently: the newest version", "m", 6, 100, -0.1, true},
 		} {
 			r.disturbed.Store(nil)
 			if c.disturbed != 0 {
@@ -57,7 +57,7 @@
 			is.Equal(c.what+": "+yesNo(mayStartAt(r, v, c.model, c.version, at(c.at))), c.what+": "+yesNo(c.allows))
 		}
 		r.disturbed.Store(nil)
-		// An older word for the same version counts, a younger one does not.
+		// A greater age told for the same version counts, a smaller one does not.
 		is.Equal(len(r.modelVersions.Apply(register.Fields{ModelVersionField("m", 6): []byte("1000")}, nil)), 0)
 		is.True(mayStartAt(r, v, "m", 5, at(2.8)))
 		is.Equal(len(r.modelVersions.Apply(register.Fields{ModelVersionField("m", 6): []byte("9000")}, nil)), 1)
@@ -65,16 +65,16 @@
 	})
 }
 
-// mayStartAt says whether work may begin at a replica.
+// mayStartAt reports whether work on a model version may start at a replica.
 func mayStartAt(r *Router, v *View, model string, version uint64, at time.Time) bool {
 	end, old := r.startDeadline(v, model, version)
 	return !old || at.Before(end)
 }
 
-// Work is sent on an old version for as long as an answer is likely to be whole before the version's time is over: a second before any was
-// seen, and then what answers take in the mean; but always for half of the time.
+// Work is sent on an old version as long as a response is likely to be complete before the version's time ends: the expected response time is
+// one second before any was observed, then the observed mean, and at most half of the version's time.
 func TestOldVersionIsUsedWhileAnswersCanComplete(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // on a clock that a busy machine does not move
+	synctest.Test(t, func(t *testing.T) { // on a clock that does not depend on the machine's load
 		is := is.New(t)
 		const oldWeights = 10 * time.Second
 		r := New(Options{Name: "p", Net: &rpc.TCP{}, Log: zerolog.Nop(), OldWeightsLimit: oldWeights})
@@ -119,20 +119,20 @@
 	return "no"
 }
 
-// Hundreds of versions leave a bounded memory behind. What is forgotten is older than all that may be used: its time is over.
+// The memory for versions is bounded, however many are published. A forgotten version is older than any that may still be used.
 func TestOldestVersionTimesAreForgottenFirst(t *testing.T) {
 	is := is.New(t)
-	var named ModelVersions
+	var versions ModelVersions
 	const newest = 500
 	for version := uint64(2); version <= newest; version++ {
-		named.Apply(register.Fields{ModelVersionField("m", version): []byte("0")}, nil)
+		versions.Apply(register.Fields{ModelVersionField("m", version): []byte("0")}, nil)
 	}
-	is.Equal(len(named.of("m").since), MaxModelVersions)
+	is.Equal(len(versions.of("m").since), MaxModelVersions)
 	for version := uint64(1); version < newest; version++ {
-		_, known := named.Superseded("m", version)
+		_, known := versions.Superseded("m", version)
 		is.Equal(known, version >= newest-MaxModelVersions)
 	}
-	_, known := named.Superseded("m", newest)
+	_, known := versions.Superseded("m", newest)
 	is.True(!known)
-	is.Equal(len(named.Apply(register.Fields{ModelVersionField("m", 3): []byte("90000")}, nil)), 0) // late word of a forgotten one
+	is.Equal(len(versions.Apply(register.Fields{ModelVersionField("m", 3): []byte("90000")}, nil)), 0) // a late update of a forgotten version
 }
--- a/router/model_versions.go
+++ b/router/model_versions.go
@@ -101,9 +101,9 @@
 		return time.Time{}, false
 	}
 	next := uint64(0)
-	for named := range published.since {
-		if named > version && (next == 0 || named < next) {
-			next = named
+	for newer := range published.since {
+		if newer > version && (next == 0 || newer < next) {
+			next = newer
 		}
 	}
 	return published.since[next], next > 0
--- a/router/old_version_test.go
+++ b/router/old_version_test.go
@@ -22,25 +22,25 @@
 	"asterridge/sim"
 )
 
-// versionDialect hands replicas a deadline, and names a model.
-type versionDialect struct{ plainDialect }
+// versionProtocol sends replicas a deadline, and names a model.
+type versionProtocol struct{ plainDialect }
 
-func (versionDialect) ReadPrompt(*http.Request, []byte) (router.Prompt, error) {
+func (versionProtocol) ReadPrompt(*http.Request, []byte) (router.Prompt, error) {
 	return router.Prompt{Model: "m"}, nil
 }
 
-// queueingReplica is a replica that lets requests wait before they begin. It stops at the deadline that it was handed, and drops what has not begun
-// by then as not run.
+// queueingReplica is a replica that queues requests before it starts them. It ends streams at the deadline that it was given, and rejects
+// requests that it has not started by then as not run.
 type queueingReplica struct {
-	wait   func() time.Duration // of a request that comes now
-	chunks int                  // one each 100 ms
+	wait   func() time.Duration // queueing time of a request that arrives now
+	chunks int                  // per response, one each chunkInterval
 
-	mu     sync.Mutex
-	begun  []time.Time
-	missed int // dropped in the queue
-	cut    int // stopped in the midst
+	mu      sync.Mutex
+	started []time.Time
+	expired int // rejected after their deadline had passed in the queue
+	cut     int // streams ended by the deadline
 
-	lastMiss time.Time
+	lastExpired time.Time
 }
 
 const chunkInterval = 100 * time.Millisecond
@@ -54,10 +54,10 @@
 	s.mu.Lock()
 	late := !time.Now().Before(deadline)
 	if late {
-		s.missed++
-		s.lastMiss = time.Now()
+		s.expired++
+		s.lastExpired = time.Now()
 	} else {
-		s.begun = append(s.begun, time.Now())
+		s.started = append(s.started, time.Now())
 	}
 	s.mu.Unlock()
 	if late {
@@ -79,13 +79,13 @@
 	}
 }
 
-// runOnOldVersion has a router before one replica that stays on version 1, and callers that ask for a while from when version 2 is named.
-func runOnOldVersion(t *testing.T, bound time.Duration, s *queueingReplica, play func(is *is.I, stand *sim.Testbed, ask func(id string) int, named time.Time)) {
+// runOnOldVersion runs a router with one replica that stays on version 1, publishes version 2, and calls play, which sends requests.
+func runOnOldVersion(t *testing.T, bound time.Duration, s *queueingReplica, play func(is *is.I, stand *sim.Testbed, ask func(id string) int, published time.Time)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		options := deployment.Bounds{ModelVersion: bound}.Proxy()
-		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Protocol: versionDialect{}, Log: zerolog.Nop(), OldWeightsLimit: options.OldWeightsLimit})
+		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Protocol: versionProtocol{}, Log: zerolog.Nop(), OldWeightsLimit: options.OldWeightsLimit})
 		defer stand.Stop()
 		stand.Serve("10.0.2.1:80", s)
 		b := config.Empty()
@@ -109,17 +109,17 @@
 			return answer.StatusCode
 		}
 		is.Equal(ask("before"), http.StatusOK)
-		named := time.Now()
+		published := time.Now()
 		fields := register.Fields{}
 		fields.Apply(config.Field("m", config.Model{Version: 2}))
 		stand.Publish(config.ModelsKey, fields)
 		stand.Source.Publish(router.ModelVersionsKey, register.Revision{}, register.Revision{}, register.Fields{router.ModelVersionField("m", 2): []byte("0")}, false)
 		time.Sleep(time.Second)
-		play(is, stand, ask, named)
+		play(is, stand, ask, published)
 	})
 }
 
-// sendSteadily sends requests at a steady pace until a moment, and waits for the last one's answer.
+// sendSteadily sends requests at a steady rate until the given time, waits for all responses, and counts them by status.
 func sendSteadily(ask func(id string) int, until time.Time) (answered map[int]int) {
 	var mu sync.Mutex
 	var asking sync.WaitGroup
@@ -137,33 +137,33 @@
 	return answered
 }
 
-// Nothing begins on an old version after its bound, however long requests wait at the replica before they begin: also where the queue grows
-// from nothing to seconds, so that what was seen is no guide. Old versions are used for most of their time all the same.
+// No work starts on an old version after its limit, however long requests queue at the replica. That includes a queue that grows from nothing
+// to seconds, for which earlier response times are no estimate. Old versions must still be used for most of their time.
 func TestOldVersionStartsNoWorkAfterLimit(t *testing.T) {
 	const bound = 15 * time.Second
-	for name, wait := range map[string]func(named time.Time) time.Duration{
-		"a short queue":    func(time.Time) time.Duration { return 100 * time.Millisecond },
-		"a long queue":     func(time.Time) time.Duration { return 2800 * time.Millisecond },
-		"a growing queue":  func(named time.Time) time.Duration { return time.Since(named) / 4 },
-		"a sudden standby": func(named time.Time) time.Duration { return max(0, time.Since(named)-10*time.Second) * 3 },
+	for name, wait := range map[string]func(published time.Time) time.Duration{
+		"a short queue":   func(time.Time) time.Duration { return 100 * time.Millisecond },
+		"a long queue":    func(time.Time) time.Duration { return 2800 * time.Millisecond },
+		"a growing queue": func(published time.Time) time.Duration { return time.Since(published) / 4 },
+		"a sudden stall":  func(published time.Time) time.Duration { return max(0, time.Since(published)-10*time.Second) * 3 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			var began time.Time
+			var versionPublished time.Time
 			s := &queueingReplica{chunks: 3}
 			s.wait = func() time.Duration {
-				if began.IsZero() {
+				if versionPublished.IsZero() {
 					return 0
 				}
-				return wait(began)
+				return wait(versionPublished)
 			}
-			runOnOldVersion(t, bound, s, func(is *is.I, _ *sim.Testbed, ask func(string) int, named time.Time) {
-				began = named
-				answered := sendSteadily(ask, named.Add(bound+2*time.Second))
+			runOnOldVersion(t, bound, s, func(is *is.I, _ *sim.Testbed, ask func(string) int, published time.Time) {
+				versionPublished = published
+				answered := sendSteadily(ask, published.Add(bound+2*time.Second))
 				last := time.Duration(0)
-				for _, at := range s.begun {
-					last = max(last, at.Sub(named))
+				for _, at := range s.started {
+					last = max(last, at.Sub(published))
 				}
-				t.Logf("the last began after %v; answered: %v; dropped in the queue: %d, cut: %d", last, answered, s.missed, s.cut)
+				t.Logf("last start after %v; responses by status: %v; expired in the queue: %d, cut: %d", last, answered, s.expired, s.cut)
 				is.True(last <= bound)
 				is.True(last >= bound/2)
 			})
@@ -171,41 +171,41 @@
 	}
 }
 
-// A stream that has begun is not stopped by the deadline that stands for the bound: as long as answers have been seen to take, nothing new
-// is sent.
+// The deadline that enforces the limit does not cut streams that have started: nothing new is sent once a response, at the observed response
+// times, would not be complete by the limit.
 func TestStreamsOnOldVersionComplete(t *testing.T) {
 	s := &queueingReplica{chunks: 25, wait: func() time.Duration { return 200 * time.Millisecond }}
-	runOnOldVersion(t, 15*time.Second, s, func(is *is.I, _ *sim.Testbed, ask func(string) int, named time.Time) {
-		answered := sendSteadily(ask, named.Add(15*time.Second))
-		t.Logf("answered: %v; dropped in the queue: %d, cut: %d", answered, s.missed, s.cut)
+	runOnOldVersion(t, 15*time.Second, s, func(is *is.I, _ *sim.Testbed, ask func(string) int, published time.Time) {
+		answered := sendSteadily(ask, published.Add(15*time.Second))
+		t.Logf("responses by status: %v; expired in the queue: %d, cut: %d", answered, s.expired, s.cut)
 		is.Equal(s.cut, 0)
-		is.Equal(s.missed, 0)
+		is.Equal(s.expired, 0)
 		is.True(answered[http.StatusOK] > 80)
 	})
 }
 
-// A deadline that was worked out before a connection was sought is looked at again when the connection is there.
+// A request can wait for a connection after its deadline was computed. The deadline is checked again when the connection is available.
 func TestOldVersionDeadlineIsCheckedAtWrite(t *testing.T) {
 	s := &queueingReplica{chunks: 1}
-	var began time.Time
+	var versionPublished time.Time
 	s.wait = func() time.Duration {
-		if began.IsZero() {
+		if versionPublished.IsZero() {
 			return 0
 		}
 		return 10 * time.Second
 	}
 	const bound = 15 * time.Second
-	runOnOldVersion(t, bound, s, func(is *is.I, stand *sim.Testbed, ask func(string) int, named time.Time) {
-		began = named
-		time.Sleep(time.Until(named.Add(12 * time.Second))) // no idle connection is left
+	runOnOldVersion(t, bound, s, func(is *is.I, stand *sim.Testbed, ask func(string) int, published time.Time) {
+		versionPublished = published
+		time.Sleep(time.Until(published.Add(12 * time.Second))) // idle connections have been closed
 		stand.Net.PartitionGroups([]string{"10.0.1.1"}, []string{"10.0.2.1"}, true)
 		var asking sync.WaitGroup
-		asking.Go(func() { ask("hangs in the dial") })
-		time.Sleep(900 * time.Millisecond) // less than a dial may take
+		asking.Go(func() { ask("waits in the dial") })
+		time.Sleep(900 * time.Millisecond) // less than the dial timeout
 		stand.Net.PartitionGroups([]string{"10.0.1.1"}, []string{"10.0.2.1"}, false)
 		asking.Wait()
-		is.Equal(len(s.begun), 1) // the one before the version was named
-		is.True(s.missed > 0)
-		is.True(s.lastMiss.Sub(named) <= bound)
+		is.Equal(len(s.started), 1) // the one before the version was published
+		is.True(s.expired > 0)
+		is.True(s.lastExpired.Sub(published) <= bound)
 	})
 }
