--- a/router/capacity.go
+++ b/router/capacity.go
@@ -11,7 +11,7 @@
 
 // Limits on what a router sends to one replica.
 const (
-	// maxReportAge is the age from which a replica's report is ignored, maxOccupancyAge that of a load told in a response.
+	// maxReportAge is the age from which a replica's report is ignored, maxOccupancyAge that of a load that a replica has sent in a response.
 	maxReportAge    = 1500 * time.Millisecond
 	maxOccupancyAge = 2 * time.Second
 	// maxBorrowed is the largest part of a replica's slots that a router may fill beyond its own share, as far as the replica's report shows
--- a/router/cost.go
+++ b/router/cost.go
@@ -24,11 +24,13 @@
 	// added for replicas other than the home, so that such blocks are computed in one place. 4 and 0.5 measured worse than 2
 	// (docs/policy.md).
 	duplicatePrefillFactor = 2.0
-	// crossZoneCost is added for a replica in another zone, waitingRequestCost for each request that a replica reports as waiting.
+	// crossZoneCost is added for a replica in another zone if the prompt has segments. waitingRequestCost is added for each request that a
+	// replica reports as waiting.
 	crossZoneCost      = 4.0
 	waitingRequestCost = 40.0
 	// avoidCost is added for a replica on old weights, which will be told to load new ones at any moment, or for one that has rejected the
-	// tenant. fullLoadCost is added for a replica whose slots are all in use; it scales with the square of the load.
+	// tenant; it is also the discount for a replica that has not answered with an adapter yet. fullLoadCost is added for a replica whose
+	// slots are all in use; it scales with the square of the load.
 	avoidCost    = 400.0
 	fullLoadCost = 40.0
 	// warmUpTime is added for a replica that is still warming up.
@@ -124,7 +126,7 @@
 	return cost
 }
 
-// occupied records the load that a replica has told in a response, and restarts the count of requests sent since.
+// occupied records the load that a replica has reported in a response, and restarts the count of requests sent since.
 func (rep *replica) occupied(o *Occupancy) {
 	if before := rep.occupancy.Load(); before == nil || before.at.Before(o.at) {
 		rep.occupancy.Store(o)
--- a/router/counts.go
+++ b/router/counts.go
@@ -26,7 +26,7 @@
 // step counts a request's transition to a state.
 func (c *counts) step(to State) { c.add("state_"+string(to), 1) }
 
-// reject counts a rejection by its code.
+// reject counts a rejection under its code's name.
 func (c *counts) reject(code apierror.Code) { c.add("bounce_"+code.Name, 1) }
 
 // all returns a copy of the counters.
--- a/router/load.go
+++ b/router/load.go
@@ -17,13 +17,14 @@
 	pending atomic.Int64
 	// rateBits is the observed prefill rate, a float64 in units per millisecond; zero: not observed yet.
 	rateBits atomic.Uint64
-	// report is the last report, occupancy the last load told in a response, seenVersion the highest model version told in one.
+	// report is the last report, occupancy the last load received in a response, seenVersion the highest model version
+	// received in one.
 	report      atomic.Pointer[report]
 	occupancy   atomic.Pointer[Occupancy]
 	seenVersion atomic.Uint64
 }
 
-// Occupancy is the load that a replica tells in a response.
+// Occupancy is a replica's load as it reports it in a response.
 type Occupancy struct {
 	Running, Waiting, Slots int
 	at                      time.Time
--- a/router/model_versions.go
+++ b/router/model_versions.go
@@ -25,8 +25,8 @@
 // MaxModelVersions is how many versions of a model are remembered; the oldest are forgotten first.
 const MaxModelVersions = 32
 
-// ModelVersions records when model versions were published. Of several ages told for one version the greatest counts. The zero value is
-// ready to use.
+// ModelVersions records when model versions were published. If different ages are received for one version, the greatest counts. The
+// zero value is ready to use.
 type ModelVersions struct {
 	mu     sync.Mutex
 	models map[string]*publishedVersions
@@ -89,7 +89,7 @@
 	return published
 }
 
-// versionAgeSlack is how much greater a told age must be to change a recorded time: the delay of updates varies.
+// versionAgeSlack is how much greater a received age must be to change a recorded time: the delay of updates varies.
 const versionAgeSlack = 100 * time.Millisecond
 
 // Superseded returns since when there is a newer version of a model than this one; ok is false if that is unknown or forgotten.
@@ -111,7 +111,8 @@
 
 // startDeadline returns by when work on a model version must have started; old is false if the version is not outdated. A version above the
 // newest one known here is newer, so it is not old. An old version may be used for a limited time, counted from when it was superseded, or
-// from the last disturbance of the cores if that was later. If it is unknown when it was superseded, it must not be used.
+// from the last disturbance of the cores (one fell silent or returned) if that was later. If it is unknown when it was
+// superseded, it must not be used.
 func (r *Router) startDeadline(v *View, model string, version uint64) (end time.Time, old bool) {
 	if version >= v.models[model].Version {
 		return time.Time{}, false
