--- a/controlplane/acceptors.go
+++ b/controlplane/acceptors.go
@@ -9,25 +9,25 @@
 	"asterridge/rpc"
 )
 
-// Both kinds of acceptor serve a register's owner.
+// Both kinds of acceptor implement register.Peer.
 var (
 	_ register.Peer = localAcceptor{}
 	_ register.Peer = remoteAcceptor{}
 )
 
-// RegisterRequest is a message from a register's owner to a member's acceptor.
+// RegisterRequest is a request from a register's owner to a member's acceptor.
 type RegisterRequest struct {
-	// From is the sender's incarnation, MembersVersion the version of the list of members that it acts on.
+	// From is the sender's incarnation, MembersVersion the version of the membership that it acts on.
 	From           string `json:"from"`
 	MembersVersion uint64 `json:"members"`
 	Key            string `json:"key,omitempty"`
 	Epoch          uint64 `json:"epoch,omitempty"`
-	// Known is the revision whose content the sender has; in a commit, the revision that is committed.
+	// Known is the revision whose content the sender already has; in a commit, the committed revision.
 	Known  register.Revision `json:"has"`
 	Change *register.Change  `json:"change,omitempty"`
 }
 
-// acceptorClient makes this core's messages to an acceptor.
+// acceptorClient builds this core's requests to an acceptor.
 type acceptorClient struct {
 	core           *Core
 	membersVersion uint64
@@ -41,7 +41,7 @@
 	return RegisterRequest{From: a.core.incarnation, MembersVersion: a.membersVersion, Change: &change}
 }
 
-// localAcceptor is this core's acceptor, under the same checks as everybody's.
+// localAcceptor is this core's own acceptor. Its requests pass the same checks as those from other cores.
 type localAcceptor struct{ acceptorClient }
 
 // Prepare implements register.Peer.
@@ -83,60 +83,60 @@
 	return err
 }
 
-// Accept implements register.Peer. What does not fit beside the changes that wait for the member already is not sent: the member catches up
-// with it by following the others.
+// Accept implements register.Peer. A change that exceeds the limit on pending bytes for the member is not sent: the member catches up
+// later by watching the other members.
 func (a remoteAcceptor) Accept(ctx context.Context, change register.Change) error {
 	size := change.Fields.Size()
 	if !a.core.pendingAccepts.reserve(a.address, size) {
-		return apierror.New(apierror.Unreachable, "too much waits for %s", a.address)
+		return apierror.New(apierror.Unreachable, "pending changes for %s exceed the limit", a.address)
 	}
 	defer a.core.pendingAccepts.release(a.address, size)
 	_, err := rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/accept", a.acceptRequest(change))
 	return err
 }
 
-// Commit implements register.Peer. A message that is lost costs a question later, so its error is dropped.
+// Commit implements register.Peer. The error is dropped: if the message is lost, the member asks for the commit later.
 func (a remoteAcceptor) Commit(ctx context.Context, key string, revision register.Revision) {
 	request := a.request(key, 0, revision)
 	_, _ = rpc.Call[struct{}](ctx, a.core.rpc, a.address, "/register/settle", request) // see above
 }
 
-// checkRequest rejects register messages unless both ends are members under the same list. While a newer list is accepted here and not
-// committed, only the members' own register moves: so nothing is written under the old list once the new one may stand. The errors are
-// apierror.NoMember and apierror.OtherMembers.
+// checkRequest rejects register requests unless both ends are members under the same list. While a newer list is accepted here but not
+// committed, only the members' own register may change, so that nothing is written under the old list once the new one may have taken
+// effect. The errors are apierror.NoMember and apierror.OtherMembers.
 func (c *Core) checkRequest(request RegisterRequest, key string) error {
-	now := c.membership()
-	if now.self == nil {
-		return apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
+	current := c.membership()
+	if current.self == nil {
+		return apierror.New(apierror.NoMember, "%s is not a member", c.host.Name)
 	}
-	if !now.hasIncarnation(request.From) {
+	if !current.hasIncarnation(request.From) {
 		c.host.Log.Warn().Str("from", request.From).Msg("register message from a core that is not a member")
 		return apierror.New(apierror.NoMember, "the asker is no member")
 	}
-	if request.MembersVersion > now.version {
-		now = c.awaitMembership(request.MembersVersion) // the sender has heard a moment sooner that a list is committed
+	if request.MembersVersion > current.version {
+		current = c.awaitMembership(request.MembersVersion) // the sender may have learned slightly earlier that a list is committed
 	}
-	if request.MembersVersion > now.version {
-		c.refreshMembership(now)
+	if request.MembersVersion > current.version {
+		c.refreshMembership(current)
 	}
-	if request.MembersVersion != now.version {
-		return apierror.New(apierror.OtherMembers, "the asker's list of members is %d, ours %d", request.MembersVersion, now.version)
+	if request.MembersVersion != current.version {
+		return apierror.New(apierror.OtherMembers, "the sender acts on membership version %d, this core on %d", request.MembersVersion, current.version)
 	}
-	if key != config.MembersKey && c.acceptor.Revision(config.MembersKey).Version > now.version {
-		return apierror.New(apierror.OtherMembers, "a newer list of members is being settled")
+	if key != config.MembersKey && c.acceptor.Revision(config.MembersKey).Version > current.version {
+		return apierror.New(apierror.OtherMembers, "a newer membership is accepted but not committed")
 	}
 	return nil
 }
 
-// refreshMembership asks the members for a newer list, in the background and once at a time. Their watches show no committed list while a
-// change that is not committed stands in its place.
-func (c *Core) refreshMembership(now activeMembership) {
+// refreshMembership asks the members for a newer list, in the background and one call at a time. Watching them is not enough, since
+// their watches do not show a committed list while an uncommitted change is stored over it.
+func (c *Core) refreshMembership(current activeMembership) {
 	if !c.refreshMu.TryLock() {
 		return
 	}
 	go func() {
 		defer c.refreshMu.Unlock()
-		c.announce(context.Background(), now)
+		c.announce(context.Background(), current)
 	}()
 }
 
--- a/controlplane/claims.go
+++ b/controlplane/claims.go
@@ -44,7 +44,7 @@
 				record = claim.Record{State: claim.Unknown} // one that cannot be read expires by its age like the others
 			}
 			id := field + "/" + record.Nonce
-			since, ok := c.claimsSeen[id]
+			since, ok := c.claimFirstSeen[id]
 			if !ok {
 				since = time.Now()
 			}
@@ -61,7 +61,7 @@
 		})
 		c.logOutcome("pruning of claims", key, revision, err)
 	}
-	c.claimsSeen = seen
+	c.claimFirstSeen = seen
 }
 
 // removeUnchanged gives the change that removes those of the seen fields that still have the same content.
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -26,49 +26,50 @@
 	"asterridge/watch"
 )
 
-// Files of a core's identity folder.
+// Files in the identity folder of a core's disk.
 const (
 	incarnationFile = "incarnation"
-	// firstStartFile is there if the disk dates from the fleet's first start.
+	// firstStartFile exists if the disk was initialized when the fleet was first started.
 	firstStartFile = "founder"
 )
 
-// Options of a core. The zero value of each field that is not marked otherwise switches its part off.
+// Options configures a core. Unless stated otherwise, the zero value of a field disables the feature.
 type Options struct {
-	// ClaimRetention is how long clients' idempotency keys are remembered, at the least.
+	// ClaimRetention is the minimum time for which clients' idempotency keys are remembered.
 	ClaimRetention time.Duration
-	// AutoMembership lets the members admit joiners and remove lost members without an operator.
+	// AutoMembership lets the cores admit joiners and remove lost members without an operator.
 	AutoMembership bool
-	// Tolerance is what may be lost at once; AutoMembership keeps the list fit to bear it.
+	// Tolerance is the set of simultaneous failures that the members must survive; AutoMembership maintains a list that does.
 	Tolerance membership.Tolerance
-	// LeaveTimeout is how long a core that is told to stop may take to leave the members.
+	// LeaveTimeout bounds how long a core that is shutting down tries to leave the members.
 	LeaveTimeout time.Duration
-	// CloseTimeout is how long running answers may take when the core closes its listener; 0: 1 s.
+	// CloseTimeout bounds how long requests in progress may take once the core closes its listener; 0: 1 s.
 	CloseTimeout time.Duration
-	// Backend is how a platform and its replicas are spoken to; nil where replicas speak our own interface.
+	// Backend talks to a platform and its replicas; nil if replicas implement the project's own interface.
 	Backend Backend
-	// Lease is the least time between the last order of one holder of a singleton role and the first of the next.
+	// Lease is the minimum time between the last order of one holder of a singleton role and the first order of the next holder.
 	Lease time.Duration
-	// PendingBytes bounds the changes that wait for one member's answer, in bytes; 0: 16 MiB.
+	// PendingBytes limits the size of the changes sent to one member and not answered yet, in bytes; 0: 16 MiB.
 	PendingBytes int
-	// OldVersionLimit is how long a version of a model may be used after the next one was published; 0: no end is recorded.
+	// OldVersionLimit is how long a model version may be used after the next one was published; 0: no limit is recorded.
 	OldVersionLimit time.Duration
-	// WatchWait is how long a watch request of another core is held open; 0: protocol.DefaultWatchWait.
+	// WatchWait is how long a watch request from another core is held open; 0: protocol.DefaultWatchWait.
 	WatchWait time.Duration
-	// Throttle is the waiting rule of a fleet with numbered configurations that do not set it; nil: the rule of an empty configuration.
+	// Throttle is the throttle rule used by a fleet with numbered configurations that do not set one; nil: the rule of an empty
+	// configuration.
 	Throttle *config.ThrottleRule
-	// Endpoints adds endpoints of another interface; nil: none.
+	// Endpoints registers the endpoints of an additional interface; nil: none.
 	Endpoints func(*Core, *http.ServeMux)
 }
 
-// Core keeps the control state on its disk.
+// Core is a control-plane process: one replica of the control state, kept on its disk.
 type Core struct {
 	host    daemon.Host
 	options Options
 	disk    disk.Disk
-	// incarnation identifies the disk.
+	// incarnation is the random ID of the disk.
 	incarnation string
-	// mayBootstrap is true if the disk dates from the fleet's first start.
+	// mayBootstrap is true if the disk was initialized when the fleet was first started.
 	mayBootstrap bool
 
 	rpc           *rpc.Client
@@ -77,69 +78,72 @@
 	acceptor      *register.Acceptor
 	owner         *register.Owner
 	throttles     *throttle.Table
-	// pendingAccepts bounds the changes that wait for each member's answer.
+	// pendingAccepts limits the bytes of changes awaiting each member's response.
 	pendingAccepts *byteBudget
 	loads          inflight.Table
 	operations     operations
-	// peerUpdates serves every register to the other cores, agentUpdates what agents need.
+	// peerUpdates serves every register to the other cores; agentUpdates serves what agents need.
 	peerUpdates  *watch.Server
 	agentUpdates *watch.Server
 	prefixes     prefixFilter
 
-	// members is the list that this core acts on; nil until it knows one. Written under membershipMu.
+	// members is the membership that this core acts on; nil until it knows one. Written under membershipMu.
 	members      atomic.Pointer[activeMembership]
 	membershipMu sync.Mutex
-	// memberID is this core's ID; it keeps it when it is a member no longer, since IDs are never given again.
+	// memberID is this core's member ID. It is retained after the core is removed, since IDs are never reused.
 	memberID atomic.Uint32
-	// leaving is set once this core is told to stop: it does not ask to be admitted again.
+	// leaving is set once this core is shutting down, so that it does not ask to be admitted again.
 	leaving atomic.Bool
-	// caughtUp: at the last tick a majority was heard, and all that it had committed was here.
+	// caughtUp is true if, at the last tick, a majority was reachable and everything it had committed was on this core's disk.
 	caughtUp atomic.Bool
-	// damaged: a torn file has lost a vote, so this core's answers count for nobody until it has caught up (docs/design.md §2.5).
+	// damaged is true if a torn file has lost a promise or an accepted change. This core's responses then count toward no quorum until
+	// it has caught up (docs/design.md §2.5).
 	damaged atomic.Bool
 
-	// transferMu guards transferred and is held while keys are transferred.
+	// transferMu guards transferred and is held while registers are transferred.
 	transferMu  sync.Mutex
 	transferred transferProgress
-	// reconcileMu is held while this core changes the members, refreshMu while it asks them for a newer list.
-	// supersededMu while this core records which versions of models have ended.
+	// reconcileMu is held while this core changes the membership, refreshMu while it asks the members for a newer list, and
+	// supersededMu while it records which model versions may no longer be used.
 	reconcileMu  sync.Mutex
 	refreshMu    sync.Mutex
 	supersededMu sync.Mutex
-	// recordingSlot admits one goroutine at a time to writing down who is unresponsive. It is no mutex: the disk may stall for long.
+	// recordingSlot lets one goroutine at a time write the unresponsive members to disk. It is a channel rather than a mutex because a
+	// disk may stall for a long time.
 	recordingSlot chan struct{}
-	// wakeups holds a token if a tick is wanted at once.
+	// wakeups holds a token if a tick has been requested.
 	wakeups chan struct{}
 
-	// loggedFailures are the keys whose catching up has failed, as the log has it.
+	// loggedFailures is the set of keys for which a failure to catch up has been logged.
 	loggedFailures sync.Map
-	// claimsSeen is when this process first saw each claim; only pruneClaims uses it.
-	claimsSeen map[string]time.Time
+	// claimFirstSeen is when this process first saw each claim; used only by pruneClaims.
+	claimFirstSeen map[string]time.Time
 
-	// versionsMu guards announcedVersions: by model, the versions that agents were told of, the newest last. It is held under a register's lock.
+	// versionsMu guards announcedVersions: by model, the versions announced to agents, newest last. It is acquired while a register's
+	// lock is held.
 	versionsMu        sync.Mutex
 	announcedVersions map[string][]announcedVersion
 
 	mu sync.Mutex // guards what follows
-	// peers are the watches of the other members, by name.
+	// peers are the watches on the other members, by member name.
 	peers map[string]*watch.Client
-	// bootstrapContacts are the cores met before there was a list: incarnation by address.
+	// bootstrapContacts are the cores contacted before a membership existed: incarnation by address.
 	bootstrapContacts map[string]string
-	// uncommittedSince is when a register was first seen with a change that is not committed.
+	// uncommittedSince is when a register was first seen with an uncommitted change.
 	uncommittedSince map[string]time.Time
-	// joiners are cores that ask to be admitted, by name.
+	// joiners are the cores that ask to be admitted, by name.
 	joiners map[string]membership.Joiner
-	// liveness has Recorded set before the first tick.
+	// liveness tracks unresponsive members; its Recorded field is loaded before the first tick.
 	liveness membership.Tracker
-	// membershipChanged is closed, and replaced, when another list counts.
+	// membershipChanged is closed, and replaced, when another list takes effect.
 	membershipChanged chan struct{}
-	// candidates are those of this core for the singleton roles.
+	// candidates are this core's candidates for the singleton roles.
 	candidates []*lease.Candidate
-	// proxies are those that run, as agents were told.
+	// proxies is the set of running proxies, as last announced to agents.
 	proxies register.Fields
 }
 
-// New opens a core's disk and loads what it has. The error is apierror.DiskFailed if the disk cannot be read or written.
+// New opens a core's disk and loads its state. The error is apierror.DiskFailed if the disk cannot be read or written.
 func New(host daemon.Host, d disk.Disk, options Options) (*Core, error) {
 	if options.CloseTimeout == 0 {
 		options.CloseTimeout = daemon.CloseTimeout
@@ -164,7 +168,7 @@
 	c.operations = newOperations(c)
 	c.throttles = throttle.NewTable(c.publishThrottle)
 	c.detector = daemon.NewDetector(host, coreRole, c.rpc)
-	serverOptions := watch.ServerOptions{Incarnation: c.vouchedIncarnation}
+	serverOptions := watch.ServerOptions{Incarnation: c.votingIncarnation}
 	c.peerUpdates, c.agentUpdates = watch.NewServer(serverOptions), watch.NewServer(serverOptions)
 	if err := c.loadIdentity(); err != nil {
 		return nil, err
@@ -177,15 +181,16 @@
 	return c, nil
 }
 
-// vouchedIncarnation is what watch responses bear: this disk's incarnation while the core is a member whose answers count, else empty.
-func (c *Core) vouchedIncarnation() string {
+// votingIncarnation is sent in watch responses: this disk's incarnation while the core is a member whose responses count toward a
+// quorum, else empty.
+func (c *Core) votingIncarnation() string {
 	if c.membership().self == nil || c.damaged.Load() {
 		return ""
 	}
 	return c.incarnation
 }
 
-// loadRegisters loads the registers from the disk and resumes what they hold.
+// loadRegisters loads the registers from the disk, restores stored throttles and announces the published model versions.
 func (c *Core) loadRegisters() (err error) {
 	c.acceptor, err = register.OpenAcceptor(register.AcceptorOptions{Disk: c.disk, OnChange: c.publishAccepted, OnSkipped: c.logSkippedFile})
 	if err != nil {
@@ -208,14 +213,14 @@
 	c.host.Log.Warn().Str("folder", folder).Str("file", file).Err(err).Msg("file skipped while loading")
 }
 
-// loadIdentity reads or makes the disk's incarnation, and reads whether the disk dates from the fleet's first start.
+// loadIdentity reads or creates the disk's incarnation, and reads whether the disk was initialized at the fleet's first start.
 func (c *Core) loadIdentity() error {
 	raw, err := c.disk.Get(protocol.IdentityFolder, incarnationFile)
 	switch {
 	case apierror.Is(err, apierror.NotFound):
 		raw, err = c.createIncarnation()
 	case err == nil:
-		err = c.disk.Sync(protocol.IdentityFolder) // a process before this one may have died while it wrote it
+		err = c.disk.Sync(protocol.IdentityFolder) // an earlier process may have crashed before it synced the file
 	}
 	if err != nil {
 		return apierror.Wrap(err, apierror.DiskFailed, "incarnation")
@@ -229,8 +234,8 @@
 	return nil
 }
 
-// createIncarnation names an empty disk. The mark of the fleet's first start is written before: a disk with an incarnation and without the
-// mark is of a later start.
+// createIncarnation assigns an incarnation to an empty disk. The first-start marker is written first, so that a disk with an
+// incarnation but without the marker is known to have been initialized later.
 func (c *Core) createIncarnation() ([]byte, error) {
 	if !c.host.Bootstrapped {
 		if err := c.disk.Put(protocol.IdentityFolder, firstStartFile, nil); err != nil {
@@ -241,7 +246,7 @@
 	return raw, c.disk.Put(protocol.IdentityFolder, incarnationFile, raw)
 }
 
-// Serve runs the core until the context ends.
+// Serve runs the core until the context is canceled.
 func (c *Core) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -257,13 +262,13 @@
 	return daemon.Serve(ctx, listener, handler, c.options.CloseTimeout)
 }
 
-// handlePlacement takes what a proxy has in flight, and chooses a replica for a request of it.
+// handlePlacement records the requests that a proxy has in flight and chooses a replica for one of its requests.
 func (c *Core) handlePlacement(_ context.Context, request inflight.Request) (inflight.Response, error) {
 	c.addShared(request.Shared)
 	return c.loads.Assign(request), nil
 }
 
-// handler has all endpoints of a core.
+// handler returns the handler for all endpoints of a core.
 func (c *Core) handler() http.Handler {
 	mux, fleet := http.NewServeMux(), c.host.Fleet
 	mux.Handle("POST /core/hello", rpc.Handler(fleet, c.handleHello))
--- a/controlplane/liveness.go
+++ b/controlplane/liveness.go
@@ -12,10 +12,10 @@
 	"asterridge/rpc"
 )
 
-// unresponsiveFile notes which members were unresponsive, so that a restart of all cores does not begin the count anew.
+// unresponsiveFile records which members were unresponsive, so that a restart of all cores does not restart the time-outs.
 const unresponsiveFile = "silent"
 
-// observeLiveness has the tracker look at the members, at each tick.
+// observeLiveness updates the liveness tracker; called at each tick.
 func (c *Core) observeLiveness(members []config.Member) {
 	hasQuorum := c.hasMajorityOf(members)
 	c.mu.Lock()
@@ -27,7 +27,7 @@
 	}
 }
 
-// lastHeard is when a member last answered; c.mu is held.
+// lastHeard returns when a member last answered; c.mu must be held.
 func (c *Core) lastHeard(m config.Member) time.Time {
 	if m.Incarnation == c.incarnation {
 		return time.Now()
@@ -38,12 +38,13 @@
 	return time.Time{}
 }
 
-// LivenessRequest asks a core for how long it has not heard a member.
+// LivenessRequest asks a core for how long a member has been unresponsive to it.
 type LivenessRequest struct {
 	Member config.Member `json:"member"`
 }
 
-// LivenessResponse is the time for which the core has not heard the member; 0 while it has not heard a majority for long enough to tell.
+// LivenessResponse is for how long the member has been unresponsive to the core; 0 while the core has not been in contact with a
+// majority for long enough to tell.
 type LivenessResponse struct {
 	UnresponsiveMs int64 `json:"unresponsive_ms"`
 }
@@ -57,8 +58,9 @@
 	return LivenessResponse{UnresponsiveMs: c.liveness.UnresponsiveFor(request.Member).Milliseconds()}, nil
 }
 
-// isConfirmed reports whether a proposal stands on more than this core's own word: a member is removed for its silence only if a majority of
-// the others has missed it for as long. Who does not answer, or is from an earlier build, has not missed it.
+// isConfirmed reports whether a proposal is supported by more than this core's own observation: a member is removed as unresponsive
+// only if a majority of the others has not heard from it for as long. A core that does not answer, or runs an earlier build, does not
+// count as confirming.
 func (c *Core) isConfirmed(ctx context.Context, proposal membership.Proposal, members []config.Member) bool {
 	if proposal.UnresponsiveFor == 0 {
 		return true
@@ -66,30 +68,30 @@
 	ctx, cancel := context.WithTimeout(ctx, protocol.HelloTimeout)
 	defer cancel()
 	answers := make(chan bool, len(members))
-	asked := 0
+	pending := 0
 	for _, m := range members {
 		if m.ID == proposal.Member.ID || m.Incarnation == c.incarnation {
 			continue
 		}
-		asked++
+		pending++
 		go func() {
 			response, err := rpc.Call[LivenessResponse](ctx, c.rpc, m.Address, "/core/liveness", LivenessRequest{Member: proposal.Member})
 			answers <- err == nil && response.UnresponsiveMs >= proposal.UnresponsiveFor.Milliseconds()
 		}()
 	}
-	voices := 1 // this core's
-	for range asked {
+	confirmations := 1 // this core
+	for range pending {
 		if <-answers {
-			voices++
+			confirmations++
 		}
-		if membership.IsMissed(voices, len(members)) {
+		if membership.IsMissed(confirmations, len(members)) {
 			return true
 		}
 	}
 	return false
 }
 
-// recordUnresponsive writes down who is unresponsive. Nothing waits for the disk.
+// recordUnresponsive writes the unresponsive members to disk. It runs in its own goroutine, so that nothing else waits for the disk.
 func (c *Core) recordUnresponsive() {
 	c.recordingSlot <- struct{}{}
 	defer func() { <-c.recordingSlot }()
@@ -101,7 +103,8 @@
 	}
 }
 
-// loadUnresponsive reads who was unresponsive before this process started. Without the file, or with a torn one, the count begins at zero.
+// loadUnresponsive reads which members were unresponsive before this process started. If the file is missing or torn, their time-outs
+// start from zero.
 func (c *Core) loadUnresponsive() {
 	raw, err := c.disk.Get(protocol.IdentityFolder, unresponsiveFile)
 	if err == nil {
--- a/controlplane/membership.go
+++ b/controlplane/membership.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// membershipVersionFile holds the version of the newest list that is known to be committed.
+	// membershipVersionFile holds the version of the newest list known to be committed.
 	membershipVersionFile = "members"
 	// membershipFile holds that list's content.
 	membershipFile = "list"
-	// membershipWait is how long a message under a newer list waits for this core to learn of that list.
+	// membershipWait is how long a request sent under a newer list waits for this core to learn of that list.
 	membershipWait = 500 * time.Millisecond
 )
 
-// activeMembership is the list of members that this core acts on (docs/design.md §2.8).
+// activeMembership is the membership that this core acts on (docs/design.md §2.8).
 type activeMembership struct {
-	// version is the register's version; zero for a core that only follows a list which others told it.
+	// version is the version of the members' register; zero on a core that is not a member and follows a list named by others.
 	version uint64
 	members []config.Member
-	// self is this core's own entry; nil while it is no member.
+	// self is this core's own entry; nil if it is not a member.
 	self *config.Member
-	// record is the register's content that the list is read from; nil if this core does not know it.
+	// record is the register content that the list was decoded from; nil if this core does not have it.
 	record *membership.Record
 }
 
@@ -45,7 +45,7 @@
 	return membership.HasIncarnation(a.members, incarnation)
 }
 
-// addressOf gives a member's address; empty if there is no such member.
+// addressOf returns a member's address, or "" if there is no such member.
 func (a activeMembership) addressOf(name string) string {
 	for _, m := range a.members {
 		if m.Name == name {
@@ -55,44 +55,44 @@
 	return ""
 }
 
-// Membership is the list of members that a core acts on, for observers.
+// Membership is the membership that a core acts on, for observers.
 type Membership struct {
 	Version uint64
 	Members []config.Member
-	Member  bool // this core is on it, and votes
+	Member  bool // whether this core is a member and votes
 }
 
-// Membership gives the list that this core acts on now.
+// Membership returns the membership that this core acts on.
 func (c *Core) Membership() Membership {
-	now := c.membership()
-	return Membership{Version: now.version, Members: slices.Clone(now.members), Member: now.self != nil}
+	current := c.membership()
+	return Membership{Version: current.version, Members: slices.Clone(current.members), Member: current.self != nil}
 }
 
 func (c *Core) membership() activeMembership {
-	if now := c.members.Load(); now != nil {
-		return *now
+	if current := c.members.Load(); current != nil {
+		return *current
 	}
 	return activeMembership{}
 }
 
-// hasQuorum reports whether this core is a member and hears a majority of the members. One that does not takes no part in what a single
-// core does for all: it would pick itself for everything.
+// hasQuorum reports whether this core is a member and is in contact with a majority of the members. Without a quorum it must not take
+// singleton roles: it would consider itself the only live core and assign all of them to itself.
 func (c *Core) hasQuorum() bool {
-	now := c.membership()
-	return now.self != nil && c.hasMajorityOf(now.members)
+	current := c.membership()
+	return current.self != nil && c.hasMajorityOf(current.members)
 }
 
-// hasMajorityOf reports whether this core hears a majority of these members.
+// hasMajorityOf reports whether this core is in contact with a majority of these members.
 func (c *Core) hasMajorityOf(members []config.Member) bool {
 	return len(c.live()) >= membership.Majority(len(members))
 }
 
-// isAssigned reports whether this core is the one that looks after a key, by rendezvous hash over the live members.
+// isAssigned reports whether a key is assigned to this core by rendezvous hashing over the live members.
 func (c *Core) isAssigned(key string) bool {
 	return c.hasQuorum() && rendezvous.Pick(key, c.live()) == c.host.Name
 }
 
-// live names the members heard within membership.LivenessTimeout, this core included.
+// live returns the names of the members heard from within membership.LivenessTimeout, including this core.
 func (c *Core) live() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +106,8 @@
 	return names
 }
 
-// applyMembers acts on the list in the members' register. A list counts once it is committed; until then the one before it does.
+// applyMembers applies the list in the members' register. A list takes effect once it is committed; until then the previous one
+// applies.
 func (c *Core) applyMembers() {
 	c.membershipMu.Lock()
 	defer c.membershipMu.Unlock()
@@ -115,62 +116,62 @@
 		return
 	}
 	list := membership.Decode(record.Fields)
-	now := activeMembership{version: record.Revision.Version, members: list.Members}
+	current := activeMembership{version: record.Revision.Version, members: list.Members}
 	switch {
 	case record.IsCommitted():
-		now.record = &membership.Record{Revision: record.Revision, Fields: record.Fields}
-	case c.recordedVersion() < now.version:
-		now.version--
+		current.record = &membership.Record{Revision: record.Revision, Fields: record.Fields}
+	case c.recordedVersion() < current.version:
+		current.version--
 		if list.Previous != nil {
-			now.members = list.Previous
+			current.members = list.Previous
 		}
-		now.record = c.recordedMembership(now.version)
-	default: // known to be committed before this process started: the others are to learn it from here
+		current.record = c.recordedMembership(current.version)
+	default: // recorded as committed before this process started: mark it as committed so that peers see it
 		c.acceptor.Commit(config.MembersKey, record.Revision)
 	}
-	before := c.membership()
-	if now.version < before.version || now.version == before.version && before.self != nil {
+	previous := c.membership()
+	if current.version < previous.version || current.version == previous.version && previous.self != nil {
 		return
 	}
-	for i := range now.members {
-		if now.members[i].Incarnation == c.incarnation {
-			now.self = &now.members[i]
-			c.memberID.Store(now.self.ID)
+	for i := range current.members {
+		if current.members[i].Incarnation == c.incarnation {
+			current.self = &current.members[i]
+			c.memberID.Store(current.self.ID)
 		}
 	}
 	if record.IsCommitted() {
-		go c.recordMembership(now) // for the time after a restart only: neither a slow nor a failing disk holds anything up here
+		go c.recordMembership(current) // only needed after a restart, so a slow or failing disk must not block
 	}
-	c.members.Store(&now)
+	c.members.Store(&current)
 	c.mu.Lock()
-	maps.DeleteFunc(c.joiners, func(_ string, j membership.Joiner) bool { return now.hasIncarnation(j.Incarnation) })
+	maps.DeleteFunc(c.joiners, func(_ string, j membership.Joiner) bool { return current.hasIncarnation(j.Incarnation) })
 	close(c.membershipChanged)
 	c.membershipChanged = make(chan struct{})
 	c.mu.Unlock()
-	c.host.Log.Info().Uint64("version", now.version).Int("members", len(now.members)).Bool("member", now.self != nil).Msg("membership changed")
+	c.host.Log.Info().Uint64("version", current.version).Int("members", len(current.members)).Bool("member", current.self != nil).Msg("membership changed")
 }
 
-// recordMembership writes down which list is committed. Without it this core has to learn that from others after a restart.
-func (c *Core) recordMembership(now activeMembership) {
-	raw, _ := json.Marshal(now.record) // plain maps always encode
+// recordMembership stores which list is committed, so that this core need not learn it from other cores after a restart.
+func (c *Core) recordMembership(current activeMembership) {
+	raw, _ := json.Marshal(current.record) // plain maps always encode
 	err := errors.Join(c.disk.Put(protocol.IdentityFolder, membershipFile, raw),
-		c.disk.Put(protocol.IdentityFolder, membershipVersionFile, []byte(strconv.FormatUint(now.version, 10))))
+		c.disk.Put(protocol.IdentityFolder, membershipVersionFile, []byte(strconv.FormatUint(current.version, 10))))
 	if err != nil {
-		c.host.Log.Warn().Uint64("version", now.version).Err(err).Msg("membership not recorded on disk")
+		c.host.Log.Warn().Uint64("version", current.version).Err(err).Msg("membership not recorded on disk")
 	}
 }
 
-// recordedVersion gives the version of the newest list that was written down as committed; zero if none was.
+// recordedVersion returns the version of the newest list recorded as committed; zero if none was.
 func (c *Core) recordedVersion() uint64 {
 	raw, err := c.disk.Get(protocol.IdentityFolder, membershipVersionFile)
 	if err != nil {
-		return 0 // none, or a torn one: no list is known to be committed
+		return 0 // missing or torn: no list is known to be committed
 	}
-	version, _ := strconv.ParseUint(string(raw), 10, 64) // one that cannot be read counts as none
+	version, _ := strconv.ParseUint(string(raw), 10, 64) // an unreadable version counts as none
 	return version
 }
 
-// recordedMembership gives the content of the list of that version if this core wrote it down, else nil.
+// recordedMembership returns the recorded list if it has that version, else nil.
 func (c *Core) recordedMembership(version uint64) *membership.Record {
 	raw, err := c.disk.Get(protocol.IdentityFolder, membershipFile)
 	var record membership.Record
@@ -180,8 +181,8 @@
 	return &record
 }
 
-// adoptMembership takes over a committed list that another core knows, if it is newer and names this core. A core that is not on the list
-// does not need it: it follows the members that hellos name.
+// adoptMembership adopts a committed list that another core sent, if it is newer and includes this core. A core that is not on the list
+// does not need its register: it follows the members named in hello responses.
 func (c *Core) adoptMembership(record *membership.Record) {
 	if record == nil || record.Revision.Version <= c.membership().version {
 		return
@@ -196,7 +197,7 @@
 	c.applyMembers()
 }
 
-// observeMembers has this core follow members that another core named, unless it has become one of them meanwhile.
+// observeMembers makes this core follow members that another core named, unless it has become a member in the meantime.
 func (c *Core) observeMembers(members []config.Member) {
 	c.membershipMu.Lock()
 	defer c.membershipMu.Unlock()
@@ -206,15 +207,15 @@
 	}
 }
 
-// memberAcceptors gives the acceptors of all members, under the list that this core acts on now.
+// memberAcceptors returns the acceptors of all members, for requests under the membership that this core acts on now.
 func (c *Core) memberAcceptors() (register.Peers, error) {
-	now := c.membership()
-	if now.self == nil {
-		return nil, apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
+	current := c.membership()
+	if current.self == nil {
+		return nil, apierror.New(apierror.NoMember, "%s is not a member", c.host.Name)
 	}
-	client := acceptorClient{core: c, membersVersion: now.version}
+	client := acceptorClient{core: c, membersVersion: current.version}
 	var all register.Peers
-	for _, m := range now.members {
+	for _, m := range current.members {
 		if m.Incarnation == c.incarnation {
 			all = append(all, localAcceptor{client})
 		} else {
@@ -224,7 +225,7 @@
 	return all, nil
 }
 
-// awaitMembership waits up to membershipWait until this core acts on a list of that version or a later one, and gives the list.
+// awaitMembership waits up to membershipWait until this core acts on a list of at least that version, and returns the current list.
 func (c *Core) awaitMembership(version uint64) activeMembership {
 	timer := time.NewTimer(membershipWait)
 	defer timer.Stop()
@@ -232,9 +233,9 @@
 		c.mu.Lock()
 		changed := c.membershipChanged
 		c.mu.Unlock()
-		now := c.membership()
-		if now.version >= version {
-			return now
+		current := c.membership()
+		if current.version >= version {
+			return current
 		}
 		select {
 		case <-changed:
@@ -244,7 +245,7 @@
 	}
 }
 
-// membershipView is what this core knows of the others now, for the rules of package membership.
+// membershipView returns what this core knows about the other cores, as input for the rules of package membership.
 func (c *Core) membershipView() membership.View {
 	live := c.live()
 	c.mu.Lock()
@@ -252,7 +253,7 @@
 	return membership.View{Live: live, Liveness: c.liveness, Joiners: maps.Clone(c.joiners), Tolerance: c.options.Tolerance}
 }
 
-// applyMembershipChange changes the list by one member, under the guards of package membership.
+// applyMembershipChange adds or removes one member, subject to the checks of package membership.
 func (c *Core) applyMembershipChange(ctx context.Context, change membership.Change) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.MembersKey, func(fields register.Fields, _ uint64) (register.Fields, error) {
 		return change.Apply(fields, c.membershipView(), time.Now())
@@ -261,8 +262,8 @@
 	return Accepted{Version: revision.Version}, err
 }
 
-// reconcileMembership asks for the change of members that is due, one at a time. Only the member that the register is assigned to tries;
-// the guards of the change itself stand all the same.
+// reconcileMembership proposes the next membership change that is due, one at a time. Only the member that the register is assigned to
+// proposes changes; the checks in the change itself apply regardless.
 func (c *Core) reconcileMembership(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
 	transferring := record.Fields[membership.PreviousField] != nil
@@ -281,7 +282,7 @@
 		if !c.isConfirmed(ctx, proposal, members) {
 			return
 		}
-		if _, err := c.applyMembershipChange(ctx, proposal.Change); err == nil { // a failure is logged there, and the next tick looks again
+		if _, err := c.applyMembershipChange(ctx, proposal.Change); err == nil { // a failure is logged by applyMembershipChange and retried at the next tick
 			c.wake()
 		}
 	}()
--- a/controlplane/operation.go
+++ b/controlplane/operation.go
@@ -19,12 +19,12 @@
 	"asterridge/throttle"
 )
 
-// Accepted is the answer to a change that a majority has: the register's version.
+// Accepted is the response to a change that a majority has accepted: the register's new version.
 type Accepted struct {
 	Version uint64 `json:"version"`
 }
 
-// operations are the changes of registers that a core takes from operators, agents and other cores.
+// operations are the register changes that a core accepts from operators, agents and other cores.
 type operations struct {
 	config         operation[ConfigChange, Accepted]
 	numberedConfig operation[config.NumberedConfig, Accepted]
@@ -43,28 +43,28 @@
 
 func newOperations(c *Core) operations {
 	return operations{
-		config:         operation[ConfigChange, Accepted]{core: c, name: config.Key, key: always[ConfigChange](config.Key), apply: c.applyConfig, idempotent: ConfigChange.HasKey},
-		numberedConfig: operation[config.NumberedConfig, Accepted]{core: c, name: "declaration", key: always[config.NumberedConfig](config.Key), apply: c.applyNumberedConfig, idempotent: always[config.NumberedConfig](true)},
-		accessKey:      operation[AccessKeyChange, Accepted]{core: c, name: "keys", key: AccessKeyChange.Register, apply: c.applyAccessKey, idempotent: always[AccessKeyChange](true)},
-		replicas:       operation[ReplicasChange, Accepted]{core: c, name: "replicas", key: always[ReplicasChange](config.ReplicasKey), apply: c.applyReplicas, idempotent: always[ReplicasChange](true)},
-		modelVersion:   operation[ModelVersionChange, Accepted]{core: c, name: "models", key: always[ModelVersionChange](config.ModelsKey), apply: c.applyModelVersion, idempotent: always[ModelVersionChange](true)},
-		loads:          operation[register.Fields, Accepted]{core: c, name: "loads", key: always[register.Fields](config.LoadsKey), apply: c.applyLoads, idempotent: always[register.Fields](true)},
-		retirement:     operation[RetirementChange, Accepted]{core: c, name: "retirement", key: always[RetirementChange](config.RetirementKey), apply: c.applyRetirement, idempotent: RetirementChange.HasKey},
-		retirementStep: operation[RetirementStep, Accepted]{core: c, name: "advance", key: always[RetirementStep](config.RetirementKey), apply: c.applyRetirementStep, idempotent: always[RetirementStep](true)},
-		claim:          operation[claim.Request, struct{}]{core: c, name: "claim", key: claim.Request.Register, apply: c.applyClaim, idempotent: always[claim.Request](true)},
-		throttle:       operation[throttle.Notice, struct{}]{core: c, name: "hold", key: throttleRegister, apply: c.applyThrottle, idempotent: always[throttle.Notice](true)},
-		lease:          operation[LeaseRequest, Accepted]{core: c, name: "term", key: LeaseRequest.register, apply: c.grantLease, idempotent: always[LeaseRequest](false)},
-		membership:     operation[membership.Change, Accepted]{core: c, name: "members", key: always[membership.Change](config.MembersKey), apply: c.applyMembershipChange, idempotent: membership.Change.IsIdempotent},
-		commit:         operation[CommitRequest, CommitResponse]{core: c, name: "settle", key: func(r CommitRequest) string { return r.Key }, apply: c.commitKey, idempotent: always[CommitRequest](true)},
+		config:         operation[ConfigChange, Accepted]{core: c, name: config.Key, key: constant[ConfigChange](config.Key), apply: c.applyConfig, idempotent: ConfigChange.HasKey},
+		numberedConfig: operation[config.NumberedConfig, Accepted]{core: c, name: "declaration", key: constant[config.NumberedConfig](config.Key), apply: c.applyNumberedConfig, idempotent: constant[config.NumberedConfig](true)},
+		accessKey:      operation[AccessKeyChange, Accepted]{core: c, name: "keys", key: AccessKeyChange.Register, apply: c.applyAccessKey, idempotent: constant[AccessKeyChange](true)},
+		replicas:       operation[ReplicasChange, Accepted]{core: c, name: "replicas", key: constant[ReplicasChange](config.ReplicasKey), apply: c.applyReplicas, idempotent: constant[ReplicasChange](true)},
+		modelVersion:   operation[ModelVersionChange, Accepted]{core: c, name: "models", key: constant[ModelVersionChange](config.ModelsKey), apply: c.applyModelVersion, idempotent: constant[ModelVersionChange](true)},
+		loads:          operation[register.Fields, Accepted]{core: c, name: "loads", key: constant[register.Fields](config.LoadsKey), apply: c.applyLoads, idempotent: constant[register.Fields](true)},
+		retirement:     operation[RetirementChange, Accepted]{core: c, name: "retirement", key: constant[RetirementChange](config.RetirementKey), apply: c.applyRetirement, idempotent: RetirementChange.HasKey},
+		retirementStep: operation[RetirementStep, Accepted]{core: c, name: "advance", key: constant[RetirementStep](config.RetirementKey), apply: c.applyRetirementStep, idempotent: constant[RetirementStep](true)},
+		claim:          operation[claim.Request, struct{}]{core: c, name: "claim", key: claim.Request.Register, apply: c.applyClaim, idempotent: constant[claim.Request](true)},
+		throttle:       operation[throttle.Notice, struct{}]{core: c, name: "hold", key: throttleRegister, apply: c.applyThrottle, idempotent: constant[throttle.Notice](true)},
+		lease:          operation[LeaseRequest, Accepted]{core: c, name: "term", key: LeaseRequest.register, apply: c.grantLease, idempotent: constant[LeaseRequest](false)},
+		membership:     operation[membership.Change, Accepted]{core: c, name: "members", key: constant[membership.Change](config.MembersKey), apply: c.applyMembershipChange, idempotent: membership.Change.IsIdempotent},
+		commit:         operation[CommitRequest, CommitResponse]{core: c, name: "settle", key: func(r CommitRequest) string { return r.Key }, apply: c.commitKey, idempotent: constant[CommitRequest](true)},
 	}
 }
 
-// always gives the same for every request: the key of an operation that has one register only, for instance.
-func always[Request, Value any](value Value) func(Request) Value {
+// constant returns a function that ignores its request and returns value: for example the key of an operation on a single register.
+func constant[Request, Value any](value Value) func(Request) Value {
 	return func(Request) Value { return value }
 }
 
-// handle adds the endpoints of all operations.
+// handle registers the endpoints of all operations.
 func (o operations) handle(mux *http.ServeMux) {
 	o.config.handle(mux)
 	o.numberedConfig.handle(mux)
@@ -81,45 +81,47 @@
 	o.commit.handle(mux)
 }
 
-// operation is one kind of change of a register.
+// operation is one kind of register change.
 type operation[Request, Response any] struct {
 	core *Core
 	name string
-	// key gives the register that a request changes.
+	// key returns the key of the register that a request changes.
 	key func(Request) string
-	// apply makes the change as the register's owner.
+	// apply performs the change as the register's owner.
 	apply func(context.Context, Request) (Response, error)
-	// idempotent reports whether a request that an owner may have applied can be applied again without harm.
+	// idempotent reports whether it is safe to apply a request again after an owner may have applied it.
 	idempotent func(Request) bool
 }
 
-// handle adds the endpoints: any core takes a request at /op/NAME and forwards it to the owner, which takes it at /own/NAME.
+// handle registers the endpoints: any core accepts a request at /op/NAME and forwards it to the owner, which accepts it at /own/NAME.
 func (o operation[Request, Response]) handle(mux *http.ServeMux) {
 	mux.Handle("POST /op/"+o.name, rpc.Handler(o.core.host.Fleet, o.submit))
 	mux.Handle("POST /own/"+o.name, rpc.Handler(o.core.host.Fleet, o.applyWithQuorum))
 }
 
-// applyWithQuorum applies a request that another core has forwarded. A core that hears no majority does not try: the other one may hear it.
+// applyWithQuorum applies a request forwarded by another core. A core without a quorum rejects it, since the sender may still reach a
+// majority.
 func (o operation[Request, Response]) applyWithQuorum(ctx context.Context, request Request) (Response, error) {
 	if !o.core.hasQuorum() {
 		var none Response
-		return none, apierror.New(apierror.NoMajority, "%s hears no majority of the members", o.core.host.Name)
+		return none, apierror.New(apierror.NoMajority, "%s cannot reach a majority of the members", o.core.host.Name)
 	}
 	return o.apply(ctx, request)
 }
 
-// submit has the register's owner apply a request. An owner that hears no majority is passed over for the next one that this core hears, for
-// as long as protocol.QuorumTimeout; then this core tries itself, since what it hears may lag behind what it reaches.
+// submit has the register's owner apply a request. If the owner has no quorum, the next owner among the cores that this one considers
+// live is tried, for up to protocol.QuorumTimeout. After that this core applies the request itself, since its view of which cores are
+// live may lag behind which ones it can reach.
 func (o operation[Request, Response]) submit(ctx context.Context, request Request) (Response, error) {
 	var none Response
 	c := o.core
-	if now := c.membership(); now.self == nil && len(now.members) == 0 {
-		return none, apierror.New(apierror.NotFounded, "the founders have not all met")
-	} else if now.self == nil {
-		return none, apierror.New(apierror.NoMember, "%s is no member", c.host.Name)
+	if current := c.membership(); current.self == nil && len(current.members) == 0 {
+		return none, apierror.New(apierror.NotFounded, "the fleet is not bootstrapped: not all bootstrap peers have found each other")
+	} else if current.self == nil {
+		return none, apierror.New(apierror.NoMember, "%s is not a member", c.host.Name)
 	}
 	candidates := c.live()
-	for began := time.Now(); len(candidates) > 0 && time.Since(began) < protocol.QuorumTimeout; {
+	for start := time.Now(); len(candidates) > 0 && time.Since(start) < protocol.QuorumTimeout; {
 		owner := rendezvous.Pick(o.key(request), candidates)
 		response, err := o.submitTo(ctx, owner, request)
 		if !apierror.Is(err, apierror.NoMajority) {
@@ -130,8 +132,9 @@
 	return o.apply(ctx, request)
 }
 
-// submitTo has one core apply a request as the register's owner. If that core does not answer, this one applies it itself, unless the other
-// may have applied it and doing so twice would do harm: then the answer is apierror.Undecided, neither yes nor no.
+// submitTo has one core apply a request as the register's owner. If that core does not answer, this core applies the request itself,
+// unless the other one may have applied it and applying it twice is unsafe. In that case the error is apierror.Undecided: the outcome
+// is in doubt.
 func (o operation[Request, Response]) submitTo(ctx context.Context, owner string, request Request) (Response, error) {
 	var none Response
 	if owner == o.core.host.Name {
@@ -141,12 +144,12 @@
 	switch {
 	case err == nil || !apierror.Is(err, apierror.Unreachable):
 		return response, err
-	case isDialError(err): // the owner cannot have got it
+	case isDialError(err): // no connection was made, so the owner has not received the request
 		return o.apply(ctx, request)
 	case o.idempotent(request):
-		return o.applyAgain(ctx, owner, request, err)
+		return o.retryLocally(ctx, owner, request, err)
 	}
-	return none, apierror.New(apierror.Undecided, "the owner %s did not answer: %v", owner, err)
+	return none, apierror.New(apierror.Undecided, "owner %s did not answer: %v", owner, err)
 }
 
 // forward sends a request to the register's owner.
@@ -156,12 +159,12 @@
 	return rpc.Call[Response](ctx, o.core.rpc, o.core.membership().addressOf(owner), "/own/"+o.name, request)
 }
 
-// applyAgain applies a request that the owner may have applied; cause is why the owner's answer is missing. What fails here without effect
-// may have been done there, so it is undecided.
-func (o operation[Request, Response]) applyAgain(ctx context.Context, owner string, request Request, cause error) (Response, error) {
+// retryLocally applies a request that the owner may already have applied; cause is why the owner's response is missing. If it is
+// rejected here, it may still have taken effect at the owner, so the outcome is reported as undecided.
+func (o operation[Request, Response]) retryLocally(ctx context.Context, owner string, request Request, cause error) (Response, error) {
 	response, err := o.apply(ctx, request)
 	if err != nil && apierror.Of(err).Code.Executed == apierror.NotRun {
-		err = apierror.New(apierror.Undecided, "the owner %s did not answer: %v; then here: %v", owner, cause, err)
+		err = apierror.New(apierror.Undecided, "owner %s did not answer: %v; local attempt failed: %v", owner, cause, err)
 	}
 	return response, err
 }
@@ -172,7 +175,7 @@
 	return errors.As(err, &dial) && dial.Op == "dial"
 }
 
-// logOutcome logs how a change of a register ended.
+// logOutcome logs whether a register change was accepted or rejected.
 func (c *Core) logOutcome(change, key string, revision register.Revision, err error) {
 	if err != nil {
 		c.host.Log.Warn().Str("key", key).Err(err).Msg(change + " rejected")
@@ -181,17 +184,17 @@
 	c.host.Log.Info().Str("key", key).Uint64("epoch", revision.Epoch).Uint64("version", revision.Version).Msg(change + " accepted")
 }
 
-// CommitRequest asks a register's owner to make sure that what the register has is on a majority.
+// CommitRequest asks a register's owner to ensure that the register's content is committed on a majority.
 type CommitRequest struct {
 	Key string `json:"key"`
-	// Rewrite has the present members accept the content again even if it is committed.
+	// Rewrite makes the current members accept the content again even if it is already committed.
 	Rewrite bool `json:"carry,omitempty"`
-	// Accepted is the revision that the asker has accepted. If it is above what is committed, it came to no majority; the asker takes over
-	// what did only under a later epoch.
+	// Accepted is the revision that the sender has accepted. If it is above the committed revision, it did not reach a majority, and
+	// the sender takes over the committed content only if it is written again under a later epoch.
 	Accepted register.Revision `json:"has"`
 }
 
-// CommitResponse has the committed revision.
+// CommitResponse returns the committed revision.
 type CommitResponse struct {
 	Revision register.Revision `json:"stamp"`
 }
@@ -204,15 +207,15 @@
 	return CommitResponse{Revision: revision}, err
 }
 
-// awaitRevision waits up to protocol.QuorumTimeout until this core's disk has a register's content of that revision, or a later one that
-// is committed. The error is apierror.Behind if it does not get it.
+// awaitRevision waits up to protocol.QuorumTimeout until this core's disk has the given revision of a register, or a later committed
+// one. The error is apierror.Behind if neither arrives in time.
 func (c *Core) awaitRevision(ctx context.Context, key string, revision register.Revision) (register.Record, error) {
 	const pollInterval = 30 * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, protocol.QuorumTimeout)
 	defer cancel()
 	for {
 		record := c.acceptor.Read(key)
-		later := revision.Less(record.Revision) && record.IsCommitted() // one that is not committed may be lost yet
+		later := revision.Less(record.Revision) && record.IsCommitted() // an uncommitted later revision may still be lost
 		if record.Revision == revision || later {
 			return record, nil
 		}
