--- a/controlplane/bootstrap.go
+++ b/controlplane/bootstrap.go
@@ -19,8 +19,9 @@
 
 const coreRole = "core"
 
-// The revision of the first list, under which all bootstrap peers write the same content: the first one if all their disks date from the
-// first start, else the second, since one that has lost its disk may have written another list under the first and told agents of it.
+// The revision of the first list, under which all bootstrap peers write the same content. It is the first revision if all their disks
+// date from the fleet's first start, else the second, since a peer that has lost its disk may have written another list under the first
+// revision and published it to agents.
 var (
 	bootstrapRevision       = register.Revision{Epoch: 1, Version: 1}
 	secondBootstrapRevision = register.Revision{Epoch: 2, Version: 1}
@@ -29,51 +30,52 @@
 func (c *Core) helloMessage() protocol.Hello {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := c.membership()
+	current := c.membership()
 	return protocol.Hello{
 		Name: c.host.Name, Role: coreRole, Address: c.host.Address, Zone: c.host.Zone, Incarnation: c.incarnation,
 		BootstrapContacts: maps.Clone(c.bootstrapContacts), MayBootstrap: c.mayBootstrap,
-		Members: now.members, MembersRecord: now.record, CaughtUp: c.caughtUp.Load(),
+		Members: current.members, MembersRecord: current.record, CaughtUp: c.caughtUp.Load(),
 	}
 }
 
-// handleHello answers with who this core is. A core that is no member is noted as a joiner.
+// handleHello responds with this core's own hello. A sender that is a core but not a member is recorded as a joiner.
 func (c *Core) handleHello(_ context.Context, h protocol.Hello) (protocol.Hello, error) {
-	if now := c.membership(); h.Role == coreRole && now.self != nil && !now.hasIncarnation(h.Incarnation) {
+	if current := c.membership(); h.Role == coreRole && current.self != nil && !current.hasIncarnation(h.Incarnation) {
 		joiner := membership.Joiner{Name: h.Name, Address: h.Address, Zone: h.Zone, Incarnation: h.Incarnation, CaughtUp: h.CaughtUp, HeardAt: time.Now()}
 		c.mu.Lock()
-		before := c.joiners[h.Name]
+		previous := c.joiners[h.Name]
 		c.joiners[h.Name] = joiner
 		c.mu.Unlock()
-		if before.Incarnation != joiner.Incarnation || before.CaughtUp != joiner.CaughtUp {
+		if previous.Incarnation != joiner.Incarnation || previous.CaughtUp != joiner.CaughtUp {
 			c.wake()
 		}
 	}
 	return c.helloMessage(), nil
 }
 
-// runBootstrap finds the members, or makes the first list with the other bootstrap peers. As long as this core knows members and is none,
-// it asks them to admit it.
+// runBootstrap finds the members, or creates the first list together with the other bootstrap peers. While this core knows the members
+// and is not one of them, it asks to be admitted.
 func (c *Core) runBootstrap(ctx context.Context) {
 	logged := false
 	rpc.Every(ctx, protocol.HelloInterval, func() {
-		now := c.membership()
+		current := c.membership()
 		switch {
-		case len(now.members) == 0:
+		case len(current.members) == 0:
 			c.bootstrap(ctx)
-		case now.self == nil && !c.leaving.Load():
+		case current.self == nil && !c.leaving.Load():
 			if !logged {
 				c.host.Log.Warn().Str("incarnation", c.incarnation).Str("hint", "asterridgectl admit core "+c.host.Name).Msg("this core is not a member")
 			}
 			logged = true
-			c.announce(ctx, now)
+			c.announce(ctx, current)
 		}
 	})
 }
 
-// bootstrap introduces this core to the bootstrap peers. Once all of them tell of the same (address, incarnation) pairs and none knows a
-// list, each whose disk dates from the first start writes the same first list (docs/design.md §2.6). A majority of them have to be such:
-// one that has lost its disk since is told the list by the others, and nothing was accepted under a list that neither of them knows.
+// bootstrap sends hellos to the bootstrap peers. Once all of them report the same (address, incarnation) pairs and none knows a list,
+// each peer whose disk dates from the first start writes the same first list (docs/design.md §2.6). A majority of the peers must have
+// such disks: a peer that has lost its disk learns the list from the others, and no majority can have accepted anything under a list
+// that none of them knows.
 func (c *Core) bootstrap(ctx context.Context) {
 	peers := c.host.BootstrapPeers
 	if peers == nil {
@@ -100,20 +102,20 @@
 	if !c.mayBootstrap || !slices.Contains(peers, c.host.Address) || len(contacts) != len(peers) {
 		return
 	}
-	founders := 1
+	eligible := 1
 	for _, h := range hellos[1:] {
 		if !maps.Equal(h.BootstrapContacts, contacts) {
 			return
 		}
 		if h.MayBootstrap {
-			founders++
+			eligible++
 		}
 	}
-	if founders < membership.Majority(len(peers)) {
+	if eligible < membership.Majority(len(peers)) {
 		return
 	}
 	revision := bootstrapRevision
-	if founders < len(peers) {
+	if eligible < len(peers) {
 		revision = secondBootstrapRevision
 	}
 	members := firstMembers(hellos)
@@ -121,7 +123,7 @@
 	c.adoptBootstrapMembers(members, revision)
 }
 
-// firstMembers numbers the bootstrap peers by their addresses, so that all of them make the same list.
+// firstMembers assigns member IDs in order of address, so that all bootstrap peers produce the same list.
 func firstMembers(hellos []protocol.Hello) (members []config.Member) {
 	sort.Slice(hellos, func(i, j int) bool { return hellos[i].Address < hellos[j].Address })
 	for i, h := range hellos {
@@ -130,7 +132,7 @@
 	return members
 }
 
-// adoptBootstrapMembers stores the first list under a revision if this core is on it; else it only notes where the members are.
+// adoptBootstrapMembers stores the first list under a revision if this core is on it; otherwise it only follows the members.
 func (c *Core) adoptBootstrapMembers(members []config.Member, revision register.Revision) {
 	if !membership.HasIncarnation(members, c.incarnation) {
 		c.observeMembers(members)
@@ -147,7 +149,7 @@
 	c.applyMembers()
 }
 
-// contactSeeds says hello to the bootstrap peers, the seeds and every node that gossip has told of, at once.
+// contactSeeds sends hellos concurrently to the bootstrap peers, the seeds and every node known through gossip.
 func (c *Core) contactSeeds(ctx context.Context, peers []string) <-chan protocol.Hello {
 	addresses := slices.Concat(peers, c.host.Seeds)
 	for _, node := range c.detector.Nodes()[1:] {
@@ -157,10 +159,11 @@
 	return c.broadcastHello(ctx, slices.Compact(addresses), protocol.Hello{})
 }
 
-// announce introduces this core to the members, as a joiner if it is none of them, and takes over the list that they tell.
-func (c *Core) announce(ctx context.Context, now activeMembership) {
+// announce sends this core's hello to the members, which record it as a joiner if it is not a member, and adopts the list in their
+// responses.
+func (c *Core) announce(ctx context.Context, current activeMembership) {
 	var addresses []string
-	for _, m := range now.members {
+	for _, m := range current.members {
 		addresses = append(addresses, m.Address)
 	}
 	for h := range c.broadcastHello(ctx, addresses, c.helloMessage()) {
@@ -171,7 +174,7 @@
 	}
 }
 
-// broadcastHello says hello to all addresses but this core's own, at once. The channel closes after the last answer.
+// broadcastHello sends a hello concurrently to all addresses except this core's own. The channel is closed after the last response.
 func (c *Core) broadcastHello(ctx context.Context, addresses []string, hello protocol.Hello) <-chan protocol.Hello {
 	answers := make(chan protocol.Hello, len(addresses))
 	var pending sync.WaitGroup
--- a/controlplane/change_once.go
+++ b/controlplane/change_once.go
@@ -8,19 +8,19 @@
 	"asterridge/register"
 )
 
-// changeOnce applies an operator's order to a register. One that has a key and was applied before is answered as it was then, without a change;
-// sent is what the caller sent under its key. The op sees the register without what is remembered of orders. The errors besides those
-// of the op and of register.Owner are apierror.KeyReused and apierror.Forgotten.
-func (c *Core) changeOnce(ctx context.Context, registerKey, what string, key idempotency.Key, sent any, op register.Op) (Accepted, error) {
-	order, err := idempotency.Identify(key, sent)
+// changeOnce applies an operator's request to a register. A request that has an idempotency key and was applied before gets the same
+// response again, without a change; request is the request as the caller sent it under its key. op sees the register without the history
+// of applied requests. Besides the errors of op and of register.Owner, it returns apierror.KeyReused and apierror.Forgotten.
+func (c *Core) changeOnce(ctx context.Context, registerKey, changeName string, key idempotency.Key, request any, op register.Op) (Accepted, error) {
+	order, err := idempotency.Identify(key, request)
 	if err != nil {
 		return Accepted{}, err
 	}
-	var applied uint64 // set by the owner before it answers, and read only if it did
-	revision, err := c.owner.Change(ctx, registerKey, func(present register.Fields, version uint64) (register.Fields, error) {
-		memory, content, err := idempotency.Split(present)
+	var applied uint64 // set by the owner before Change returns, and read only after it succeeded
+	revision, err := c.owner.Change(ctx, registerKey, func(current register.Fields, version uint64) (register.Fields, error) {
+		history, content, err := idempotency.Split(current)
 		if err == nil {
-			applied, err = memory.AppliedVersion(order)
+			applied, err = history.AppliedVersion(order)
 		}
 		if err != nil || applied > 0 {
 			return nil, err
@@ -29,19 +29,19 @@
 		if err != nil || !order.HasKey() {
 			return change, err
 		}
-		return withMemory(change, memory.Remember(order, version+1)), nil
+		return withHistory(change, history.Remember(order, version+1)), nil
 	})
-	c.logOutcome(what, registerKey, revision, err)
+	c.logOutcome(changeName, registerKey, revision, err)
 	if err == nil && applied > 0 {
 		return Accepted{Version: applied}, nil
 	}
 	return Accepted{Version: revision.Version}, err
 }
 
-// withMemory gives a change together with what is to be remembered of it.
-func withMemory(change, remembered register.Fields) register.Fields {
-	merged := make(register.Fields, len(change)+len(remembered))
+// withHistory merges a change with the fields that record it in the register's history.
+func withHistory(change, record register.Fields) register.Fields {
+	merged := make(register.Fields, len(change)+len(record))
 	maps.Copy(merged, change)
-	maps.Copy(merged, remembered)
+	maps.Copy(merged, record)
 	return merged
 }
--- a/controlplane/config.go
+++ b/controlplane/config.go
@@ -10,61 +10,61 @@
 	"asterridge/register"
 )
 
-// Conditions on what a ConfigChange names.
+// Values of ConfigChange.NameCondition.
 const (
 	mustBeNew   = "new"
 	mustBeKnown = "known"
 )
 
-// ConfigChange is a whole or partial configuration from an operator.
+// ConfigChange is a complete or partial configuration sent by an operator.
 type ConfigChange struct {
 	idempotency.Key
 	Text    json.RawMessage `json:"text"`
 	Partial bool            `json:"partial"`
-	// ExpectedVersion is the version that the operator saw; nil: any.
+	// ExpectedVersion is the version that the operator's change is based on; nil: any.
 	ExpectedVersion *uint64 `json:"expect,omitempty"`
-	// NameCondition is "new" if what is named must not exist yet, "known" if it must; empty: either.
+	// NameCondition is "new" if the named item must not exist yet, "known" if it must exist; empty: either.
 	NameCondition string `json:"named,omitempty"`
 }
 
-// applyConfig merges or replaces the configuration. What stands already is no change, so the same order may come again.
-func (c *Core) applyConfig(ctx context.Context, order ConfigChange) (Accepted, error) {
-	key := order.Key
-	order.Key = idempotency.Key{}
-	return c.changeOnce(ctx, config.Key, "configuration", key, order, func(present register.Fields, version uint64) (register.Fields, error) {
-		fields, err := order.merge(present, version)
+// applyConfig merges or replaces the configuration. A request that changes nothing succeeds, so it may be retried.
+func (c *Core) applyConfig(ctx context.Context, request ConfigChange) (Accepted, error) {
+	key := request.Key
+	request.Key = idempotency.Key{}
+	return c.changeOnce(ctx, config.Key, "configuration", key, request, func(current register.Fields, version uint64) (register.Fields, error) {
+		fields, err := request.merge(current, version)
 		if err != nil {
 			return nil, err
 		}
-		change := config.Delta(present, fields)
-		switch created := len(fields) > len(present); {
-		case order.NameCondition == mustBeNew && !created && len(present) > 0:
-			return nil, apierror.New(apierror.Exists, "a thing of this name is there already")
+		change := config.Delta(current, fields)
+		switch created := len(fields) > len(current); {
+		case request.NameCondition == mustBeNew && !created && len(current) > 0:
+			return nil, apierror.New(apierror.Exists, "an item with this name already exists")
 		case len(change) == 0:
-			return nil, nil // it stands: the order came again, or another one asked for the same
-		case order.ExpectedVersion != nil && *order.ExpectedVersion != version:
-			return nil, apierror.New(apierror.Conflict, "expected version %d, present is %d", *order.ExpectedVersion, version)
-		case order.NameCondition == mustBeKnown && created:
-			return nil, apierror.New(apierror.NotFound, "nothing has this name")
+			return nil, nil // already applied: this is a retry, or another request made the same change
+		case request.ExpectedVersion != nil && *request.ExpectedVersion != version:
+			return nil, apierror.New(apierror.Conflict, "expected version %d, current version is %d", *request.ExpectedVersion, version)
+		case request.NameCondition == mustBeKnown && created:
+			return nil, apierror.New(apierror.NotFound, "no item has this name")
 		}
 		return change, nil
 	})
 }
 
-// merge gives the fields of the configuration that the order makes of the present one.
-func (order ConfigChange) merge(present register.Fields, version uint64) (register.Fields, error) {
-	number, err := config.Number(present)
+// merge returns the fields of the configuration that results from applying the request to the current one.
+func (request ConfigChange) merge(current register.Fields, version uint64) (register.Fields, error) {
+	number, err := config.Number(current)
 	if err != nil {
 		return nil, err
 	}
 	if number > 0 {
-		return nil, apierror.New(apierror.Conflict, "this fleet is declared by numbered configurations, present is %d", number)
+		return nil, apierror.New(apierror.Conflict, "this fleet uses numbered configurations; the current one is %d", number)
 	}
-	base, err := config.FromFields(present)
+	base, err := config.FromFields(current)
 	if err != nil {
 		return nil, err
 	}
-	next, err := config.Parse(order.Text, base, order.Partial)
+	next, err := config.Parse(request.Text, base, request.Partial)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,8 @@
 	return next.Fields(), nil
 }
 
-// applyNumberedConfig takes a numbered configuration (docs/design.md §2.9). The same one again is answered as it was the first time.
+// applyNumberedConfig applies a numbered configuration (docs/design.md §2.9). A repeated request gets the same response as the first
+// one.
 func (c *Core) applyNumberedConfig(ctx context.Context, d config.NumberedConfig) (Accepted, error) {
 	revision, err := c.owner.Change(ctx, config.Key, func(present register.Fields, version uint64) (register.Fields, error) {
 		change, err := config.ApplyNumbered(present, version, d)
@@ -88,18 +89,19 @@
 	return Accepted{Version: revision.Version}, err
 }
 
-// SubmitConfig takes a numbered configuration to the configuration's owner; nil means that a majority has it. The error is
-// apierror.Conflict if another configuration was accepted in its place, apierror.Undecided if it may or may not have been accepted.
+// SubmitConfig sends a numbered configuration to the owner of the configuration register; nil means that a majority has accepted it.
+// The error is apierror.Conflict if another configuration was accepted instead, and apierror.Undecided if it is unknown whether this
+// one was accepted.
 func (c *Core) SubmitConfig(ctx context.Context, d config.NumberedConfig) error {
 	_, err := c.operations.numberedConfig.submit(ctx, d)
 	return err
 }
 
-// ReadConfig gives the newest accepted configuration: no older one than any that was accepted before the call. It fails if no majority
+// ReadConfig returns the newest accepted configuration, at least as new as any accepted before the call. It fails if no majority
 // confirms that it is the newest.
 func (c *Core) ReadConfig(ctx context.Context) (number uint64, texts []config.Text, err error) {
 	record, err := c.newestConfig(ctx)
-	if err != nil { // a register that nobody owns yet is acquired, which writes to a majority of disks
+	if err != nil { // the read above may acquire ownership of the register, which needs writes to a majority of disks
 		record, err = c.quorumRead(ctx, config.Key)
 	}
 	if err != nil {
@@ -109,7 +111,7 @@
 	return number, config.Texts(record.Fields), err
 }
 
-// newestConfig gives the configuration's register, no older than at the time of the call.
+// newestConfig returns the configuration register, at least as new as at the time of the call.
 func (c *Core) newestConfig(ctx context.Context) (register.Record, error) {
 	newest, err := c.operations.commit.submit(ctx, CommitRequest{Key: config.Key})
 	if err != nil {
--- a/controlplane/leave.go
+++ b/controlplane/leave.go
@@ -13,12 +13,12 @@
 
 const (
 	leavePollInterval = 50 * time.Millisecond
-	// MaxLeaveTimeout is the most of its grace that a core spends on leaving the members.
+	// MaxLeaveTimeout is the maximum part of its shutdown grace period that a core spends on leaving the members.
 	MaxLeaveTimeout = 3 * time.Second
 )
 
-// ServeUntilStopped runs the core until stopped ends. It then leaves the list of members, if the rest does as well without it, and goes on
-// serving until every key is transferred.
+// ServeUntilStopped runs the core until stopped is canceled. It then leaves the members, if the remaining ones tolerate failures as
+// well without it, and keeps serving until every register is transferred.
 func (c *Core) ServeUntilStopped(stopped context.Context, listener net.Listener) error {
 	serving, end := context.WithCancel(context.WithoutCancel(stopped))
 	defer end()
@@ -34,23 +34,22 @@
 	return c.Serve(serving, listener)
 }
 
-// Leave releases the singleton roles, takes this core off the list of members and waits until every key is on a majority of those that are
-// left. It fails with
-// apierror.OutOfRange if the rest bears losses less well without this core than with a member that is unresponsive for a while, and with
-// apierror.Undecided if the context ends first; the core may be a member still.
+// Leave releases the singleton roles, removes this core from the members and waits until every register is on a majority of the
+// remaining ones. It fails with apierror.OutOfRange if the remaining members would tolerate failures less well than with this core as a
+// temporarily unresponsive member, and with apierror.Undecided if the context ends first; the core may then still be a member.
 func (c *Core) Leave(ctx context.Context) error {
 	c.releaseRoles(ctx)
 	if !c.options.AutoMembership {
-		return apierror.New(apierror.OutOfRange, "operators change the members here")
+		return apierror.New(apierror.OutOfRange, "automatic membership is disabled: only an operator may change the members")
 	}
-	c.leaving.Store(true) // it does not ask to be admitted again
+	c.leaving.Store(true)
 	for {
 		left, err := c.tryLeave(ctx)
 		if left || err != nil && !mayRetryLeave(err) {
 			return err
 		}
 		if rpc.Sleep(ctx, leavePollInterval) != nil {
-			return apierror.New(apierror.Undecided, "no time is left to leave the members")
+			return apierror.New(apierror.Undecided, "timed out while leaving the members")
 		}
 	}
 }
@@ -60,17 +59,17 @@
 		apierror.Is(err, apierror.Unreachable) || apierror.Is(err, apierror.NotFound)
 }
 
-// tryLeave takes the next step of leaving, and reports whether that is done.
+// tryLeave takes the next step of leaving, and reports whether leaving is complete.
 func (c *Core) tryLeave(ctx context.Context) (left bool, err error) {
 	record := c.acceptor.Read(config.MembersKey)
 	list := membership.Decode(record.Fields)
 	switch {
 	case !record.IsCommitted() || list.Previous != nil:
-		return false, nil // a change, our own perhaps, is under way
+		return false, nil // a change is in progress, possibly this core's own
 	case !membership.HasIncarnation(list.Members, c.incarnation):
 		return true, nil
 	case !c.membershipView().MayLeave(list.Members, c.host.Name):
-		return false, apierror.New(apierror.OutOfRange, "%d members would be left", len(list.Members)-1)
+		return false, apierror.New(apierror.OutOfRange, "only %d members would remain", len(list.Members)-1)
 	}
 	_, err = c.operations.membership.submit(ctx, membership.Change{Action: membership.Leave, Name: c.host.Name, MemberID: c.memberID.Load()})
 	return false, err
--- a/controlplane/publish.go
+++ b/controlplane/publish.go
@@ -10,7 +10,7 @@
 	"asterridge/throttle"
 )
 
-// publishAccepted passes what the disk has accepted on to peers and agents. It is called under the key's lock.
+// publishAccepted publishes what the disk has accepted to peers and agents. It is called with the key's lock held.
 func (c *Core) publishAccepted(key string, record register.Record, change register.Fields, full bool) {
 	c.peerUpdates.Publish(key, record.Revision, record.Committed, change, full)
 	if protocol.IsPublished(key) {
@@ -30,18 +30,18 @@
 	}
 }
 
-// withoutTexts leaves out the texts that operators wrote, which only operators read again.
+// withoutTexts removes the configuration texts as written by operators, which only operators read.
 func withoutTexts(change register.Fields) register.Fields {
-	rest := register.Fields{}
+	remaining := register.Fields{}
 	for field, raw := range change {
 		if !config.IsText(field) {
-			rest[field] = raw
+			remaining[field] = raw
 		}
 	}
-	return rest
+	return remaining
 }
 
-// publishThrottle passes a throttle on to peers and agents.
+// publishThrottle publishes a throttle to peers and agents.
 func (c *Core) publishThrottle(e throttle.Entry) {
 	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
 	fields := register.Fields{e.Scope: raw}
@@ -49,7 +49,7 @@
 	c.agentUpdates.PublishHint(router.ThrottleKey, fields, false)
 }
 
-// publishProxies tells agents which proxies share the replicas (docs/design.md §5.3).
+// publishProxies publishes to agents which proxies are running and share the replicas (docs/design.md §5.3).
 func (c *Core) publishProxies() {
 	running := register.Fields{}
 	for _, state := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
--- a/controlplane/throttles.go
+++ b/controlplane/throttles.go
@@ -11,18 +11,19 @@
 	"asterridge/throttle"
 )
 
-// throttleField is the field of a throttle's register that holds it, and the field of the configuration that holds the waiting rule.
+// throttleField is the field of a throttle's register that holds the throttle, and the field of the configuration that holds the
+// throttle rule.
 const throttleField = "hold"
 
 func throttleRegister(n throttle.Notice) string { return protocol.ThrottlePrefix + n.Scope }
 
-// handleThrottle merges a throttle that another core stores, and so tells the agents of it.
+// handleThrottle merges a throttle stored by another core, which also publishes it to agents.
 func (c *Core) handleThrottle(_ context.Context, n throttle.Notice) (struct{}, error) {
 	_, err := c.mergeThrottle(n)
 	return struct{}{}, err
 }
 
-// mergeThrottle reports whether the throttle extends what the table has.
+// mergeThrottle adds a throttle to the table, and reports whether it extends what the table had.
 func (c *Core) mergeThrottle(n throttle.Notice) (extended bool, err error) {
 	if n.Scope == "" || n.ID == "" {
 		return false, apierror.New(apierror.Missing, "a hold needs a scope and a mark")
@@ -30,8 +31,8 @@
 	return c.throttles.Merge(n, throttle.Longest), nil
 }
 
-// applyThrottle merges a proxy's throttle, tells all agents by doing so, and stores it on a majority (docs/design.md §4.2). The caller does
-// not wait for the disks: a throttle that is lost with this core is found again by the next refusal.
+// applyThrottle merges a throttle reported by a proxy, which publishes it to all agents, and stores it on a majority (docs/design.md
+// §4.2). The caller does not wait for the disks: if this core loses a throttle, the next rejected request reports it again.
 func (c *Core) applyThrottle(ctx context.Context, n throttle.Notice) (struct{}, error) {
 	if extended, err := c.mergeThrottle(n); err != nil || !extended || n.Observed {
 		return struct{}{}, err
@@ -53,7 +54,8 @@
 	}
 }
 
-// restoreThrottle counts what a stored throttle had left from the start of this process: later than the original, never earlier.
+// restoreThrottle restarts the remaining time of a stored throttle at the start of this process, so that it ends later than the
+// original, never earlier.
 func (c *Core) restoreThrottle(scope string) {
 	var n throttle.Notice
 	raw := c.acceptor.Read(protocol.ThrottlePrefix + scope).Fields[throttleField]
--- a/controlplane/tick.go
+++ b/controlplane/tick.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// tickInterval is the time between two ticks, minTickInterval the least time between a tick and one that is asked for.
+	// tickInterval is the time between two ticks; minTickInterval is the minimum time before a requested tick.
 	tickInterval    = 300 * time.Millisecond
 	minTickInterval = 20 * time.Millisecond
 )
 
-// runTicks ticks at each interval, and at once when something has changed that the next tick would act upon.
+// runTicks runs a tick at each interval, and as soon as possible when a change has requested one.
 func (c *Core) runTicks(ctx context.Context) {
 	go rpc.Every(ctx, tickInterval, c.wake)
 	for {
@@ -33,19 +33,19 @@
 	}
 }
 
-// wake asks for a tick soon.
+// wake requests a tick as soon as possible.
 func (c *Core) wake() {
 	select {
 	case c.wakeups <- struct{}{}:
-	default: // one is asked for already
+	default: // one is already requested
 	}
 }
 
-// tick brings this core up to the members' state and does what it owes the others: it watches all members, catches up with them, and, as a
-// member, has overdue changes committed, transfers keys, reconciles the members and tells agents of the proxies.
+// tick watches all members and catches up with what they have committed. On a member, it also has overdue changes committed, transfers
+// registers, reconciles the membership and publishes the running proxies to agents.
 func (c *Core) tick(ctx context.Context) {
-	now := c.membership()
-	peers := c.watchPeers(ctx, now)
+	current := c.membership()
+	peers := c.watchPeers(ctx, current)
 	failures, fresh := 0, 0
 	for _, peer := range peers {
 		failures += c.catchUp(peer)
@@ -56,14 +56,14 @@
 	if c.damaged.Load() {
 		c.damaged.Store(c.acceptor.IsDamaged())
 	}
-	caughtUp := failures == 0 && fresh > len(now.members)/2 // the peers do not contain this core, even if it is a member
+	caughtUp := failures == 0 && fresh > len(current.members)/2 // peers excludes this core, so a member counts itself in addition
 	changed := c.caughtUp.Swap(caughtUp) != caughtUp
-	c.observeLiveness(now.members)
-	if now.self == nil {
+	c.observeLiveness(current.members)
+	if current.self == nil {
 		if caughtUp && changed && !c.leaving.Load() {
-			go c.announce(ctx, now)
+			go c.announce(ctx, current)
 		}
-		return // a joiner follows, and has no other part
+		return // a joiner only catches up
 	}
 	c.commitOverdue(ctx)
 	c.transferKeys(ctx)
@@ -75,17 +75,17 @@
 	c.throttles.Prune()
 }
 
-// watchPeers keeps one watch for each other member, and gives all of them.
-func (c *Core) watchPeers(ctx context.Context, now activeMembership) []*watch.Client {
+// watchPeers maintains one watch for each other member, and returns all of them.
+func (c *Core) watchPeers(ctx context.Context, current activeMembership) []*watch.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, peer := range c.peers {
-		if !now.has(name, peer.Options.Address) {
+		if !current.has(name, peer.Options.Address) {
 			peer.Stop()
 			delete(c.peers, name)
 		}
 	}
-	for _, m := range now.members {
+	for _, m := range current.members {
 		if m.Incarnation != c.incarnation && c.peers[m.Name] == nil {
 			peer := c.newPeerWatch(m.Address)
 			c.peers[m.Name] = peer
@@ -110,7 +110,7 @@
 			protocol.MergeThrottles(c.throttles, response)
 			c.applySharedBlocks(response)
 			if response.Snapshot {
-				c.wake() // there is much to catch up on
+				c.wake() // a snapshot may contain many changes to catch up on
 			}
 		},
 	})
@@ -123,7 +123,8 @@
 	return protocol.DefaultWatchWait
 }
 
-// commitOverdue asks the owners to commit registers whose change has been uncommitted here for longer than a tick (docs/design.md §2.3).
+// commitOverdue asks the owners to commit registers whose change has been uncommitted on this core for longer than a tick
+// (docs/design.md §2.3).
 func (c *Core) commitOverdue(ctx context.Context) {
 	for _, key := range c.acceptor.Keys() {
 		if c.isOverdue(key) {
@@ -149,7 +150,7 @@
 	return time.Since(since) >= tickInterval
 }
 
-// requestCommit asks an owner to commit a register. A failure is not reported: the next tick asks again.
+// requestCommit asks an owner to commit a register. The error is dropped: the next tick asks again.
 func (c *Core) requestCommit(ctx context.Context, owner, key string) {
 	ctx, cancel := context.WithTimeout(ctx, protocol.QuorumTimeout)
 	defer cancel()
--- a/controlplane/transfer.go
+++ b/controlplane/transfer.go
@@ -14,15 +14,15 @@
 	"asterridge/rpc"
 )
 
-// transferProgress notes which keys are known to be on a majority of the list of that version. What is written later is written under that
-// list, so a key that was transferred stays so.
+// transferProgress records which keys are known to be on a majority of the list of that version. Later writes are made under that list,
+// so a transferred key stays transferred.
 type transferProgress struct {
 	version uint64
 	keys    map[string]bool
 }
 
-// transferKeys has every key accepted by a majority of the new list, and then says so in the list; only then may the list change again
-// (docs/design.md §2.8). It returns at once; a later tick goes on with keys that failed.
+// transferKeys has every register accepted by a majority of the new list and then records in the list that the transfer has ended; only
+// then may the list change again (docs/design.md §2.8). It returns immediately; keys that fail are retried at a later tick.
 func (c *Core) transferKeys(ctx context.Context) {
 	record := c.acceptor.Read(config.MembersKey)
 	due := record.Fields[membership.PreviousField] != nil && record.IsCommitted()
@@ -40,21 +40,21 @@
 	}()
 }
 
-// endTransfer removes the previous list from the list of that version.
+// endTransfer removes the previous members from the list of that version, which marks the transfer as complete.
 func (c *Core) endTransfer(ctx context.Context, version uint64) {
-	revision, err := c.owner.Change(ctx, config.MembersKey, func(fields register.Fields, present uint64) (register.Fields, error) {
-		if fields[membership.PreviousField] == nil || present != version {
-			return nil, apierror.New(apierror.Conflict, "the list has changed meanwhile")
+	revision, err := c.owner.Change(ctx, config.MembersKey, func(fields register.Fields, currentVersion uint64) (register.Fields, error) {
+		if fields[membership.PreviousField] == nil || currentVersion != version {
+			return nil, apierror.New(apierror.Conflict, "the membership changed during the transfer")
 		}
 		return register.Fields{membership.PreviousField: nil}, nil
 	})
 	c.logOutcome("end of the transfer of keys", config.MembersKey, revision, err)
 	if err == nil {
-		c.wake() // for the next change of members; after a failure the next tick is soon enough
+		c.wake() // to start the next membership change; a failure is retried at the next regular tick
 	}
 }
 
-// transferPending transfers the keys that are left, and reports whether none is left then; c.transferMu is held.
+// transferPending transfers the keys that are still pending, and reports whether all succeeded; c.transferMu must be held.
 func (c *Core) transferPending(ctx context.Context) bool {
 	var pending []string
 	for key := range c.knownKeys() {
@@ -81,7 +81,7 @@
 	return failed == 0
 }
 
-// knownKeys are the registers of this core and of the peers that it follows.
+// knownKeys returns the keys of the registers of this core and of the peers that it watches.
 func (c *Core) knownKeys() map[string]bool {
 	keys := map[string]bool{}
 	for _, key := range c.acceptor.Keys() {
@@ -99,7 +99,8 @@
 	return keys
 }
 
-// isRegister reports whether a watched key is a register. Throttles and cache updates are watched without a revision and stand on no disk.
+// isRegister reports whether a watched key is a register. Throttles and cache updates are watched too, but have no revision and are not
+// stored.
 func isRegister(key string) bool {
 	return key != router.ThrottleKey && !strings.HasPrefix(key, router.CachedPrefix)
 }
