--- a/controlplane/claims.go
+++ b/controlplane/claims.go
@@ -14,13 +14,13 @@
 // applyClaim applies a request about a client's idempotency key to its register.
 func (c *Core) applyClaim(ctx context.Context, request claim.Request) (struct{}, error) {
 	_, err := c.owner.Change(ctx, request.Register(), func(fields register.Fields, _ uint64) (register.Fields, error) {
-		return claim.Apply(request, fields, c.proxyRuns)
+		return claim.Apply(request, fields, c.isProxyRunning)
 	})
 	return struct{}{}, err
 }
 
-// proxyRuns reports whether a run of a proxy was heard of within protocol.ProxyTimeout.
-func (c *Core) proxyRuns(run string) bool {
+// isProxyRunning reports whether a run of a proxy was reported by its agent within protocol.ProxyTimeout.
+func (c *Core) isProxyRunning(run string) bool {
 	for _, state := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
 		if status, ok := agentStatus(state); ok && status.Proxy != nil && status.Proxy.RunName() == run {
 			return true
@@ -29,8 +29,8 @@
 	return false
 }
 
-// pruneClaims drops the claims that this process has known for longer than they are kept, of the registers that are assigned to it. A new
-// process counts from zero, so a claim may be kept for longer than options.ClaimRetention, never for less.
+// pruneClaims removes claims that this process has known for longer than the retention period, in the registers assigned to it. A new
+// process starts counting from zero, so a claim may be retained for longer than options.ClaimRetention, but never for less.
 func (c *Core) pruneClaims(ctx context.Context) {
 	seen := map[string]time.Time{}
 	for _, key := range c.acceptor.Keys() {
@@ -41,7 +41,7 @@
 		for field, raw := range c.acceptor.Read(key).Fields {
 			var record claim.Record
 			if json.Unmarshal(raw, &record) != nil {
-				record = claim.Record{State: claim.Unknown} // one that cannot be read expires by its age like the others
+				record = claim.Record{State: claim.Unknown} // an unreadable claim expires by age like the others
 			}
 			id := field + "/" + record.Nonce
 			since, ok := c.claimFirstSeen[id]
@@ -64,11 +64,11 @@
 	c.claimFirstSeen = seen
 }
 
-// removeUnchanged gives the change that removes those of the seen fields that still have the same content.
-func removeUnchanged(seen, present register.Fields) register.Fields {
+// removeUnchanged returns the change that removes those of the seen fields whose content has not changed since.
+func removeUnchanged(seen, current register.Fields) register.Fields {
 	removed := register.Fields{}
 	for field, raw := range seen {
-		if string(present[field]) == string(raw) {
+		if string(current[field]) == string(raw) {
 			removed[field] = nil
 		}
 	}
--- a/controlplane/leases.go
+++ b/controlplane/leases.go
@@ -10,10 +10,10 @@
 	"asterridge/rpc"
 )
 
-// leasePrefix begins the keys of the registers that hold leases, one for each singleton role.
+// leasePrefix is the key prefix of the registers that hold leases, one for each singleton role.
 const leasePrefix = "term/"
 
-// The singleton roles that are held by a lease, as their registers name them.
+// The singleton roles held under a lease, as named in the keys of their registers.
 const (
 	weightsRole    = "rollout"
 	loadingRole    = "loading"
@@ -21,17 +21,17 @@
 )
 
 const (
-	// roleLease is the length of a lease of the roles for weights and retirements.
+	// roleLease is the duration of the leases for weights rollouts and retirements.
 	roleLease = 3 * time.Second
-	// campaignsPerLease is how often in a lease its holder renews it, or a candidate looks.
+	// campaignsPerLease is how often per lease duration the holder renews the lease and other candidates try to acquire it.
 	campaignsPerLease = 5
-	// leaseMargin is the part of a lease by which its holder gives it up before its end: an eighth.
-	leaseMargin = 8
-	// prunesPerRetention is how often claims are pruned in the time for which they are kept.
+	// leaseMarginDivisor determines the safety margin: a holder gives up its lease an eighth of its duration before it ends.
+	leaseMarginDivisor = 8
+	// prunesPerRetention is how often claims are pruned per retention period.
 	prunesPerRetention = 20
 )
 
-// LeaseRequest writes a role's grant in the place of the one that the candidate has seen.
+// LeaseRequest replaces a role's grant, provided that it is still the one the candidate expects.
 type LeaseRequest struct {
 	Role     string      `json:"duty"`
 	Grant    lease.Grant `json:"made"`
@@ -45,7 +45,7 @@
 	return Accepted{Version: revision.Version}, err
 }
 
-// leaseStore keeps the grants of singleton roles in registers.
+// leaseStore stores the grants of singleton roles in registers.
 type leaseStore struct{ core *Core }
 
 var _ lease.Store = leaseStore{}
@@ -63,13 +63,13 @@
 	return accepted.Version, err
 }
 
-// newCandidate makes this core a candidate for a role. Its name as a holder is unique to this run of the process.
+// newCandidate makes this core a candidate for a role. Its holder name is unique to this run of the process.
 func (c *Core) newCandidate(role string, length time.Duration) *lease.Candidate {
 	candidate := lease.New(lease.Options{
 		Role:   role,
 		Holder: c.host.Name + "." + c.incarnation + "." + c.peerUpdates.RunID(),
 		Length: length,
-		Margin: length / leaseMargin,
+		Margin: length / leaseMarginDivisor,
 		Store:  leaseStore{core: c},
 		Log:    c.host.Log,
 	})
@@ -79,7 +79,7 @@
 	return candidate
 }
 
-// releaseRoles gives up the singleton roles that this core holds, for good: it is about to end.
+// releaseRoles permanently releases the singleton roles held by this core, before it shuts down.
 func (c *Core) releaseRoles(ctx context.Context) {
 	c.mu.Lock()
 	candidates := slices.Clone(c.candidates)
@@ -91,11 +91,11 @@
 	releasing.Wait()
 }
 
-// runRoles performs the singleton roles that need no platform, as far as this core holds them, until the context ends.
+// runRoles performs the singleton roles that need no platform, whenever this core holds them, until the context ends.
 func (c *Core) runRoles(ctx context.Context) {
 	go rpc.Every(ctx, c.options.ClaimRetention/prunesPerRetention, func() { c.pruneClaims(ctx) })
 	if c.options.Backend != nil {
-		return // a platform's replicas take their orders from the model loader
+		return // with a platform, replicas get their orders from the model loader
 	}
 	go c.runRetirements(ctx)
 	c.runWeightsRollout(ctx)
--- a/controlplane/model_loader.go
+++ b/controlplane/model_loader.go
@@ -18,36 +18,39 @@
 
 const (
 	loadInterval = 200 * time.Millisecond
-	// loadLease is the length of a lease of the loading role.
+	// loadLease is the duration of a lease of the loading role.
 	loadLease = 2 * time.Second
-	// announceDelay is the time between a reservation and the order to load: the proxies learn of it, and the replica runs dry.
+	// announceDelay is the time between a reservation and the order to load. It lets the proxies learn of the reservation and the
+	// replica finish its requests.
 	announceDelay = 250 * time.Millisecond
-	// loadShare is the part of a pool that loads at a time: a fifth.
-	loadShare = 5
-	// reserveAhead: two thirds as many replicas again are reserved, since a reserved replica first runs dry and its report lags.
-	reserveAhead = 3
-	// reorderInterval is how long a replica that was ordered to load and does not show it is left before it is ordered again.
+	// loadDivisor limits how many replicas of a pool load at the same time: a fifth.
+	loadDivisor = 5
+	// reserveAheadDivisor: two thirds as many replicas again are reserved ahead, since a reserved replica first finishes its requests
+	// and its report lags.
+	reserveAheadDivisor = 3
+	// reorderInterval is how long to wait before repeating an order to load that a replica does not report yet.
 	reorderInterval = 2 * time.Second
-	// orderReportDelay is how long a replica's reports may not show an order yet.
+	// orderReportDelay is the maximum time before a replica's reports show an order.
 	orderReportDelay = reorderInterval / 4
-	// unreachableBackoff is how long a replica that does not answer is left alone.
+	// unreachableBackoff is the backoff after a replica did not answer.
 	unreachableBackoff = 5 * time.Second
 )
 
-// modelLoader is the singleton role that has replicas load the published versions of their models (docs/design.md §6.5). What it does stands
-// in the register of loads before it is done: proxies keep away from a replica that is reserved, and the next holder goes on from there.
+// modelLoader is the singleton role that has replicas load the published versions of their models (docs/design.md §6.5). Every step is
+// written to the register of loads before it is taken: proxies avoid reserved replicas, and the next holder of the role continues from
+// there.
 type modelLoader struct {
 	core      *Core
 	candidate *lease.Candidate
-	// lastCampaign is when the lease was last asked for.
+	// lastCampaign is when this core last tried to acquire or renew the lease.
 	lastCampaign time.Time
-	// ownReservations are the replicas that this process has reserved under its present lease.
+	// ownReservations are the replicas reserved by this process under its current lease.
 	ownReservations map[string]bool
-	// retryAfter is until when a replica is left alone.
+	// retryAfter is the time before which a replica is not reserved again.
 	retryAfter map[string]time.Time
 
 	mu sync.Mutex // guards what follows
-	// reservedAt is when a reservation was first seen by this holder, orderedAt when the replica was last ordered to load.
+	// reservedAt is when this holder first saw a reservation; orderedAt is when the replica was last ordered to load.
 	reservedAt map[string]time.Time
 	orderedAt  map[string]time.Time
 }
@@ -63,23 +66,23 @@
 	}
 }
 
-// pendingLoad is a replica with what it has to load.
+// pendingLoad is a replica and what it has to load.
 type pendingLoad struct {
 	replica config.Replica
-	// order is as it is reserved, or will be.
+	// order is the reservation, existing or to be written.
 	order config.LoadOrder
-	// newest is the published version of the order's model, has the version that the replica is known to have.
-	newest, has uint64
-	// reserved: the reservation stands already.
+	// published is the published version of the order's model; loaded is the version that the replica is known to have.
+	published, loaded uint64
+	// reserved is true if the reservation already exists.
 	reserved bool
-	// first: nobody has ever ordered the replica to load, so that no lease need be waited out for it.
+	// first is true if the replica was never ordered to load, so that no earlier holder's orders need to be waited out.
 	first bool
-	// maxReserved is how many replicas of its pool may be reserved at a time.
+	// maxReserved is how many replicas of the pool may be reserved at the same time.
 	maxReserved int
 }
 
-// comparePendingLoads puts reserved replicas first, so that all are counted before another one is reserved, and then the oldest versions,
-// which may be used for the shortest time.
+// comparePendingLoads sorts reserved replicas first, so that all of them are counted before another one is reserved, and then by oldest
+// loaded version, which may be used for the shortest time.
 func comparePendingLoads(a, b pendingLoad) int {
 	if a.reserved != b.reserved {
 		if a.reserved {
@@ -87,10 +90,10 @@
 		}
 		return 1
 	}
-	return cmp.Compare(a.has, b.has)
+	return cmp.Compare(a.loaded, b.loaded)
 }
 
-// step reserves replicas, orders reserved ones to load, and writes down which have loaded.
+// step reserves replicas, orders reserved replicas to load, and records which ones have loaded.
 func (l *modelLoader) step(ctx context.Context) {
 	l.candidate.Observe()
 	pending, removed := l.pending()
@@ -107,7 +110,7 @@
 	}
 	l.advanceAll(ctx, pending, fence, change)
 	if now, held := l.candidate.Held(); len(change) == 0 || !held || now < fence {
-		return // another holder may have written reservations meanwhile: frozen since, this one writes nothing
+		return // the lease was lost, for instance while suspended: another holder may have written reservations
 	}
 	change.Apply(config.Field(config.RoleHolderField, config.RoleHolder{Holder: l.candidate.Holder(), Lease: fence}))
 	ctx, cancel := context.WithTimeout(ctx, protocol.QuorumTimeout)
@@ -116,8 +119,8 @@
 	l.core.logOutcome("load reservations", config.LoadsKey, l.core.acceptor.Revision(config.LoadsKey), err)
 }
 
-// campaign renews the lease, or asks for it if the register of leases is assigned to this core, or if its holder has released it: it may be the
-// one that the register is assigned to, and about to end.
+// campaign renews the lease. A core that does not hold it tries to acquire it if the lease's register is assigned to this core, or if
+// the holder has released it: the holder may be the core that the register is assigned to, and be shutting down.
 func (l *modelLoader) campaign(ctx context.Context) (fence uint64, held bool) {
 	fence, held = l.candidate.Held()
 	due := time.Since(l.lastCampaign) > loadLease/campaignsPerLease
@@ -125,25 +128,25 @@
 	if !due || !held && !assigned && !l.candidate.Released() {
 		return fence, held
 	}
-	before := held
+	heldBefore := held
 	l.lastCampaign = time.Now()
 	l.candidate.Campaign(ctx)
-	if fence, held = l.candidate.Held(); !before {
-		clear(l.ownReservations) // those of an earlier lease of ours may have been another holder's since
+	if fence, held = l.candidate.Held(); !heldBefore {
+		clear(l.ownReservations) // another holder may have changed the reservations made under an earlier lease
 	}
 	return fence, held
 }
 
-// reserve gives the reservations to write for replicas that may be reserved now.
+// reserve returns the reservations to write for replicas that may be reserved now.
 func (l *modelLoader) reserve(pending []pendingLoad) register.Fields {
-	change, now, leaseFree := register.Fields{}, time.Now(), l.previousOrdersEnd()
+	change, now, previousEnd := register.Fields{}, time.Now(), l.previousOrdersEnd()
 	reserved := map[string]int{} // by pool
 	for _, load := range pending {
 		name, pool := load.replica.Name, load.replica.Pool
 		switch {
 		case load.reserved:
 			reserved[pool]++
-		case reserved[pool] < load.maxReserved && now.After(l.retryAfter[name]) && (load.first || now.After(leaseFree)):
+		case reserved[pool] < load.maxReserved && now.After(l.retryAfter[name]) && (load.first || now.After(previousEnd)):
 			reserved[pool]++
 			change.Apply(config.Field(name, load.order))
 			l.ownReservations[name] = true
@@ -152,12 +155,12 @@
 	return change
 }
 
-// previousOrdersEnd is from when on a replica that the holder before us may have ordered may be ordered by us.
+// previousOrdersEnd returns the time from which this holder may order replicas that the previous holder may have ordered.
 func (l *modelLoader) previousOrdersEnd() time.Time {
 	return l.candidate.PreviousLeaseEnd().Add(l.core.options.Lease)
 }
 
-// advanceAll looks after all reserved replicas at once, and adds to the change what ends a reservation.
+// advanceAll advances all reserved replicas concurrently, and adds the ends of their reservations to the change.
 func (l *modelLoader) advanceAll(ctx context.Context, pending []pendingLoad, fence uint64, change register.Fields) {
 	var mu sync.Mutex
 	var running sync.WaitGroup
@@ -181,17 +184,18 @@
 	running.Wait()
 }
 
-// advance asks a reserved replica how far it is, and orders it to load once its reservation has stood for announceDelay. loaded is the
-// version that the replica has once that is the reserved one or a later one, else zero. It serves with it then, also if a newer version was
-// published meanwhile, and is reserved again in its turn. retryAfter, if not zero, ends the reservation and says for how long the replica is
-// better left alone: one that does not answer, or one that the holder before us may have ordered but that shows no order.
+// advance queries a reserved replica, and orders it to load once its reservation has existed for announceDelay. A nonzero loaded is the
+// version that the replica has, once that is the reserved version or a later one: the replica then serves with it, even if a newer
+// version was published in the meantime, and is reserved again in its turn. A nonzero retryAfter ends the reservation and is the
+// backoff before the next one, for a replica that does not answer, or that the previous holder may have ordered but that shows no
+// order.
 func (l *modelLoader) advance(ctx context.Context, load pendingLoad, fence uint64) (loaded uint64, retryAfter time.Duration) {
 	name := load.replica.Name
 	ctx, cancel := context.WithTimeout(ctx, replicaclient.Timeout)
 	defer cancel()
-	reservedAt, orderedAt := l.times(name)
+	reservedAt, orderedAt := l.orderTimes(name)
 	if time.Since(reservedAt) < announceDelay || !orderedAt.IsZero() && time.Since(orderedAt) < orderReportDelay {
-		return 0, 0 // proxies may not know of the reservation yet, or the replica's reports would not show the order
+		return 0, 0 // proxies may not know of the reservation yet, or the reports may not show the order yet
 	}
 	models, busy, err := l.core.options.Backend.Versions(ctx, load.replica)
 	if err != nil && time.Since(reservedAt) > reorderInterval {
@@ -201,13 +205,13 @@
 	if err != nil || busy {
 		return 0, 0
 	}
-	if has := models[load.order.Model]; has >= load.order.Version {
+	if version := models[load.order.Model]; version >= load.order.Version {
 		l.forget(name)
-		return has, 0
+		return version, 0
 	}
-	if left := time.Until(l.previousOrdersEnd()); left > 0 && !l.ownReservations[name] {
+	if remaining := time.Until(l.previousOrdersEnd()); remaining > 0 && !l.ownReservations[name] {
 		l.forget(name)
-		return 0, left
+		return 0, remaining
 	}
 	if time.Since(orderedAt) >= reorderInterval {
 		l.order(ctx, load, fence)
@@ -222,7 +226,7 @@
 		return
 	}
 	order := Order{
-		LoadOrder: config.LoadOrder{Model: load.order.Model, Version: load.newest},
+		LoadOrder: config.LoadOrder{Model: load.order.Model, Version: load.published},
 		Holder:    l.candidate.Holder(),
 		Fence:     now,
 	}
@@ -234,8 +238,8 @@
 		Uint64("fence", now).AnErr("failure", err).Msg("replica ordered to load")
 }
 
-// times gives when this holder first saw a replica's reservation, and when it last ordered the replica to load.
-func (l *modelLoader) times(name string) (reservedAt, orderedAt time.Time) {
+// orderTimes returns when this holder first saw a replica's reservation, and when it last ordered the replica to load.
+func (l *modelLoader) orderTimes(name string) (reservedAt, orderedAt time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	reservedAt, known := l.reservedAt[name]
@@ -253,7 +257,8 @@
 	delete(l.orderedAt, name)
 }
 
-// pending gives what is to be loaded, in an order that all holders agree on, and the reservations of replicas that are no more or draining.
+// pending returns what is to be loaded, in an order that all holders agree on, and the reservations of replicas that no longer exist or
+// are draining.
 func (l *modelLoader) pending() (loads []pendingLoad, removed []string) {
 	acceptor := l.core.acceptor
 	plan, err := config.FromFields(withoutTexts(acceptor.Read(config.Key).Fields))
@@ -261,7 +266,7 @@
 	replicas, replicasErr := config.Load[config.Replica](acceptor.Read(config.ReplicasKey).Fields)
 	orders, _, ordersErr := config.ParseLoads(acceptor.Read(config.LoadsKey).Fields)
 	if err != nil || modelsErr != nil || replicasErr != nil || ordersErr != nil {
-		return nil, nil // a register that cannot be read: nothing is done on a guess
+		return nil, nil // a register cannot be decoded: do nothing rather than guess
 	}
 	for name, order := range orders {
 		if replica, ok := replicas[name]; !ok || replica.State == config.ReplicaDraining && !order.Done {
@@ -286,41 +291,41 @@
 	}
 	for i := range loads {
 		size := poolSizes[loads[i].replica.Pool]
-		loads[i].maxReserved = max(1, size/loadShare) + 2*size/loadShare/reserveAhead
+		loads[i].maxReserved = max(1, size/loadDivisor) + 2*size/loadDivisor/reserveAheadDivisor
 	}
 	slices.SortStableFunc(loads, comparePendingLoads)
 	return loads, removed
 }
 
-// nextLoad gives what a replica has to load next: what it is reserved for, else the first of its pool's models whose published version it
-// is not known to have. last is its last order, nil if it never had one.
+// nextLoad returns what a replica has to load next: what it is reserved for, else the first of its pool's models whose published
+// version it is not known to have. last is its last order, nil if there was none.
 func nextLoad(replica config.Replica, last *config.LoadOrder, poolModels []string, models map[string]config.Model) (pendingLoad, bool) {
 	if last != nil && !last.Done {
-		newest := max(last.Version, models[last.Model].Version)
-		return pendingLoad{replica: replica, order: *last, newest: newest, reserved: true}, true
+		published := max(last.Version, models[last.Model].Version)
+		return pendingLoad{replica: replica, order: *last, published: published, reserved: true}, true
 	}
 	for _, model := range poolModels {
-		published, has := models[model].Version, max(1, replica.Models[model])
+		published, loaded := models[model].Version, max(1, replica.Models[model])
 		if last != nil && last.Model == model {
-			has = max(has, last.Version)
+			loaded = max(loaded, last.Version)
 		}
-		if has < published {
+		if loaded < published {
 			order := config.LoadOrder{Model: model, Version: published}
-			return pendingLoad{replica: replica, order: order, newest: published, has: has, first: last == nil}, true
+			return pendingLoad{replica: replica, order: order, published: published, loaded: loaded, first: last == nil}, true
 		}
 	}
 	return pendingLoad{}, false
 }
 
-// applyLoads writes the loader's reservations. What a former holder sent, and what arrives after a later one has written, is rejected. A
-// change without a holder is from an earlier build.
+// applyLoads writes the loader's reservations. It rejects changes from former holders, including those that arrive after a later holder
+// has written. A change without a holder comes from an earlier build and is accepted.
 func (c *Core) applyLoads(ctx context.Context, change register.Fields) (Accepted, error) {
 	writer, err := config.ParseRoleHolder(change)
 	if err != nil {
 		return Accepted{}, err
 	}
-	revision, err := c.owner.Change(ctx, config.LoadsKey, func(present register.Fields, _ uint64) (register.Fields, error) {
-		holder, err := config.ParseRoleHolder(present)
+	revision, err := c.owner.Change(ctx, config.LoadsKey, func(current register.Fields, _ uint64) (register.Fields, error) {
+		holder, err := config.ParseRoleHolder(current)
 		if err == nil && change[config.RoleHolderField] != nil {
 			err = holder.Check(writer)
 		}
--- a/controlplane/replica_list.go
+++ b/controlplane/replica_list.go
@@ -13,19 +13,19 @@
 
 const (
 	listInterval = time.Second
-	// listTimeout is the age at which a platform's answer is void.
+	// listTimeout is the age at which a platform's list is discarded.
 	listTimeout = 2 * listInterval
-	// ownListBackoff is how long after a failure of its own a core has another one ask the platform.
+	// ownListBackoff is how long a core whose own request failed has another core ask the platform instead.
 	ownListBackoff = 5 * listInterval
 )
 
-// replicaLister is the singleton role that brings the register of replicas up to the platform's list. The core that the register is
-// assigned to performs it. While the platform does not answer that core, it has another core ask.
+// replicaLister is the singleton role that keeps the register of replicas in sync with the platform's list. It is performed by the core
+// that the register is assigned to. While the platform does not answer that core, another core asks on its behalf.
 type replicaLister struct {
 	core *Core
-	// delegate is the core that asks in this one's place; empty: none.
+	// delegate is the core that asks on this one's behalf; empty: none.
 	delegate string
-	// delegatesTried counts the delegates so far: the next failure takes the next one.
+	// delegatesTried counts the delegates picked so far, so that each failure picks the next one.
 	delegatesTried int
 	retryOwnAt     time.Time
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// pickDelegate picks another live core; the next step asks it.
+// pickDelegate picks another live core to ask at the next step.
 func (l *replicaLister) pickDelegate() {
 	l.retryOwnAt = time.Now().Add(ownListBackoff)
 	others := slices.DeleteFunc(l.core.live(), func(name string) bool { return name == l.core.host.Name })
@@ -60,17 +60,18 @@
 	l.delegatesTried++
 }
 
-// handleListRequest asks the platform in the place of a core that it does not answer.
+// handleListRequest asks the platform on behalf of a core that gets no answer from it.
 func (c *Core) handleListRequest(ctx context.Context, _ struct{}) (struct{}, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	return struct{}{}, c.listReplicas(ctx)
 }
 
-// listReplicas asks the platform for its list and writes what differs. Should two cores do so for a moment, both write what there is; one
-// that was frozen over its answer writes nothing.
+// listReplicas asks the platform for its list and writes the differences. It is harmless if two cores do so at the same time: both
+// write the platform's current list. A list that has aged past listTimeout, for instance because the process was suspended, is not
+// written.
 func (c *Core) listReplicas(ctx context.Context) error {
-	asked := time.Now()
+	requestedAt := time.Now()
 	listed, err := c.options.Backend.List(ctx)
 	if err != nil {
 		c.host.Log.Warn().Err(err).Msg("platform did not list the replicas")
@@ -83,11 +84,11 @@
 	if len(config.Delta(c.acceptor.Read(config.ReplicasKey).Fields, fields)) == 0 {
 		return nil
 	}
-	revision, err := c.owner.Change(ctx, config.ReplicasKey, func(present register.Fields, _ uint64) (register.Fields, error) {
-		if age := time.Since(asked); age > listTimeout {
-			return nil, apierror.New(apierror.Behind, "the platform's list was asked for %v ago", age)
+	revision, err := c.owner.Change(ctx, config.ReplicasKey, func(current register.Fields, _ uint64) (register.Fields, error) {
+		if age := time.Since(requestedAt); age > listTimeout {
+			return nil, apierror.New(apierror.Behind, "the platform's list was requested %v ago", age)
 		}
-		return config.Delta(present, fields), nil
+		return config.Delta(current, fields), nil
 	})
 	c.logOutcome("replicas", config.ReplicasKey, revision, err)
 	return err
--- a/controlplane/replicas.go
+++ b/controlplane/replicas.go
@@ -9,18 +9,18 @@
 	"asterridge/register"
 )
 
-// ReplicasChange is the platform's update of its replicas; the text is read field by field.
+// ReplicasChange is an update of the replicas from the platform; Text is parsed field by field.
 type ReplicasChange struct {
 	Text json.RawMessage `json:"text"`
 }
 
-// applyReplicas brings the register of replicas up to the platform's update.
-func (c *Core) applyReplicas(ctx context.Context, order ReplicasChange) (Accepted, error) {
-	replicas, err := config.ParseReplicas(order.Text)
+// applyReplicas applies the platform's update to the register of replicas.
+func (c *Core) applyReplicas(ctx context.Context, request ReplicasChange) (Accepted, error) {
+	replicas, err := config.ParseReplicas(request.Text)
 	if err != nil {
 		return Accepted{}, err
 	}
-	revision, err := c.owner.Change(ctx, config.ReplicasKey, func(present register.Fields, _ uint64) (register.Fields, error) {
+	revision, err := c.owner.Change(ctx, config.ReplicasKey, func(current register.Fields, _ uint64) (register.Fields, error) {
 		change := register.Fields{}
 		for _, replica := range replicas {
 			if replica.State == config.ReplicaGone {
@@ -29,7 +29,7 @@
 			}
 			if replica.State == config.ReplicaDraining && replica.Address == "" {
 				var known config.Replica
-				if present[replica.Name] == nil || json.Unmarshal(present[replica.Name], &known) != nil {
+				if current[replica.Name] == nil || json.Unmarshal(current[replica.Name], &known) != nil {
 					return nil, apierror.New(apierror.NotFound, "no replica %q", replica.Name)
 				}
 				replica = known
--- a/controlplane/version_ages.go
+++ b/controlplane/version_ages.go
@@ -13,15 +13,16 @@
 	"asterridge/router"
 )
 
-// announcedVersion is a version of a model that agents were told of, and since when it counts as published here.
+// announcedVersion is a model version announced to agents, and the time from which this core counts its age.
 type announcedVersion struct {
 	version uint64
 	since   time.Time
 }
 
-// publishModelVersions tells agents when a version of a model came to this disk, or when this process began that found it there. Agents go
-// by the oldest age that any core tells, so a core that has restarted adds nothing. If all cores have restarted, the time for which old
-// versions may be used counts from the first start among them, unless it was over before (docs/design.md §6.5).
+// publishModelVersions announces to agents how long ago a model version reached this disk, counted at the earliest from the start of
+// this process. Agents use the oldest age reported by any core, so a restarted core changes nothing. If all cores have restarted, the
+// time for which old versions may be used is counted from the first of these starts, unless it was recorded as over (docs/design.md
+// §6.5).
 func (c *Core) publishModelVersions(change register.Fields) {
 	models, err := config.Load[config.Model](change)
 	if err != nil {
@@ -36,8 +37,8 @@
 	}
 }
 
-// announceVersion adds to the fields that agents are told of what is new of a model's published version. Of each model they are told of the
-// newest versions only; the others stand for none that may be used.
+// announceVersion adds a model's newly published version to the fields announced to agents. Only the newest versions of each
+// model are announced; any other version may not be used.
 func (c *Core) announceVersion(model string, version uint64, fields register.Fields) {
 	superseded := c.supersededBy(model)
 	c.versionsMu.Lock()
@@ -50,7 +51,7 @@
 		fields[router.ModelVersionField(model, version)] = json.RawMessage(strconv.FormatInt(age.Milliseconds(), 10))
 		announced = append(announced, announcedVersion{version: version, since: time.Now().Add(-age)})
 	}
-	if len(announced) == 0 && superseded > 0 { // recorded before this process began
+	if len(announced) == 0 && superseded > 0 { // recorded before this process started
 		announce(superseded, c.options.OldVersionLimit)
 	}
 	if version > superseded {
@@ -63,20 +64,20 @@
 	c.announcedVersions[model] = announced
 }
 
-// supersededBy gives the version of a model below which no version may be used any more, as it was recorded; 0 if none was.
+// supersededBy returns the recorded version of a model below which no version may be used any more; 0 if none is recorded.
 func (c *Core) supersededBy(model string) uint64 {
 	if c.acceptor == nil {
 		return 0 // still loading
 	}
 	recorded, err := config.Load[config.Model](c.acceptor.Read(config.SupersededKey).Fields)
 	if err != nil {
-		return 0 // unknown: the time counts anew
+		return 0 // unknown: the age is counted from zero
 	}
 	return recorded[model].Version
 }
 
-// recordSuperseded has a majority remember which published versions have stood for so long that none below them may be used: once for each
-// version. Without it a restart of all cores would let them be used anew.
+// recordSuperseded has a majority record, once per version, which published versions have been out for so long that no older version
+// may be used. Without the record, a restart of all cores would allow the older versions again.
 func (c *Core) recordSuperseded(ctx context.Context) {
 	if c.options.OldVersionLimit == 0 || !c.isAssigned(config.SupersededKey) {
 		return
@@ -94,14 +95,14 @@
 		defer c.supersededMu.Unlock()
 		ctx, cancel := context.WithTimeout(ctx, protocol.OperationTimeout)
 		defer cancel()
-		revision, err := c.owner.Change(ctx, config.SupersededKey, func(present register.Fields, _ uint64) (register.Fields, error) {
-			return raisedVersions(present, due)
+		revision, err := c.owner.Change(ctx, config.SupersededKey, func(current register.Fields, _ uint64) (register.Fields, error) {
+			return raisedVersions(current, due)
 		})
-		c.logOutcome("end of old versions", config.SupersededKey, revision, err) // after a failure the next tick tries again
+		c.logOutcome("end of old versions", config.SupersededKey, revision, err) // a failure is retried at the next tick
 	}()
 }
 
-// versionsPastLimit gives, by model, the newest version that has stood for the time after which none below it may be used.
+// versionsPastLimit returns, by model, the newest version whose age has reached the limit after which no older version may be used.
 func (c *Core) versionsPastLimit() map[string]uint64 {
 	c.versionsMu.Lock()
 	defer c.versionsMu.Unlock()
@@ -116,9 +117,9 @@
 	return past
 }
 
-// raisedVersions leaves of a change of versions those that are above the present ones.
-func raisedVersions(present, change register.Fields) (register.Fields, error) {
-	now, err := config.Load[config.Model](present)
+// raisedVersions returns the part of a change that raises versions above the current ones.
+func raisedVersions(current, change register.Fields) (register.Fields, error) {
+	currentVersions, err := config.Load[config.Model](current)
 	if err != nil {
 		return nil, err
 	}
@@ -128,7 +129,7 @@
 	}
 	raised := register.Fields{}
 	for model, version := range wanted {
-		if version.Version > now[model].Version {
+		if version.Version > currentVersions[model].Version {
 			raised[model] = change[model]
 		}
 	}
--- a/controlplane/weights_rollout.go
+++ b/controlplane/weights_rollout.go
@@ -15,19 +15,19 @@
 
 const (
 	rolloutInterval = 400 * time.Millisecond
-	// rolloutShare is the part of a pool that may load at the same time: a third.
-	rolloutShare = 3
-	// rolloutDeadline is how long replicas may be behind before all that are left are told to load at once.
+	// rolloutDivisor limits how many replicas of a pool load at the same time: a third.
+	rolloutDivisor = 3
+	// rolloutDeadline is how long replicas may have outdated weights before all the remaining ones are ordered to load at once.
 	rolloutDeadline = 9 * time.Second
 )
 
-// loadWeightsOrder is the order to a replica to load weights. Of two orders the one with the lower number is void.
+// loadWeightsOrder orders a replica to load weights. A replica ignores an order with a lower number than one it has received.
 type loadWeightsOrder struct {
 	Order   uint64 `json:"order"`
 	Weights string `json:"weights"`
 }
 
-// weightsRollout is the singleton role that has replicas load the weights that their pools are configured with (docs/design.md §6.2).
+// weightsRollout is the singleton role that has replicas load the weights configured for their pools (docs/design.md §6.2).
 type weightsRollout struct {
 	core          *Core
 	candidate     *lease.Candidate
@@ -35,24 +35,25 @@
 	protocol      router.Protocol
 
 	mu sync.Mutex
-	// behind is, by pool, since when replicas are behind.
-	behind map[string]behindState
+	// outdated is, by pool, since when replicas have had outdated weights.
+	outdated map[string]outdatedState
 }
 
-// behindState is the weights that replicas of a pool were last seen behind, and since when without a break.
-type behindState struct {
+// outdatedState is the configured weights that replicas of a pool lack, and since when some replica has lacked them without
+// interruption.
+type outdatedState struct {
 	weights string
 	since   time.Time
 }
 
-// runWeightsRollout campaigns for the role and performs it while it is held.
+// runWeightsRollout campaigns for the role and performs it while holding it.
 func (c *Core) runWeightsRollout(ctx context.Context) {
 	r := &weightsRollout{
 		core:          c,
 		candidate:     c.newCandidate(weightsRole, roleLease),
 		replicaClient: replicaclient.New(c.host.Net),
 		protocol:      router.ChatProtocol{},
-		behind:        map[string]behindState{},
+		outdated:      map[string]outdatedState{},
 	}
 	go rpc.Every(ctx, roleLease/campaignsPerLease, func() {
 		if c.membership().self != nil {
@@ -62,7 +63,7 @@
 	rpc.Every(ctx, rolloutInterval, func() { r.step(ctx) })
 }
 
-// step looks at each pool, and tells some replicas to load.
+// step checks each pool and orders some of its replicas to load.
 func (r *weightsRollout) step(ctx context.Context) {
 	if _, held := r.candidate.Held(); !held {
 		return
@@ -85,15 +86,15 @@
 	pools.Wait()
 }
 
-// stepPool tells replicas of one pool to load. order is the configuration's version.
+// stepPool orders replicas of one pool to load. order is the configuration's version.
 func (r *weightsRollout) stepPool(ctx context.Context, pool, weights string, replicas map[string]config.Replica, order uint64) {
-	state := r.askPool(ctx, pool, weights, replicas)
-	slots := max(1, state.answered/rolloutShare) - state.loading
-	if r.behindFor(pool, weights, len(state.behind) > 0) > rolloutDeadline {
-		slots = len(state.behind)
+	state := r.queryPool(ctx, pool, weights, replicas)
+	slots := max(1, state.answered/rolloutDivisor) - state.loading
+	if r.outdatedFor(pool, weights, len(state.outdated) > 0) > rolloutDeadline {
+		slots = len(state.outdated)
 	}
 	var orders sync.WaitGroup
-	for _, replica := range state.behind[:max(0, min(slots, len(state.behind)))] {
+	for _, replica := range state.outdated[:max(0, min(slots, len(state.outdated)))] {
 		number, held := r.candidate.Held()
 		if !held {
 			break
@@ -107,14 +108,14 @@
 	orders.Wait()
 }
 
-// poolWeights is what the replicas of a pool that answer report of their weights.
+// poolWeights is what the replicas of a pool that answer report about their weights.
 type poolWeights struct {
 	answered, loading int
-	behind            []config.Replica
+	outdated          []config.Replica
 }
 
-// askPool asks all replicas of a pool at once, so that those that do not answer delay this step alone, for replicaclient.Timeout.
-func (r *weightsRollout) askPool(ctx context.Context, pool, weights string, replicas map[string]config.Replica) (state poolWeights) {
+// queryPool queries all replicas of a pool concurrently, so that those that do not answer delay only this step, by replicaclient.Timeout.
+func (r *weightsRollout) queryPool(ctx context.Context, pool, weights string, replicas map[string]config.Replica) (state poolWeights) {
 	var mu sync.Mutex
 	var pending sync.WaitGroup
 	for _, replica := range replicas {
@@ -136,7 +137,7 @@
 			case router.Loading:
 				state.loading++
 			default:
-				state.behind = append(state.behind, replica)
+				state.outdated = append(state.outdated, replica)
 			}
 		})
 	}
@@ -144,12 +145,13 @@
 	return state
 }
 
-// behindFor notes whether replicas of a pool are behind these weights, and gives for how long some have been without a break.
-func (r *weightsRollout) behindFor(pool, weights string, behind bool) time.Duration {
+// outdatedFor records whether replicas of a pool lack these weights, and returns for how long some have lacked them without
+// interruption.
+func (r *weightsRollout) outdatedFor(pool, weights string, outdated bool) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if state := r.behind[pool]; !behind || state.weights != weights {
-		r.behind[pool] = behindState{weights: weights, since: time.Now()}
+	if state := r.outdated[pool]; !outdated || state.weights != weights {
+		r.outdated[pool] = outdatedState{weights: weights, since: time.Now()}
 	}
-	return time.Since(r.behind[pool].since)
+	return time.Since(r.outdated[pool].since)
 }
