--- a/controlplane/adapter_state.go
+++ b/controlplane/adapter_state.go
@@ -13,34 +13,34 @@
 	"asterridge/router"
 )
 
-// adapterState is what the registers desire of adapters and what the replicas report. The retirement controller acts on it, and operators
-// are shown it. Its methods decide and do no I/O.
+// adapterState is the desired state of adapters, read from the registers, and the state that the replicas report. The retirement
+// controller acts on it, and operators can query it. Its methods make decisions without I/O.
 type adapterState struct {
-	// version is that of the retirements' register.
+	// version is the version of the retirements' register.
 	version     uint64
 	plan        *config.Config
 	retirements config.Retirements
-	// holder is the one that has taken up the retirements, and its lease.
+	// holder is the holder that last took over the retirements, with its lease.
 	holder config.RoleHolder
-	// desired are the placements that every replica of a pool is to have, by pool.
+	// desired are the placements that every replica of a pool must have, by pool.
 	desired map[string][]config.Placement
-	// pools names the replicas that are not draining, by pool.
+	// pools lists the replicas that are not draining, by pool.
 	pools    map[string][]string
 	replicas map[string]config.Replica
-	// reports are those of the replicas that answer.
+	// reports are the reports of the replicas that answered.
 	reports map[string]router.Report
 }
 
-// collectAdapterState asks all replicas of pools with a model. It gives nil where no adapter is configured, or where what is known here is
-// not committed.
+// collectAdapterState queries all replicas of model pools. It returns nil if no adapter is configured, or if the content of the
+// registers on this core is not committed.
 func (c *Core) collectAdapterState(ctx context.Context) *adapterState {
-	configured, moving := c.acceptor.Read(config.Key), c.acceptor.Read(config.RetirementKey)
-	plan, err := config.FromFields(configured.Fields)
-	if err != nil || len(plan.Adapters) == 0 || !configured.IsCommitted() || !moving.IsCommitted() {
+	configRecord, retirementRecord := c.acceptor.Read(config.Key), c.acceptor.Read(config.RetirementKey)
+	plan, err := config.FromFields(configRecord.Fields)
+	if err != nil || len(plan.Adapters) == 0 || !configRecord.IsCommitted() || !retirementRecord.IsCommitted() {
 		return nil
 	}
-	state := &adapterState{version: moving.Revision.Version, plan: plan, pools: map[string][]string{}, reports: map[string]router.Report{}}
-	if state.retirements, state.holder, err = config.ParseRetirements(moving.Fields); err != nil {
+	state := &adapterState{version: retirementRecord.Revision.Version, plan: plan, pools: map[string][]string{}, reports: map[string]router.Report{}}
+	if state.retirements, state.holder, err = config.ParseRetirements(retirementRecord.Fields); err != nil {
 		return nil
 	}
 	state.desired = plan.Desired(state.retirements)
@@ -70,34 +70,35 @@
 	return state
 }
 
-// nextOrder gives the next order that a replica needs; without one, what it waits for, or nothing if it has all.
-func (s *adapterState) nextOrder(name string) (order router.AdapterOrder, waitsFor string) {
+// nextOrder returns the next order that a replica needs. Without an order, blocker says what the replica waits for; it is empty if the
+// replica has everything it needs.
+func (s *adapterState) nextOrder(name string) (order router.AdapterOrder, blocker string) {
 	report, answered := s.reports[name]
 	if !answered {
-		return order, "it does not answer"
+		return order, "the replica does not answer"
 	}
 	for _, placement := range s.desired[s.replicas[name].Pool] {
 		base, hasBase := report.Bases[placement.Base]
 		adapter := report.Adapters[placement.Key()]
 		switch {
 		case !hasBase:
-			return router.AdapterOrder{Placement: config.Placement{Base: placement.Base}, Do: router.LoadBase}, "its turn to load " + placement.Base
+			return router.AdapterOrder{Placement: config.Placement{Base: placement.Base}, Do: router.LoadBase}, "a free slot to load " + placement.Base
 		case base.Loading:
-			return order, placement.Base + " loads"
+			return order, placement.Base + " is loading"
 		case adapter.Build != placement.Build:
-			return router.AdapterOrder{Placement: placement, Do: router.LoadAdapter}, "its turn to load " + placement.Key()
+			return router.AdapterOrder{Placement: placement, Do: router.LoadAdapter}, "a free slot to load " + placement.Key()
 		case adapter.State == router.AdapterLoading:
-			return order, placement.Key() + " loads"
+			return order, placement.Key() + " is loading"
 		case adapter.State == router.AdapterLoaded:
-			return router.AdapterOrder{Placement: placement, Do: router.TryAdapter}, "a trial answer of " + placement.Key()
+			return router.AdapterOrder{Placement: placement, Do: router.TryAdapter}, "a trial answer from " + placement.Key()
 		case adapter.State == router.AdapterBad:
-			waitsFor = fmt.Sprintf("another build of %s than %s, whose trial answer was wrong", placement.Key(), placement.Build)
+			blocker = fmt.Sprintf("a new build of %s: the trial answer of %s was wrong", placement.Key(), placement.Build)
 		}
 	}
-	return order, waitsFor
+	return order, blocker
 }
 
-// isLoading reports whether a replica loads something now.
+// isLoading reports whether a replica is loading a base or an adapter.
 func isLoading(report router.Report) bool {
 	for _, base := range report.Bases {
 		if base.Loading {
@@ -125,8 +126,8 @@
 	return pools
 }
 
-// nextMove gives the next phase of an adapter's move, or what it waits for.
-func (s *adapterState) nextMove(retirement config.Retirement, adapter config.Adapter) (next config.Move, waitsFor string) {
+// nextMove returns the next phase of an adapter's move, or what blocks it.
+func (s *adapterState) nextMove(retirement config.Retirement, adapter config.Adapter) (next config.Move, blocker string) {
 	next = retirement.Moves[adapter.Name]
 	if next.Phase == config.Live {
 		return next, ""
@@ -139,8 +140,8 @@
 		return next, "a build for " + retirement.New
 	}
 	for _, pool := range s.poolsOf(adapter.Name) {
-		if waitsFor := s.poolWaitsFor(pool, placement, next.Phase); waitsFor != "" {
-			return next, waitsFor
+		if poolBlocker := s.poolBlocker(pool, placement, next.Phase); poolBlocker != "" {
+			return next, poolBlocker
 		}
 	}
 	if next.Phase == "" {
@@ -151,15 +152,15 @@
 	return next, ""
 }
 
-// poolWaitsFor says what a pool waits for before a placement may enter its next phase: right trial answers of more than half of the
-// replicas before it is switched, and answers to clients of more than half before it is live.
-func (s *adapterState) poolWaitsFor(pool string, placement config.Placement, phase config.Phase) string {
+// poolBlocker returns what prevents a placement from entering its next phase in a pool; empty if nothing does. More than half of the
+// replicas must have given a correct trial answer before it is switched, and have served clients before it is live.
+func (s *adapterState) poolBlocker(pool string, placement config.Placement, phase config.Phase) string {
 	tried, live, all := 0, 0, len(s.pools[pool])
 	for _, name := range s.pools[pool] {
 		adapter := s.reports[name].Adapters[placement.Key()]
 		switch {
 		case adapter.Build == placement.Build && adapter.State == router.AdapterBad && phase == "":
-			return fmt.Sprintf("another build than %s: its trial answer was wrong on %s", placement.Build, name)
+			return fmt.Sprintf("a new build: the trial answer of %s was wrong on %s", placement.Build, name)
 		case adapter.Build == placement.Build && adapter.State == router.AdapterTried:
 			tried++
 			if adapter.Live > 0 {
@@ -172,14 +173,14 @@
 		kind, count = "live", live
 	}
 	if 2*count <= all {
-		return fmt.Sprintf("%s answers in pool %s: from %d of %d replicas, more than half are needed", kind, pool, count, all)
+		return fmt.Sprintf("%s answers in pool %s: %d of %d replicas have given one, more than half are needed", kind, pool, count, all)
 	}
 	return ""
 }
 
-// nextStep says how a retirement goes on; without a change, what it waits for. A nil next ends it. drained: no proxy can send by an older
-// route.
-func (s *adapterState) nextStep(retirement config.Retirement, drained bool, now time.Time) (next *config.Retirement, changed bool, waitsFor string) {
+// nextStep returns the next state of a retirement, or without a change what blocks it. A nil next ends the retirement. drained means
+// that no proxy can still send requests by an older route.
+func (s *adapterState) nextStep(retirement config.Retirement, drained bool, now time.Time) (next *config.Retirement, changed bool, blocker string) {
 	enter := func(phase config.Phase, adapter string, move config.Move) (*config.Retirement, bool, string) {
 		move.Since = now
 		entered := retirement.With(phase, adapter, move)
@@ -188,45 +189,45 @@
 	switch retirement.Phase {
 	case config.Moving, config.Clearing:
 		for _, adapter := range adaptersOn(s.plan, s.retirements, retirement.Old) {
-			move, why := s.nextMove(retirement, adapter)
-			if why == "" && move.Phase != retirement.Moves[adapter.Name].Phase {
+			move, moveBlocker := s.nextMove(retirement, adapter)
+			if moveBlocker == "" && move.Phase != retirement.Moves[adapter.Name].Phase {
 				return enter(config.Moving, adapter.Name, move)
 			}
-			if why != "" && waitsFor == "" {
-				waitsFor = adapter.Name + " waits for " + why
+			if moveBlocker != "" && blocker == "" {
+				blocker = adapter.Name + " waits for " + moveBlocker
 			}
 		}
 		switch {
-		case waitsFor != "" && retirement.Phase == config.Clearing: // an adapter was configured since
+		case blocker != "" && retirement.Phase == config.Clearing: // an adapter was configured in the meantime
 			return enter(config.Moving, "", config.Move{})
-		case waitsFor != "":
-			return &retirement, false, waitsFor
+		case blocker != "":
+			return &retirement, false, blocker
 		case retirement.Phase == config.Moving:
 			return enter(config.Clearing, "", config.Move{})
 		case drained:
 			return enter(config.Dropping, "", config.Move{})
 		}
-		return &retirement, false, drainWait(retirement.Old)
+		return &retirement, false, drainBlocker(retirement.Old)
 	case config.Dropping:
-		if waitsFor = s.replicaWith(retirement.Old); waitsFor == "" {
+		if blocker = s.replicaWith(retirement.Old); blocker == "" {
 			return enter(config.Retired, "", config.Move{})
 		}
 	case config.Undoing:
 		if !drained {
-			return &retirement, false, drainWait(retirement.New)
+			return &retirement, false, drainBlocker(retirement.New)
 		}
-		if waitsFor = s.replicaWith(retirement.New); waitsFor == "" || s.isNeeded(retirement.New) {
+		if blocker = s.replicaWith(retirement.New); blocker == "" || s.isNeeded(retirement.New) {
 			return nil, true, ""
 		}
 	}
-	return &retirement, false, waitsFor
+	return &retirement, false, blocker
 }
 
-func drainWait(base string) string {
-	return fmt.Sprintf("%v to pass, after which no proxy can send to %s", drainTime, base)
+func drainBlocker(base string) string {
+	return fmt.Sprintf("%v to pass until no proxy can send to %s", drainTime, base)
 }
 
-// replicaWith names a replica that has a base, or may have it; empty if there is none.
+// replicaWith returns a blocker that names a replica that has a base, or may have it; empty if there is none.
 func (s *adapterState) replicaWith(base string) string {
 	for _, pool := range slices.Sorted(maps.Keys(s.pools)) {
 		for _, name := range s.pools[pool] {
@@ -239,7 +240,7 @@
 	return ""
 }
 
-// isNeeded reports whether some pool's placements need a base.
+// isNeeded reports whether any pool's placements need a base.
 func (s *adapterState) isNeeded(base string) bool {
 	for _, placements := range s.desired {
 		if slices.ContainsFunc(placements, func(p config.Placement) bool { return p.Base == base }) {
@@ -249,17 +250,17 @@
 	return false
 }
 
-// droppable lists the replicas of a pool that may be told to drop a base now: at most a third, and only those that have all they need
-// beside it. Those on which work runs would refuse, and come last.
+// droppable lists the replicas of a pool that may be ordered to drop a base now: at most a third, and only those that have everything
+// else they need. Replicas with running requests on the base come last, since they would refuse.
 func (s *adapterState) droppable(pool, base string) (names []string) {
 	for _, name := range s.pools[pool] {
 		if _, hasBase := s.reports[name].Bases[base]; !hasBase {
 			continue
 		}
-		if _, waitsFor := s.nextOrder(name); waitsFor == "" {
+		if _, blocker := s.nextOrder(name); blocker == "" {
 			names = append(names, name)
 		}
 	}
 	slices.SortStableFunc(names, func(a, b string) int { return s.reports[a].Bases[base].Running - s.reports[b].Bases[base].Running })
-	return names[:min(len(names), max(1, len(s.pools[pool])/adapterLoadShare))]
+	return names[:min(len(names), max(1, len(s.pools[pool])/adapterLoadDivisor))]
 }
--- a/controlplane/backend.go
+++ b/controlplane/backend.go
@@ -8,41 +8,41 @@
 	"asterridge/rpc"
 )
 
-// Backend is how the control plane speaks with a platform that lists the replicas, and with replicas that take orders. It translates, and
-// decides nothing.
+// Backend is the interface to a platform that lists the replicas, and to replicas that take orders. It only translates and makes no
+// decisions.
 type Backend interface {
-	// List gives all replicas there are.
+	// List returns all existing replicas.
 	List(ctx context.Context) ([]config.Replica, error)
-	// Versions asks a replica which versions of its models it has, and whether it is carrying out an order.
+	// Versions queries which versions of its models a replica has, and whether it is carrying out an order.
 	Versions(ctx context.Context, r config.Replica) (models map[string]uint64, busy bool, err error)
-	// Load orders a replica to take a version when what runs on it has ended.
+	// Load orders a replica to load a version once its running requests have finished.
 	Load(ctx context.Context, r config.Replica, o Order) error
-	// CachedBlocks gives what has changed in the cache of a replica or store since an offset, and waits for a change if there is none. The
-	// zero offset asks for all that is cached.
+	// CachedBlocks returns what has changed in the cache of a replica or store since an offset, and waits for a change if there is
+	// none. The zero offset requests everything that is cached.
 	CachedBlocks(ctx context.Context, address string, from CacheOffset, wait time.Duration) (CacheUpdate, error)
 }
 
-// CacheOffset is an offset in the cache updates of one incarnation of a replica or store.
+// CacheOffset is a position in the cache updates of one incarnation of a replica or store.
 type CacheOffset struct{ Epoch, Next uint64 }
 
-// CacheUpdate is what has changed in a cache.
+// CacheUpdate is a change of a cache.
 type CacheUpdate struct {
-	// Offset is where the next update begins.
+	// Offset is where the next update starts.
 	Offset CacheOffset
-	// Snapshot: Blocks is all that is cached.
+	// Snapshot is true if Blocks is everything that is cached.
 	Snapshot bool
-	// Blocks is, by the block's key, how much of it is cached now; zero: nothing.
+	// Blocks is how much of each block is cached now, by the block's key; zero: nothing.
 	Blocks map[string]int
 }
 
-// Order is an order to a replica. Of two orders under different fencing tokens the one with the lower token is void.
+// Order is an order to a replica. A replica ignores an order whose fencing token is lower than one it has seen.
 type Order struct {
 	config.LoadOrder
 	Holder string
 	Fence  uint64
 }
 
-// runBackend performs the singleton roles that need a platform, as far as this core is chosen for them.
+// runBackend performs the singleton roles that need a platform, whenever this core is chosen for them.
 func (c *Core) runBackend(ctx context.Context) {
 	loader := newModelLoader(c)
 	lister := &replicaLister{core: c}
--- a/controlplane/byte_budget.go
+++ b/controlplane/byte_budget.go
@@ -2,10 +2,11 @@
 
 import "sync"
 
-// defaultPendingBytes bounds the changes that wait for one member's answer where the deployment gives no memory.
+// defaultPendingBytes is the limit per member if Options.PendingBytes is not set, because the deployment does not state its memory.
 const defaultPendingBytes = 16 << 20
 
-// byteBudget bounds the bytes that wait for each member's answer: a member that is frozen takes what is sent to it until each call ends.
+// byteBudget limits the bytes awaiting each member's response. Without a limit, the requests to a suspended member would accumulate in
+// memory until each call times out.
 type byteBudget struct {
 	limit int
 
@@ -20,19 +21,20 @@
 	return &byteBudget{limit: limit, pending: map[string]int{}}
 }
 
-// reserve takes bytes for a message to a member, and reports whether they fit. A message to a member for which nothing waits always does.
+// reserve reserves bytes for a request to a member, and reports whether they fit. A request to a member with nothing pending always
+// fits.
 func (b *byteBudget) reserve(address string, bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	before := b.pending[address]
-	if before > 0 && before+bytes > b.limit {
+	reserved := b.pending[address]
+	if reserved > 0 && reserved+bytes > b.limit {
 		return false
 	}
-	b.pending[address] = before + bytes
+	b.pending[address] = reserved + bytes
 	return true
 }
 
-// release gives back what was reserved, once the message is answered or given up.
+// release returns reserved bytes once the request is answered or abandoned.
 func (b *byteBudget) release(address string, bytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/controlplane/byte_budget_test.go
+++ b/controlplane/byte_budget_test.go
@@ -10,14 +10,14 @@
 	"asterridge/register"
 )
 
-// Bytes are let through up to the limit for each member by itself, a single message whatever its size, and all comes back.
-func TestBytesThatWaitForAMemberAreBounded(t *testing.T) {
+// Pending bytes are limited for each member separately; a single request fits whatever its size, and all bytes are returned.
+func TestPendingBytesPerMemberAreBounded(t *testing.T) {
 	is := is.New(t)
 	b := newByteBudget(100)
 	is.True(b.reserve("a", 60))
-	is.True(b.reserve("a", 40)) // at the edge
+	is.True(b.reserve("a", 40)) // exactly at the limit
 	is.True(!b.reserve("a", 1))
-	is.True(b.reserve("b", 500)) // larger than the limit, and alone
+	is.True(b.reserve("b", 500)) // above the limit, but nothing else is pending
 	is.True(!b.reserve("b", 1))
 	b.release("a", 40)
 	is.True(b.reserve("a", 40))
@@ -28,8 +28,8 @@
 	is.Equal(newByteBudget(0).limit, defaultPendingBytes)
 }
 
-// What does not fit is refused before it is sent, as an answer that did not come: the member catches up later.
-func TestAcceptThatDoesNotFitIsNotSent(t *testing.T) {
+// A change that exceeds the budget is rejected as unreachable before it is sent; the member catches up later.
+func TestAcceptOverBudgetIsNotSent(t *testing.T) {
 	is := is.New(t)
 	core := &Core{pendingAccepts: newByteBudget(10)}
 	is.True(core.pendingAccepts.reserve("a", 8))
--- a/controlplane/cache_readers.go
+++ b/controlplane/cache_readers.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// cacheWatchWait is how long a call for cache updates is held open by a replica.
+	// cacheWatchWait is how long a replica holds open a request for cache updates.
 	cacheWatchWait = time.Second
-	// cacheUpdateDelay lets updates that come close together be published together.
+	// cacheUpdateDelay batches the updates that arrive within it.
 	cacheUpdateDelay = 250 * time.Millisecond
-	// maxReadFailures is how many failures in a row make a source count as gone.
+	// maxReadFailures is how many consecutive failures make a source count as unreachable.
 	maxReadFailures = 2
 )
 
-// runCacheReaders reads the cache updates of the replicas and stores that are assigned to this core (docs/design.md §6.4), until the context
-// ends. What is read is a hint without a revision, and is read anew after any doubt.
+// runCacheReaders reads the cache updates of the replicas and stores assigned to this core (docs/design.md §6.4), until the context
+// ends. They are hints without a revision, and are read again from the start whenever they may be incomplete.
 func (c *Core) runCacheReaders(ctx context.Context) {
 	readers := map[string]context.CancelFunc{}
-	// assignedBefore is the assignment at the step before: a core that is being cut off misses the others one after another, and is
-	// assigned more for a moment.
-	var assignedBefore map[string]string
+	// previouslyAssigned is the assignment at the previous step. A core that is being partitioned loses contact with the others one
+	// after another, and is assigned more sources for a moment; requiring two steps ignores these.
+	var previouslyAssigned map[string]string
 	rpc.Every(ctx, protocol.CacheReaderInterval, func() {
 		if c.membership().self != nil && !c.hasQuorum() {
-			return // agents may hear this core as before: it goes on with what it reads, and takes up nothing else
+			return // agents may still reach this core: it keeps its readers, but starts no new ones
 		}
 		assigned := c.assignedCacheSources()
 		for key, stop := range readers {
@@ -43,17 +43,17 @@
 			}
 		}
 		for key, address := range assigned {
-			if readers[key] == nil && assignedBefore[key] != "" {
+			if readers[key] == nil && previouslyAssigned[key] != "" {
 				readerCtx, stop := context.WithCancel(ctx)
 				readers[key] = stop
 				go c.readCacheSource(readerCtx, key, address)
 			}
 		}
-		assignedBefore = assigned
+		previouslyAssigned = assigned
 	})
 }
 
-// assignedCacheSources gives the sources that this core is to read: address by the key of their updates.
+// assignedCacheSources returns the sources that this core is to read: address by the key of their updates.
 func (c *Core) assignedCacheSources() map[string]string {
 	assigned := map[string]string{}
 	for name, address := range c.cacheSources() {
@@ -64,7 +64,7 @@
 	return assigned
 }
 
-// cacheSources gives the replicas and stores that let their cache updates be read: address by their name in the index.
+// cacheSources returns the replicas and stores whose cache updates may be read: address by their name in the index.
 func (c *Core) cacheSources() map[string]string {
 	sources := map[string]string{}
 	plan, err := config.FromFields(withoutTexts(c.acceptor.Read(config.Key).Fields))
@@ -88,7 +88,7 @@
 	return sources
 }
 
-// readCacheSource follows one source until the context ends.
+// readCacheSource reads one source until the context ends.
 func (c *Core) readCacheSource(ctx context.Context, key, address string) {
 	var offset CacheOffset
 	up, failures := false, 0
@@ -104,7 +104,7 @@
 				c.publishCached(key, c.prefixes.drop(key), true)
 				up, offset = false, CacheOffset{}
 			}
-			_ = rpc.Sleep(ctx, cacheUpdateDelay) // the loop looks at the context
+			_ = rpc.Sleep(ctx, cacheUpdateDelay) // the loop condition checks the context
 			continue
 		}
 		if !up {
@@ -119,7 +119,7 @@
 		if len(fields) > 0 {
 			c.publishCached(key, fields, full)
 		}
-		_ = rpc.Sleep(ctx, cacheUpdateDelay) // the loop looks at the context
+		_ = rpc.Sleep(ctx, cacheUpdateDelay) // the loop condition checks the context
 	}
 }
 
@@ -129,12 +129,13 @@
 	return c.options.Backend.CachedBlocks(ctx, address, offset, cacheWatchWait)
 }
 
-// publishCached tells the agents what a source has cached now.
+// publishCached publishes to agents what a source has cached.
 func (c *Core) publishCached(key string, fields register.Fields, full bool) {
 	c.agentUpdates.PublishDeferred(key, fields, full)
 }
 
-// addShared notes blocks that a proxy has named as shared, tells the other cores, and publishes what this core has held back of them.
+// addShared records blocks that a proxy has named as shared, tells the other cores, and publishes the sources of these blocks that were
+// not published before.
 func (c *Core) addShared(blocks []string) {
 	announced, full, released := c.prefixes.addShared(blocks, true)
 	if len(announced) > 0 {
@@ -143,14 +144,14 @@
 	c.publishReleased(released)
 }
 
-// publishReleased publishes blocks that have become shared, by the sources that have them cached.
+// publishReleased publishes blocks that have become shared, for each source that has them cached.
 func (c *Core) publishReleased(released map[string]register.Fields) {
 	for source, fields := range released {
 		c.agentUpdates.PublishDeferred(source, fields, false)
 	}
 }
 
-// applySharedBlocks notes the shared blocks that another core was told of.
+// applySharedBlocks records shared blocks reported by another core.
 func (c *Core) applySharedBlocks(response watch.Response) {
 	for _, update := range response.Updates {
 		if update.Key == sharedBlocksKey {
--- a/controlplane/messages_test.go
+++ b/controlplane/messages_test.go
@@ -21,8 +21,8 @@
 	"asterridge/watch"
 )
 
-// What daemons of this build say to each other keeps the form that earlier builds read; so do the records that cores store.
-func TestMessagesKeepTheirForm(t *testing.T) {
+// Guards the wire and storage formats: messages between daemons, and records stored by cores, must stay readable by earlier builds.
+func TestMessageFormatsUnchanged(t *testing.T) {
 	golden.CompareMessages(t, "testdata/messages.txt", []golden.Message{
 		{Name: "POST /core/hello: question and answer", Type: protocol.Hello{}},
 		{Name: "POST /core/pull, /core/whole, /agent/pull: question", Type: watch.Request{}},
@@ -80,8 +80,8 @@
 	})
 }
 
-// The names under which state is stored and sent stay as they are.
-func TestStoredNamesKeepTheirForm(t *testing.T) {
+// The names under which state is stored and sent must not change.
+func TestStoredNamesUnchanged(t *testing.T) {
 	is := is.New(t)
 	is.Equal([]string{protocol.IdentityFolder, incarnationFile, firstStartFile, membershipVersionFile, unresponsiveFile}, []string{"self", "incarnation", "founder", "members", "silent"})
 	is.Equal([]string{membership.PreviousField, membership.HighestIDField, protocol.ThrottlePrefix, leasePrefix}, []string{"~carry", "~next", "hold/", "term/"})
--- a/controlplane/metrics.go
+++ b/controlplane/metrics.go
@@ -6,9 +6,9 @@
 	"asterridge/protocol"
 )
 
-// gauges are the figures of this moment for GET /metrics; docs/operators.md says what each tells.
+// gauges returns the current values for GET /metrics; docs/operators.md describes each gauge.
 func (c *Core) gauges() []daemon.Gauge {
-	now := c.membership()
+	current := c.membership()
 	uncommitted := 0
 	for _, key := range c.acceptor.Keys() {
 		if c.acceptor.Uncommitted(key) {
@@ -16,8 +16,8 @@
 		}
 	}
 	all := []daemon.Gauge{
-		{Name: "core_is_member", Value: daemon.BoolValue(now.self != nil)},
-		{Name: "core_members", Value: float64(len(now.members))},
+		{Name: "core_is_member", Value: daemon.BoolValue(current.self != nil)},
+		{Name: "core_members", Value: float64(len(current.members))},
 		{Name: "core_members_live", Value: float64(len(c.live()))},
 		{Name: "core_keys_owned", Value: float64(len(c.owner.OwnedKeys()))},
 		{Name: "core_holds", Value: float64(len(c.throttles.All()))},
--- a/controlplane/prefix_filter.go
+++ b/controlplane/prefix_filter.go
@@ -9,26 +9,26 @@
 	"asterridge/register"
 )
 
-// maxSharedBlocks is how many blocks are remembered as shared; beyond it all are forgotten and learned anew.
+// maxSharedBlocks limits how many blocks are remembered as shared; beyond it the set is cleared and learned again.
 const maxSharedBlocks = 200000
 
-// startupPublication is for how long from its first source on a core publishes all that is cached: it knows no shared block yet, and proxies
-// that were restarted with it know no replica.
-const startupPublication = 20 * time.Second
+// startupPublishPeriod is for how long after reading its first source a core publishes all cached blocks. Until then it knows of no
+// shared blocks, and proxies restarted together with it do not know which replica has which block.
+const startupPublishPeriod = 20 * time.Second
 
-// sharedBlocksKey has, among cores, the blocks that proxies have named as such that prompts share.
+// sharedBlocksKey is the watch key under which cores tell each other the blocks that proxies have named as shared by several prompts.
 const sharedBlocksKey = "shared"
 
-// prefixFilter decides which cached blocks agents are told of. Most of what replicas and stores cache belongs to one request and is of no use
-// to others: only blocks that a proxy has named as shared are published, besides what is cached when reading begins, since nobody may name
-// that again. The zero value is ready to use.
+// prefixFilter decides which cached blocks are published to agents. Most of what replicas and stores cache belongs to one request and
+// is useless to others, so only blocks that a proxy has named as shared are published. What is cached when reading starts is published
+// too, since those blocks may not be named again. The zero value is ready to use.
 type prefixFilter struct {
 	mu sync.Mutex
-	// sharedBlocks are the blocks that proxies have named; true: to this core, which has told the others.
+	// sharedBlocks are the blocks that proxies have named; true if named to this core, which has told the others.
 	sharedBlocks map[string]bool
 	// startedAt is when the first source was read.
 	startedAt time.Time
-	// sources are what was read, by the key of the updates.
+	// sources are the caches that were read, by the key of their updates.
 	sources map[string]*cacheSource
 }
 
@@ -38,14 +38,14 @@
 	published map[string]bool
 }
 
-// update notes a source's blocks (by key, how much is cached now) and gives the fields to publish.
+// update records a source's blocks (by key, how much is cached now) and returns the fields to publish.
 func (f *prefixFilter) update(source string, blocks map[string]int, full bool) register.Fields {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.startedAt.IsZero() {
 		f.startedAt = time.Now()
 	}
-	all := full || time.Since(f.startedAt) < startupPublication
+	all := full || time.Since(f.startedAt) < startupPublishPeriod
 	s := f.sources[source]
 	if s == nil || full {
 		s = &cacheSource{cached: map[string]int{}, published: map[string]bool{}}
@@ -66,7 +66,7 @@
 	return fields
 }
 
-// publishBlock adds a block to the fields if it is to be published, or its removal if it was published; f.mu is held.
+// publishBlock adds a block to the fields if it is to be published, or its removal if it was published before; f.mu must be held.
 func (f *prefixFilter) publishBlock(s *cacheSource, block string, all bool, fields register.Fields) {
 	amount, cached := s.cached[block]
 	_, shared := f.sharedBlocks[block]
@@ -80,8 +80,8 @@
 	}
 }
 
-// addShared notes blocks as shared, as a proxy has named them to this core (own) or to another one. It gives the blocks that the other cores are
-// to be told of, whether they are all that is known now, and by source what was held back of the blocks.
+// addShared records blocks as shared; own is true if a proxy named them to this core rather than to another one. It returns the blocks
+// to announce to the other cores, whether these replace all earlier ones, and by source the blocks that can now be published.
 func (f *prefixFilter) addShared(blocks []string, own bool) (announced register.Fields, full bool, released map[string]register.Fields) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +102,8 @@
 	return announced, full, released
 }
 
-// releaseBlock adds a block that has become shared to the fields of every source that has it cached unpublished; f.mu is held.
+// releaseBlock adds a block that has become shared to the fields of every source that has it cached but not published; f.mu must be
+// held.
 func (f *prefixFilter) releaseBlock(block string, released map[string]register.Fields) {
 	for name, s := range f.sources {
 		if s.cached[block] == 0 || s.published[block] {
@@ -115,7 +116,7 @@
 	}
 }
 
-// drop forgets a source, and gives the fields to publish in its place: none.
+// drop removes a source, and returns the fields to publish in its place: none.
 func (f *prefixFilter) drop(source string) register.Fields {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/controlplane/queries.go
+++ b/controlplane/queries.go
@@ -18,19 +18,19 @@
 	"asterridge/watch"
 )
 
-// proxyQueryTimeout bounds the answer of one agent.
+// proxyQueryTimeout is the time-out for one agent's response.
 const proxyQueryTimeout = 2 * time.Second
 
-// The states of a core, in rows of the query "members".
+// States of a core, in rows of the query "members".
 const (
 	stateMember       = "member"
 	stateTransferring = "carrying"
 )
 
-// Query asks for rows of one kind; Where keeps those whose fields meet all conditions.
+// Query requests rows of one kind; Where selects those whose fields meet all conditions.
 type Query struct {
 	Kind  string      `json:"what"`
-	Name  string      `json:"name,omitempty"` // of a request, where the kind takes one
+	Name  string      `json:"name,omitempty"` // the ID of a request, for kinds that take one
 	Where []Condition `json:"where,omitempty"`
 }
 
@@ -41,17 +41,17 @@
 	Value    string `json:"value"`
 }
 
-// QueryResponse has the rows, and the daemons that did not answer.
+// QueryResponse returns the rows, and the daemons that did not answer.
 type QueryResponse struct {
 	Rows         []router.Row `json:"rows"`
 	Unresponsive []string     `json:"silent,omitempty"`
 }
 
-// configItems gives, for each query of configured items, the prefix of their fields in the configuration's register.
+// configItems maps each query of configured items to the prefix of their fields in the configuration register.
 var configItems = map[string]string{"tenants": "tenant/", "pools": "pool/", "paths": "path/", "adapters": "adapter/", "hold": "hold"}
 
-// Query answers from this core's own state, or asks all proxies through their agents. The error is apierror.NotFound for a kind that there
-// is not.
+// Query answers from this core's own state, or queries all proxies through their agents. The error is apierror.NotFound for an unknown
+// kind.
 func (c *Core) Query(ctx context.Context, q Query) (response QueryResponse, err error) {
 	switch q.Kind {
 	case "holds":
@@ -87,11 +87,11 @@
 	return rows
 }
 
-// acknowledgementRows shows how far each agent is with the configuration.
+// acknowledgementRows lists which configuration each agent has applied.
 func (c *Core) acknowledgementRows() (rows []router.Row) {
 	newest := c.acceptor.Revision(config.Key)
 	for _, state := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
-		status, _ := agentStatus(state) // one that cannot be read is shown as not current
+		status, _ := agentStatus(state) // an unreadable status is shown as not current
 		row := router.Row{"agent": state.Name, "behind": state.Lag, "age_ms": state.AgeMs, "current": status.Current, "why": status.NotCurrentReason,
 			config.Key: state.Applied[config.Key].Version, "has_newest": state.Applied[config.Key] == newest, "proxy": ""}
 		if status.Proxy != nil {
@@ -102,29 +102,29 @@
 	return rows
 }
 
-// agentStatus reads what an agent reported of itself with its last request.
+// agentStatus decodes the status that an agent sent with its last request.
 func agentStatus(state watch.ClientState) (status protocol.AgentStatus, ok bool) {
 	ok = json.Unmarshal(state.Status, &status) == nil
 	return status, ok
 }
 
-// memberRows shows the members, whether keys are being transferred to their list, and the cores that ask to be admitted.
+// memberRows lists the members, whether registers are being transferred to them, and the joiners.
 func (c *Core) memberRows() (rows []router.Row) {
 	live := map[string]bool{}
 	for _, name := range c.live() {
 		live[name] = true
 	}
-	now := c.membership()
-	for _, m := range now.members {
+	current := c.membership()
+	for _, m := range current.members {
 		rows = append(rows, router.Row{"id": m.ID, "name": m.Name, "address": m.Address, "zone": m.Zone, "live": live[m.Name], "state": stateMember, "incarnation": m.Incarnation})
 	}
 	if c.acceptor.Read(config.MembersKey).Fields[membership.PreviousField] != nil {
-		rows = append(rows, router.Row{"name": "(keys are being carried over to this list)", "state": stateTransferring})
+		rows = append(rows, router.Row{"name": "(keys are being transferred to this list)", "state": stateTransferring})
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, joiner := range c.joiners {
-		if time.Since(joiner.HeardAt) < membership.JoinerTimeout && !now.hasIncarnation(joiner.Incarnation) {
+		if time.Since(joiner.HeardAt) < membership.JoinerTimeout && !current.hasIncarnation(joiner.Incarnation) {
 			rows = append(rows, router.Row{"name": joiner.Name, "address": joiner.Address, "zone": joiner.Zone, "live": true,
 				"state": router.JoinerState, "image": joiner.CaughtUp, "incarnation": joiner.Incarnation})
 		}
@@ -132,7 +132,7 @@
 	return rows
 }
 
-// ownerRows shows every register of this core's disk with the owner that it would be taken to.
+// ownerRows lists every register on this core's disk with its owner, as chosen among the members that are live for this core.
 func (c *Core) ownerRows() (rows []router.Row) {
 	for _, key := range c.acceptor.Keys() {
 		record := c.acceptor.Read(key)
@@ -168,7 +168,7 @@
 	return rows
 }
 
-// queryProxies asks every proxy through its agent, one after another.
+// queryProxies queries every proxy through its agent, one after another.
 func (c *Core) queryProxies(ctx context.Context, q router.Query) (response QueryResponse) {
 	for _, state := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
 		status, ok := agentStatus(state)
@@ -188,20 +188,20 @@
 }
 
 func filterRows(rows []router.Row, where []Condition) []router.Row {
-	kept := []router.Row{}
+	matching := []router.Row{}
 	for _, row := range rows {
-		fits := true
+		matchesAll := true
 		for _, condition := range where {
-			fits = fits && condition.matches(row)
+			matchesAll = matchesAll && condition.matches(row)
 		}
-		if fits {
-			kept = append(kept, row)
+		if matchesAll {
+			matching = append(matching, row)
 		}
 	}
-	return kept
+	return matching
 }
 
-// matches compares texts with "=" and "!=", and numbers with "<" and ">"; what is no number matches neither of these.
+// matches compares text with "=" and "!=", and numbers with "<" and ">"; a value that is not a number matches neither of the latter.
 func (c Condition) matches(row router.Row) bool {
 	text := fmt.Sprint(row[c.Field])
 	switch c.Operator {
--- a/controlplane/retirement_controller.go
+++ b/controlplane/retirement_controller.go
@@ -18,27 +18,29 @@
 
 const (
 	retirementInterval = 400 * time.Millisecond
-	// adapterLoadShare is the part of a pool that loads at the same time: a third. As many drop a base at the same time.
-	adapterLoadShare = 3
-	// drainTime is T + U + W + A: a route that was switched so long ago leads no request to the old base any more (docs/design.md §3.2).
+	// adapterLoadDivisor limits how many replicas of a pool load at the same time: a third. It also limits how many drop a base at the
+	// same time.
+	adapterLoadDivisor = 3
+	// drainTime is T + U + W + A: once a route was switched that long ago, no request can follow it to the old base any more
+	// (docs/design.md §3.2).
 	drainTime = protocol.FreshLimit + protocol.UndecidedLimit + router.SendTime
 )
 
-// retirementController is the singleton role that has replicas load bases and adapters, and carries retirements through. It is a
-// reconciliation loop: each step works from what the registers desire and the replicas report, never from what an earlier step did
-// (docs/design.md §6.6).
+// retirementController is the singleton role that has replicas load bases and adapters, and carries out retirements. It is a
+// reconciliation loop: each step compares the desired state in the registers with what the replicas report, and never relies on the
+// result of an earlier step (docs/design.md §6.6).
 type retirementController struct {
 	core      *Core
 	candidate *lease.Candidate
-	// minVersion is the register's version that this holder has written: a state that lacks it is not acted upon.
+	// minVersion is the register version last written by this holder: an older state is not acted on.
 	minVersion uint64
-	// loggedWait is what holds up a retirement, as the log has it.
-	loggedWait string
-	// committedSince is when the register's present version was first seen here committed.
+	// loggedBlocker is the blocker of a retirement that was last logged.
+	loggedBlocker string
+	// committedSince is when this core first saw the current version of the register committed.
 	committedSince map[uint64]time.Time
 }
 
-// runRetirements campaigns for the role where adapters are configured, and performs it while it is held, until the context ends.
+// runRetirements campaigns for the role if adapters are configured, and performs it while holding it, until the context ends.
 func (c *Core) runRetirements(ctx context.Context) {
 	r := &retirementController{core: c, candidate: c.newCandidate(retirementRole, roleLease), committedSince: map[uint64]time.Time{}}
 	go r.runCampaigns(ctx)
@@ -49,7 +51,7 @@
 	})
 }
 
-// runCampaigns keeps the candidate going while the configuration has adapters: a fleet without any has no such lease.
+// runCampaigns campaigns while the configuration has adapters: a fleet without adapters has no such lease.
 func (r *retirementController) runCampaigns(ctx context.Context) {
 	var seen register.Revision
 	hasAdapters := false
@@ -65,7 +67,7 @@
 	})
 }
 
-// step gives replicas the orders that they need, and moves one retirement on.
+// step sends replicas the orders that they need, and advances one retirement.
 func (r *retirementController) step(ctx context.Context) {
 	state := r.core.collectAdapterState(ctx)
 	if state == nil || state.version < r.minVersion {
@@ -78,16 +80,16 @@
 			continue
 		}
 		if state.holder.Holder != r.candidate.Holder() {
-			r.write(ctx, state, RetirementStep{}) // from here on the holder before us writes nothing
+			r.write(ctx, state, RetirementStep{}) // once this is written, the previous holder's writes are rejected
 			return
 		}
 		if r.advance(ctx, state, retirement) {
-			return // the next step looks at what stands then
+			return // the next step starts from the new state
 		}
 	}
 }
 
-// advance has bases dropped and takes the next step of a retirement, if there is one.
+// advance orders bases to be dropped, and takes the next step of a retirement if there is one.
 func (r *retirementController) advance(ctx context.Context, state *adapterState, retirement config.Retirement) (changed bool) {
 	drained := r.isDrained(state.version)
 	switch retirement.Phase {
@@ -98,19 +100,19 @@
 			r.drop(ctx, state, retirement.New)
 		}
 	}
-	next, changed, waitsFor := state.nextStep(retirement, drained, r.core.wallClock())
+	next, changed, blocker := state.nextStep(retirement, drained, r.core.wallClock())
 	if changed {
 		r.write(ctx, state, RetirementStep{Old: retirement.Old, Next: next})
 		return true
 	}
-	if waitsFor != r.loggedWait {
-		r.loggedWait = waitsFor
-		r.core.host.Log.Info().Str("old", retirement.Old).Str("waits_for", waitsFor).Msg("retirement waits")
+	if blocker != r.loggedBlocker {
+		r.loggedBlocker = blocker
+		r.core.host.Log.Info().Str("old", retirement.Old).Str("waits_for", blocker).Msg("retirement waits")
 	}
 	return false
 }
 
-// isDrained reports whether the present version has been committed for so long that no proxy acts on an older one.
+// isDrained reports whether the current version has been committed for so long that no proxy acts on an older one.
 func (r *retirementController) isDrained(version uint64) bool {
 	since, known := r.committedSince[version]
 	if !known {
@@ -120,7 +122,7 @@
 	return time.Since(since) > drainTime
 }
 
-// write writes a step, under our lease and upon the version that it was worked out from.
+// write writes a step under the current lease, provided that the register still has the version that the step is based on.
 func (r *retirementController) write(ctx context.Context, state *adapterState, step RetirementStep) {
 	number, held := r.candidate.Held()
 	if !held {
@@ -138,11 +140,11 @@
 	entry.Msg("retirement moved on")
 }
 
-// load gives each replica its next order; at most a third of a pool loads at a time.
+// load sends each replica its next order; at most a third of a pool loads at the same time.
 func (r *retirementController) load(ctx context.Context, state *adapterState) {
 	var orders sync.WaitGroup
 	for _, names := range state.pools {
-		slots := max(1, len(names)/adapterLoadShare)
+		slots := max(1, len(names)/adapterLoadDivisor)
 		for _, name := range names {
 			if isLoading(state.reports[name]) {
 				slots--
@@ -164,7 +166,7 @@
 	orders.Wait()
 }
 
-// drop has replicas drop a base; one on which work runs refuses, and is asked again.
+// drop orders replicas to drop a base. A replica with running requests on the base refuses, and is asked again.
 func (r *retirementController) drop(ctx context.Context, state *adapterState, base string) {
 	var orders sync.WaitGroup
 	for pool := range state.pools {
@@ -176,7 +178,7 @@
 	orders.Wait()
 }
 
-// order sends an order under our lease, if it is still held.
+// order sends an order under the current lease, if it is still held.
 func (r *retirementController) order(ctx context.Context, replica config.Replica, order router.AdapterOrder) {
 	number, held := r.candidate.Held()
 	if !held {
