--- a/controlplane/acceptors.go
+++ b/controlplane/acceptors.go
@@ -120,7 +120,7 @@
 		c.refreshMembership(current)
 	}
 	if request.MembersVersion != current.version {
-		return apierror.New(apierror.OtherMembers, "the sender acts on membership version %d, this core on %d", request.MembersVersion, current.version)
+		return apierror.New(apierror.OtherMembers, "sender has membership version %d, this core %d", request.MembersVersion, current.version)
 	}
 	if key != config.MembersKey && c.acceptor.Revision(config.MembersKey).Version > current.version {
 		return apierror.New(apierror.OtherMembers, "a newer membership is accepted but not committed")
--- a/controlplane/adapter_state.go
+++ b/controlplane/adapter_state.go
@@ -34,13 +34,13 @@
 // collectAdapterState queries all replicas of model pools. It returns nil if no adapter is configured, or if the content of the
 // registers on this core is not committed.
 func (c *Core) collectAdapterState(ctx context.Context) *adapterState {
-	configRecord, retirementRecord := c.acceptor.Read(config.Key), c.acceptor.Read(config.RetirementKey)
+	configRecord, retireRecord := c.acceptor.Read(config.Key), c.acceptor.Read(config.RetirementKey)
 	plan, err := config.FromFields(configRecord.Fields)
-	if err != nil || len(plan.Adapters) == 0 || !configRecord.IsCommitted() || !retirementRecord.IsCommitted() {
+	if err != nil || len(plan.Adapters) == 0 || !configRecord.IsCommitted() || !retireRecord.IsCommitted() {
 		return nil
 	}
-	state := &adapterState{version: retirementRecord.Revision.Version, plan: plan, pools: map[string][]string{}, reports: map[string]router.Report{}}
-	if state.retirements, state.holder, err = config.ParseRetirements(retirementRecord.Fields); err != nil {
+	state := &adapterState{version: retireRecord.Revision.Version, plan: plan, pools: map[string][]string{}, reports: map[string]router.Report{}}
+	if state.retirements, state.holder, err = config.ParseRetirements(retireRecord.Fields); err != nil {
 		return nil
 	}
 	state.desired = plan.Desired(state.retirements)
@@ -75,7 +75,7 @@
 func (s *adapterState) nextOrder(name string) (order router.AdapterOrder, blocker string) {
 	report, answered := s.reports[name]
 	if !answered {
-		return order, "the replica does not answer"
+		return order, "a report from the replica"
 	}
 	for _, placement := range s.desired[s.replicas[name].Pool] {
 		base, hasBase := report.Bases[placement.Base]
@@ -113,7 +113,7 @@
 	return false
 }
 
-// poolsOf lists the pools that serve an adapter.
+// poolsOf lists the pools that serve an adapter, in order of name.
 func (s *adapterState) poolsOf(adapter string) (pools []string) {
 	for _, path := range s.plan.Paths {
 		for _, target := range path.Pools() {
--- a/controlplane/byte_budget.go
+++ b/controlplane/byte_budget.go
@@ -2,7 +2,8 @@
 
 import "sync"
 
-// defaultPendingBytes is the limit per member if Options.PendingBytes is not set, because the deployment does not state its memory.
+// defaultPendingBytes is the limit per member if Options.PendingBytes is not set, because the deployment does not state how much memory
+// there is.
 const defaultPendingBytes = 16 << 20
 
 // byteBudget limits the bytes awaiting each member's response. Without a limit, the requests to a suspended member would accumulate in
--- a/controlplane/cache_readers.go
+++ b/controlplane/cache_readers.go
@@ -134,8 +134,8 @@
 	c.agentUpdates.PublishDeferred(key, fields, full)
 }
 
-// addShared records blocks that a proxy has named as shared, tells the other cores, and publishes the sources of these blocks that were
-// not published before.
+// addShared records blocks that a proxy has named as shared, tells the other cores, and publishes those of these blocks that had been
+// withheld.
 func (c *Core) addShared(blocks []string) {
 	announced, full, released := c.prefixes.addShared(blocks, true)
 	if len(announced) > 0 {
--- a/controlplane/change_once.go
+++ b/controlplane/change_once.go
@@ -8,10 +8,11 @@
 	"asterridge/register"
 )
 
-// changeOnce applies an operator's request to a register. A request that has an idempotency key and was applied before gets the same
-// response again, without a change; request is the request as the caller sent it under its key. op sees the register without the history
-// of applied requests. Besides the errors of op and of register.Owner, it returns apierror.KeyReused and apierror.Forgotten.
-func (c *Core) changeOnce(ctx context.Context, registerKey, changeName string, key idempotency.Key, request any, op register.Op) (Accepted, error) {
+// changeOnce applies an operator's request to a register; label names the change in the log. A request that has an idempotency key and
+// was applied before gets the same response again, without a change; request is what the caller sent under its key. op sees the
+// register without the history of applied requests. Besides the errors of op and of register.Owner, it returns apierror.KeyReused and
+// apierror.Forgotten.
+func (c *Core) changeOnce(ctx context.Context, registerKey, label string, key idempotency.Key, request any, op register.Op) (Accepted, error) {
 	order, err := idempotency.Identify(key, request)
 	if err != nil {
 		return Accepted{}, err
@@ -31,7 +32,7 @@
 		}
 		return withHistory(change, history.Remember(order, version+1)), nil
 	})
-	c.logOutcome(changeName, registerKey, revision, err)
+	c.logOutcome(label, registerKey, revision, err)
 	if err == nil && applied > 0 {
 		return Accepted{Version: applied}, nil
 	}
--- a/controlplane/config.go
+++ b/controlplane/config.go
@@ -78,9 +78,9 @@
 // applyNumberedConfig applies a numbered configuration (docs/design.md §2.9). A repeated request gets the same response as the first
 // one.
 func (c *Core) applyNumberedConfig(ctx context.Context, d config.NumberedConfig) (Accepted, error) {
-	revision, err := c.owner.Change(ctx, config.Key, func(present register.Fields, version uint64) (register.Fields, error) {
-		change, err := config.ApplyNumbered(present, version, d)
-		if err == nil && len(change) > 0 && present[throttleField] == nil && c.options.Throttle != nil {
+	revision, err := c.owner.Change(ctx, config.Key, func(current register.Fields, version uint64) (register.Fields, error) {
+		change, err := config.ApplyNumbered(current, version, d)
+		if err == nil && len(change) > 0 && current[throttleField] == nil && c.options.Throttle != nil {
 			change.Apply(config.Field(throttleField, c.options.Throttle))
 		}
 		return change, err
--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -124,7 +124,7 @@
 	versionsMu        sync.Mutex
 	announcedVersions map[string][]announcedVersion
 
-	mu sync.Mutex // guards what follows
+	mu sync.Mutex // guards the fields below
 	// peers are the watches on the other members, by member name.
 	peers map[string]*watch.Client
 	// bootstrapContacts are the cores contacted before a membership existed: incarnation by address.
--- a/controlplane/doc.go
+++ b/controlplane/doc.go
@@ -1,7 +1,7 @@
-// Package controlplane implements the core, the process that keeps the fleet's control state. Several cores, one per zone, replicate the same
-// registers on their disks. There is no shared log and no global leader: each register has one owner at a time, chosen by rendezvous hashing
-// among the live members. The owner changes the register under an epoch, with the agreement of a majority of the members' acceptors (package
-// register).
+// Package controlplane implements the core, the process that keeps the fleet's control state. Several cores, one per zone, replicate
+// the same registers on their disks. There is no shared log and no global leader: each register has one owner at a time, chosen by
+// rendezvous hashing among the live members. The owner changes the register under an epoch, with the agreement of a majority of the
+// members' acceptors (package register).
 //
 // Core is the state of one such process. It is spread over these files:
 //
--- a/controlplane/membership.go
+++ b/controlplane/membership.go
@@ -148,7 +148,8 @@
 	close(c.membershipChanged)
 	c.membershipChanged = make(chan struct{})
 	c.mu.Unlock()
-	c.host.Log.Info().Uint64("version", current.version).Int("members", len(current.members)).Bool("member", current.self != nil).Msg("membership changed")
+	c.host.Log.Info().Uint64("version", current.version).Int("members", len(current.members)).Bool("member", current.self != nil).
+		Msg("membership changed")
 }
 
 // recordMembership stores which list is committed, so that this core need not learn it from other cores after a restart.
@@ -282,7 +283,7 @@
 		if !c.isConfirmed(ctx, proposal, members) {
 			return
 		}
-		if _, err := c.applyMembershipChange(ctx, proposal.Change); err == nil { // a failure is logged by applyMembershipChange and retried at the next tick
+		if _, err := c.applyMembershipChange(ctx, proposal.Change); err == nil { // a failure is logged and retried at the next tick
 			c.wake()
 		}
 	}()
--- a/controlplane/model_loader.go
+++ b/controlplane/model_loader.go
@@ -49,7 +49,7 @@
 	// retryAfter is the time before which a replica is not reserved again.
 	retryAfter map[string]time.Time
 
-	mu sync.Mutex // guards what follows
+	mu sync.Mutex // guards the fields below
 	// reservedAt is when this holder first saw a reservation; orderedAt is when the replica was last ordered to load.
 	reservedAt map[string]time.Time
 	orderedAt  map[string]time.Time
@@ -75,8 +75,8 @@
 	published, loaded uint64
 	// reserved is true if the reservation already exists.
 	reserved bool
-	// first is true if the replica was never ordered to load, so that no earlier holder's orders need to be waited out.
-	first bool
+	// neverOrdered is true if the replica was never ordered to load, so that no earlier holder's orders need to be waited out.
+	neverOrdered bool
 	// maxReserved is how many replicas of the pool may be reserved at the same time.
 	maxReserved int
 }
@@ -146,7 +146,7 @@
 		switch {
 		case load.reserved:
 			reserved[pool]++
-		case reserved[pool] < load.maxReserved && now.After(l.retryAfter[name]) && (load.first || now.After(previousEnd)):
+		case reserved[pool] < load.maxReserved && now.After(l.retryAfter[name]) && (load.neverOrdered || now.After(previousEnd)):
 			reserved[pool]++
 			change.Apply(config.Field(name, load.order))
 			l.ownReservations[name] = true
@@ -311,7 +311,7 @@
 		}
 		if loaded < published {
 			order := config.LoadOrder{Model: model, Version: published}
-			return pendingLoad{replica: replica, order: order, published: published, loaded: loaded, first: last == nil}, true
+			return pendingLoad{replica: replica, order: order, published: published, loaded: loaded, neverOrdered: last == nil}, true
 		}
 	}
 	return pendingLoad{}, false
--- a/controlplane/prefix_filter.go
+++ b/controlplane/prefix_filter.go
@@ -12,7 +12,7 @@
 // maxSharedBlocks limits how many blocks are remembered as shared; beyond it the set is cleared and learned again.
 const maxSharedBlocks = 200000
 
-// startupPublishPeriod is for how long after reading its first source a core publishes all cached blocks. Until then it knows of no
+// startupPublishPeriod is for how long after reading its first source a core publishes all cached blocks. At first it knows of no
 // shared blocks, and proxies restarted together with it do not know which replica has which block.
 const startupPublishPeriod = 20 * time.Second
 
--- a/controlplane/retirement_controller.go
+++ b/controlplane/retirement_controller.go
@@ -124,16 +124,16 @@
 
 // write writes a step under the current lease, provided that the register still has the version that the step is based on.
 func (r *retirementController) write(ctx context.Context, state *adapterState, step RetirementStep) {
-	number, held := r.candidate.Held()
+	leaseNumber, held := r.candidate.Held()
 	if !held {
 		return
 	}
-	step.ExpectedVersion, step.Holder = state.version, config.RoleHolder{Holder: r.candidate.Holder(), Lease: number}
+	step.ExpectedVersion, step.Holder = state.version, config.RoleHolder{Holder: r.candidate.Holder(), Lease: leaseNumber}
 	accepted, err := rpc.Call[Accepted](ctx, r.core.rpc, r.core.host.Address, "/op/advance", step)
 	if err == nil {
 		r.minVersion = accepted.Version
 	}
-	entry := r.core.host.Log.Info().Str("old", step.Old).Uint64("version", accepted.Version).Uint64("lease", number).AnErr("failure", err)
+	entry := r.core.host.Log.Info().Str("old", step.Old).Uint64("version", accepted.Version).Uint64("lease", leaseNumber).AnErr("failure", err)
 	if step.Next != nil {
 		entry = entry.Str("phase", string(step.Next.Phase)).Interface("moves", step.Next.Moves)
 	}
@@ -180,12 +180,12 @@
 
 // order sends an order under the current lease, if it is still held.
 func (r *retirementController) order(ctx context.Context, replica config.Replica, order router.AdapterOrder) {
-	number, held := r.candidate.Held()
+	leaseNumber, held := r.candidate.Held()
 	if !held {
 		return
 	}
-	order.Lease = number
+	order.Lease = leaseNumber
 	err := replicaclient.PostOrder(ctx, r.core.replicaClient, replica.Address+router.AdapterPath, order)
 	r.core.host.Log.Info().Str("replica", replica.Name).Str("action", order.Do).Str("base", order.Base).Str("adapter", order.Adapter).
-		Str("build", order.Build).Uint64("lease", number).AnErr("failure", err).Msg("replica told to change adapters")
+		Str("build", order.Build).Uint64("lease", leaseNumber).AnErr("failure", err).Msg("replica told to change adapters")
 }
--- a/controlplane/tick.go
+++ b/controlplane/tick.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// tickInterval is the time between two ticks; minTickInterval is the minimum time before a requested tick.
+	// tickInterval is the time between two ticks; minTickInterval is the minimum time between a tick and a requested one.
 	tickInterval    = 300 * time.Millisecond
 	minTickInterval = 20 * time.Millisecond
 )
--- a/controlplane/weights_rollout.go
+++ b/controlplane/weights_rollout.go
@@ -95,13 +95,13 @@
 	}
 	var orders sync.WaitGroup
 	for _, replica := range state.outdated[:max(0, min(slots, len(state.outdated)))] {
-		number, held := r.candidate.Held()
+		leaseNumber, held := r.candidate.Held()
 		if !held {
 			break
 		}
 		orders.Go(func() {
 			err := replicaclient.PostOrder(ctx, r.replicaClient, replica.Address+r.protocol.LoadPath(), loadWeightsOrder{Order: order, Weights: weights})
-			r.core.host.Log.Info().Str("replica", replica.Name).Str("weights", weights).Uint64("order", order).Uint64("lease", number).
+			r.core.host.Log.Info().Str("replica", replica.Name).Str("weights", weights).Uint64("order", order).Uint64("lease", leaseNumber).
 				AnErr("failure", err).Msg("replica told to load weights")
 		})
 	}
