--- a/controlplane/core.go
+++ b/controlplane/core.go
@@ -96,8 +96,8 @@
 	leaving atomic.Bool
 	// caughtUp is true if, at the last tick, a majority was reachable and everything it had committed was on this core's disk.
 	caughtUp atomic.Bool
-	// damaged is true if a torn file has lost a promise or an accepted change. This core's responses then count toward no quorum until
-	// it has caught up (docs/design.md §2.5).
+	// damaged is true if a torn file has lost an accepted change. This core's responses then count toward no quorum until it has caught
+	// up (docs/design.md §2.5).
 	damaged atomic.Bool
 
 	// transferMu guards transferred and is held while registers are transferred.
--- a/controlplane/metrics.go
+++ b/controlplane/metrics.go
@@ -27,8 +27,8 @@
 	for _, state := range c.agentUpdates.ClientStates(protocol.ProxyTimeout) {
 		all = append(all, daemon.Gauge{Name: "core_agent_behind", Value: float64(state.Lag), Label: [2]string{"agent", state.Name}})
 	}
-	sent, alarms := c.detector.Stats()
+	sent, suspected := c.detector.Stats()
 	return append(all,
 		daemon.Gauge{Name: "ring_messages_sent", Value: float64(sent)},
-		daemon.Gauge{Name: "ring_alarms", Value: float64(alarms)})
+		daemon.Gauge{Name: "ring_alarms", Value: float64(suspected)})
 }
