--- a/router/claims.go
+++ b/router/claims.go
@@ -8,12 +8,12 @@
 	"asterridge/rpc"
 )
 
-// Claim asks for a client's idempotency key, or reports how the request that holds it ended (docs/design.md §5.5).
+// Claim requests a client's idempotency key, or reports how the request that holds it ended (docs/design.md §5.5).
 type Claim struct {
 	Tenant string `json:"tenant"`
 	Key    string `json:"key"`
 	Nonce  string `json:"nonce"`
-	State  string `json:"state"` // "running", "ran", "unknown", or "free" to give it back
+	State  string `json:"state"` // "running", "ran", "unknown", or "free" to release it
 }
 
 // Handle claims the client's idempotency key before the first attempt of a request that is not idempotent.
@@ -32,11 +32,11 @@
 	case apierror.Is(err, apierror.InProgress), apierror.Is(err, apierror.KeyUnknown), apierror.Is(err, apierror.KeyExecuted):
 		return err
 	}
-	x.claimed = true // it may stand: give it back
+	x.claimed = true // the claim may have been granted: release it
 	return again(apierror.New(apierror.NoClaim, "%v", err), time.Second)
 }
 
-// releaseClaim releases the key if the request ended without being executed, and else reports that its outcome is unknown.
+// releaseClaim releases the key if the request ended without being executed, and otherwise reports its outcome as unknown.
 func (r *Router) releaseClaim(x *Exchange, err error) {
 	state := "free"
 	if apierror.Of(err).Code.Executed != apierror.NotRun {
--- a/router/exchange.go
+++ b/router/exchange.go
@@ -12,29 +12,29 @@
 	"asterridge/queue"
 )
 
-// State of a request (docs/design.md §5.1).
+// State is the state of a request (docs/design.md §5.1).
 type State string
 
-// The states, in the order in which a request comes through them.
+// The states, in the order in which a request passes through them.
 const (
 	Received  State = "received"   // its header was read
 	Eligible  State = "eligible"   // it waits in the queue
 	Submitted State = "submitted"  // it is being written to a replica
 	RetryWait State = "retry_wait" // it is to be attempted again
-	Done      State = "done"       // its answer was passed on
+	Done      State = "done"       // its answer was passed on completely
 	Failed    State = "failed"     // it ended with an error
 	Stale     State = "stale"      // its deadline passed while it waited
 )
 
-// next lists the states that may follow each state.
-var next = map[State][]State{
+// nextStates lists the states that may follow each state.
+var nextStates = map[State][]State{
 	Received:  {Eligible, Failed, Stale},
 	Eligible:  {Submitted, Failed, Stale},
 	Submitted: {Done, Failed, RetryWait},
 	RetryWait: {Eligible, Failed, Stale},
 }
 
-// Event is one step of a request, for the audit.
+// Event is a state transition of a request, as the audit ring records it.
 type Event struct {
 	Request string    `json:"request"`
 	Tenant  string    `json:"tenant,omitempty"`
@@ -46,17 +46,16 @@
 	Replica string    `json:"replica,omitempty"`
 }
 
-// audit is a bounded ring of events; the oldest are overwritten.
+// audit is a bounded ring of events; new events overwrite the oldest ones.
 type audit struct {
 	mu     sync.Mutex
 	events []Event
 	at     int
 }
 
-// newAudit makes an audit of so many events.
+// newAudit returns an audit that holds the given number of events.
 func newAudit(size int) *audit { return &audit{events: make([]Event, 0, size)} }
 
-// add notes an event.
 func (a *audit) add(e Event) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,26 +67,26 @@
 	a.at = (a.at + 1) % len(a.events)
 }
 
-// find lists the events that match, the oldest first.
-func (a *audit) find(fits func(Event) bool) []Event {
+// find returns the matching events, oldest first.
+func (a *audit) find(matches func(Event) bool) []Event {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var events []Event
 	for i := range a.events {
-		if e := a.events[(a.at+i)%len(a.events)]; fits(e) {
+		if e := a.events[(a.at+i)%len(a.events)]; matches(e) {
 			events = append(events, e)
 		}
 	}
 	return events
 }
 
-// Exchange is one request on its way through the filters.
+// Exchange is one request and its state on the way through the filters.
 type Exchange struct {
 	ID        string
 	Request   *http.Request
 	Body      []byte
 	Prompt    Prompt
-	Key       string // the client's idempotency key; empty: none
+	Key       string // the client's idempotency key; empty if it sent none
 	Access    string // hash of the access key
 	View      *View
 	Tenant    *tenant
@@ -95,45 +94,45 @@
 	Deadline  time.Time
 	Received  time.Time
 	Sent      time.Time     // when the last attempt was written
-	remaining time.Duration // the time that the replica was told it has
+	remaining time.Duration // the remaining time that the replica was told
 
 	Idempotent  bool
 	Attempt     int
 	State       State
 	Answer      *Answer
-	Pool        *pool  // the one that the path's weights gave it
-	LastEventID uint64 // of a stream that is resumed: the last event that the client has
+	Pool        *pool  // chosen by the weights of the path's pools
+	LastEventID uint64 // of a resumed stream: the last event that the client has
 
 	connection *clientConn
-	// blocks are the prompt's blocks by cache domain, made once each.
+	// blocks caches the prompt's blocks by cache domain.
 	blocks map[string][]prefixindex.Block
 	item   queue.Item
-	// What the present attempt has: the replica and its weights, where the request runs on it, where it fetches the prefix from and leaves it
-	// at, and its write on the replica's connection.
+	// State of the current attempt: the replica and its weights, the placement of the request there, the sources from which the
+	// replica may fetch the prefix, the sink where it leaves it, and the write on the replica's connection.
 	replica   *replica
 	weights   string
 	placement config.Placement
 	source    string
 	sink      string
 	write     *requestWrite
-	// resumedPlacement is that of a stream that is resumed: all its chunks come from there.
+	// resumedPlacement is the placement of a resumed stream, all of whose chunks have to come from the same placement.
 	resumedPlacement config.Placement
-	// advice is the replica that a core has named for the present attempt.
+	// advice is the replica that a core recommended for the current attempt.
 	advice advice
-	// prefill is the credit until the first chunk; then it is empty.
+	// prefill is the credit until the first chunk arrives, then the zero value.
 	prefill credit
-	// unsentAttempts counts the replicas that the request was given and not written to.
+	// unsentAttempts counts the attempts of which no byte was written.
 	unsentAttempts int
-	// claimed: the idempotency key may be held by this request.
+	// claimed: this request may hold a claim on its idempotency key.
 	claimed bool
-	// mayHaveExecuted: some attempt may have been executed.
+	// mayHaveExecuted: at least one attempt may have been executed.
 	mayHaveExecuted bool
 }
 
-// Replica names the replica that the request is sent to.
+// Replica returns the name of the replica that the request is sent to.
 func (x *Exchange) Replica() string { return x.replica.Name }
 
-// end finishes the answer: the replica's connection is released. Only the first call counts.
+// end finishes the answer and releases the replica's connection. Only the first call has an effect.
 func (a *Answer) end(err error) {
 	finish := a.finish
 	a.finish = func(error) {}
@@ -146,20 +145,20 @@
 	Header     http.Header
 	firstChunk []byte
 	Body       io.ReadCloser
-	AtEnd      func(tail []byte) bool // whether the stream's own end marker has come; nil if there is none
-	Complete   bool                   // firstChunk is the whole answer
-	buffer     *[chunkSize]byte       // firstChunk's, used again for the chunks after it
+	AtEnd      func(tail []byte) bool // reports the stream's end marker; nil if the protocol has none
+	Complete   bool                   // firstChunk is the entire answer
+	buffer     *[chunkSize]byte       // holds firstChunk, then the chunks after it
 	finish     func(err error)
 }
 
-// step moves a request to its next state, and notes the step in audit, counters and log.
+// step moves a request to its next state, and records the transition in the audit, the counters and the log.
 func (r *Router) step(x *Exchange, to State, reason string) {
-	lawful := x.State == "" && to == Received
-	for _, s := range next[x.State] {
-		lawful = lawful || s == to
+	valid := x.State == "" && to == Received
+	for _, s := range nextStates[x.State] {
+		valid = valid || s == to
 	}
-	if !lawful {
-		panic("request " + x.ID + ": no step from " + string(x.State) + " to " + string(to))
+	if !valid {
+		panic("request " + x.ID + ": invalid state transition from " + string(x.State) + " to " + string(to))
 	}
 	e := Event{Request: x.ID, Prior: x.State, New: to, Attempt: x.Attempt, At: r.options.Clock(), Reason: reason}
 	if x.Tenant != nil {
@@ -175,7 +174,7 @@
 		Str("to", string(to)).Int(AttemptColumn, x.Attempt).Str("reason", reason).Str("replica", e.Replica).Msg("request state changed")
 }
 
-// end closes a request that was not answered.
+// end moves a request that ended with an error to its final state.
 func (r *Router) end(x *Exchange, err error) {
 	to := Failed
 	if apierror.Is(err, apierror.Stale) || apierror.Is(err, apierror.Throttled) {
--- a/router/filters.go
+++ b/router/filters.go
@@ -10,33 +10,33 @@
 	"asterridge/throttle"
 )
 
-// handle is the part of the chain after a filter.
-type handle func(ctx context.Context, x *Exchange) error
+// handler is the part of the chain that follows a filter.
+type handler func(ctx context.Context, x *Exchange) error
 
-// Filter is one policy on a request's way (docs/design.md §5.2). It may end the request with an error, change the exchange, and call
-// onward.
+// Filter is one policy in the request chain (docs/design.md §5.2). It may end the request with an error, modify the exchange, and call
+// onward to continue the chain.
 type Filter interface {
 	Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error
 }
 
 type (
-	currencyFilter struct{ r *Router }
-	identityFilter struct{ r *Router }
-	pathFilter     struct{ r *Router }
-	attemptsFilter struct{ r *Router }
-	balanceFilter  struct{ r *Router }
-	queueFilter    struct{ r *Router }
-	claimFilter    struct{ r *Router }
-	sendFilter     struct{ r *Router }
+	admissionFilter struct{ r *Router }
+	identityFilter  struct{ r *Router }
+	pathFilter      struct{ r *Router }
+	attemptsFilter  struct{ r *Router }
+	balanceFilter   struct{ r *Router }
+	queueFilter     struct{ r *Router }
+	claimFilter     struct{ r *Router }
+	sendFilter      struct{ r *Router }
 )
 
-// Bounds on requests where the configuration sets none, and the sizes of a header's fixed parts.
+// Limits on requests where the configuration sets none.
 const (
-	defaultHeaderBytes = 64 << 10 // of a request, where the configuration does not say
+	defaultHeaderBytes = 64 << 10 // request line and header
 	defaultBodyBytes   = 16 << 20
 )
 
-// headerSize is the size in bytes of a request's line and header on the wire.
+// headerSize returns the size in bytes of a request line and header on the wire.
 func headerSize(q *http.Request) int {
 	const spaces, lineEnd, separator, hostName = 2, 2, 2, 4
 	size := len(q.Method) + len(q.RequestURI) + len(q.Proto) + spaces + lineEnd
@@ -49,50 +49,51 @@
 	return size
 }
 
-// checkHeader rejects a header above the configuration's bound, with apierror.HeaderOversize.
+// checkHeader rejects a header above the configured limit with apierror.HeaderOversize.
 func (v *View) checkHeader(q *http.Request) error {
 	limit := defaultHeaderBytes
 	if v.limits.HeaderBytes > 0 {
 		limit = v.limits.HeaderBytes
 	}
 	if size := headerSize(q); size > limit {
-		return apierror.New(apierror.HeaderOversize, "a header of %d bytes, at most %d", size, limit)
+		return apierror.New(apierror.HeaderOversize, "request header of %d bytes exceeds the limit of %d", size, limit)
 	}
 	return nil
 }
 
-// decode makes an exchange of a client's request. The body is read later, when its bound is known.
+// decode creates the exchange of a client's request. The body is read later, when its size limit is known.
 func (r *Router) decode(ctx context.Context, q *http.Request) (any, error) {
 	conn := ctx.Value(clientConnKey{}).(*clientConn)
 	return &Exchange{ID: conn.id, Request: q, Received: time.Now(), LastEventID: conn.header.LastEventID, connection: conn}, nil
 }
 
-// Handle rejects new work while this router is not current, or stops.
-func (f currencyFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
-	if err := f.r.admits(); err != nil {
+// Handle rejects new requests while this router is not current or is stopping.
+func (f admissionFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
+	if err := f.r.admissionError(); err != nil {
 		return err
 	}
 	return onward(ctx, x)
 }
 
-// admits gives the reason why this router may not act now; nil if it may. The errors are apierror.Stopping and NotCurrent.
-func (r *Router) admits() error {
+// admissionError returns the reason why this router must not process requests now, or nil. The errors are apierror.Stopping and
+// apierror.NotCurrent.
+func (r *Router) admissionError() error {
 	if r.stopping.Load() {
 		return again(apierror.New(apierror.Stopping, "this proxy is stopping"), time.Second)
 	}
 	if !r.IsCurrent() {
-		return again(apierror.New(apierror.NotCurrent, "no word from a majority of cores"), time.Second)
+		return again(apierror.New(apierror.NotCurrent, "the routing view is not confirmed by a majority of cores"), time.Second)
 	}
 	return nil
 }
 
-// again adds to an error when to come back.
+// again sets the delay after which the client may try again.
 func again(f *apierror.Error, after time.Duration) error {
 	f.Again = after
 	return f
 }
 
-// Handle finds the tenant by the access key.
+// Handle identifies the tenant by the access key.
 func (f identityFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	x.View, x.Access = f.r.view.Load(), config.HashKey(x.connection.header.Secret)
 	if err := x.View.checkHeader(x.Request); err != nil {
@@ -114,7 +115,7 @@
 // noSecret is the hash of an empty access key.
 var noSecret = config.HashKey("")
 
-// tenantOf gives the tenant that holds the request's key, or the public one where no key is needed; nil if there is none.
+// tenantOf returns the tenant that owns the request's access key, or the public tenant where no key is required; nil if there is none.
 func (v *View) tenantOf(x *Exchange) *tenant {
 	if t := v.access[x.Access]; t != nil {
 		return t
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// Handle reads the body within bounds, and finds the path.
+// Handle reads the body within the size limits, and finds the path.
 func (f pathFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	q := x.Request
 	body, err := f.r.readBody(x)
@@ -136,7 +137,7 @@
 	if x.Prompt, err = f.r.options.Protocol.ReadPrompt(q, body); err != nil {
 		return err
 	}
-	if err := x.lead(x.View); err != nil {
+	if err := x.route(x.View); err != nil {
 		return err
 	}
 	limit := x.Path.MaxBody
@@ -148,7 +149,7 @@
 	}
 	x.Key = x.connection.header.Key
 	if len(x.Key) > 256 {
-		return apierror.New(apierror.Oversize, "an idempotency key of %d bytes", len(x.Key))
+		return apierror.New(apierror.Oversize, "idempotency key of %d bytes exceeds the limit of 256", len(x.Key))
 	}
 	wait := time.Duration(x.Path.DeadlineMs) * time.Millisecond
 	if given := x.connection.header.Timeout; given > 0 {
@@ -162,8 +163,8 @@
 	return onward(ctx, x)
 }
 
-// lead takes tenant, path, pool and queue from a view. A request that has waited is led anew by the view of that time.
-func (x *Exchange) lead(v *View) error {
+// route sets the tenant, path, pool and queue item from a view. It runs again before each attempt, with the view of that time.
+func (x *Exchange) route(v *View) error {
 	t := v.tenantOf(x)
 	if t == nil || x.Tenant != nil && (t.Name != x.Tenant.Name || t.CreatedVersion != x.Tenant.CreatedVersion) {
 		return apierror.New(apierror.BadKey, "the key was revoked while the request waited")
@@ -191,11 +192,11 @@
 	return nil
 }
 
-// Handle waits for the request's turn and a credit.
+// Handle waits in the queue until the request gets a credit, which names its replica.
 func (f queueFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	r := f.r
 	waiting, stop := context.WithCancel(ctx)
-	if x.Path.LatencyTargetMs > 0 && x.Answer == nil { // a stream that goes on is not given up for having begun long ago
+	if x.Path.LatencyTargetMs > 0 && x.Answer == nil { // not for a resumed stream: its wait does not count from its arrival
 		waiting, stop = context.WithDeadline(ctx, x.Received.Add(time.Duration(waitShare*float64(x.Deadline.Sub(x.Received)))))
 	}
 	defer stop()
@@ -210,11 +211,11 @@
 	if err != nil {
 		switch {
 		case r.stopping.Load():
-			return again(apierror.New(apierror.Stopping, "stopped while waiting"), time.Second)
+			return again(apierror.New(apierror.Stopping, "the proxy stopped while the request was queued"), time.Second)
 		case apierror.Is(err, apierror.Throttled), apierror.Is(err, apierror.QueueFull):
 			return err
 		case ctx.Err() == context.Canceled:
-			return apierror.New(apierror.ClientGone, "left while waiting")
+			return apierror.New(apierror.ClientGone, "client disconnected while the request was queued")
 		}
 		return again(apierror.Of(err), time.Second)
 	}
--- a/router/framing.go
+++ b/router/framing.go
@@ -8,23 +8,24 @@
 	"sync/atomic"
 )
 
-// net/http reads a request that has both a Content-Length and chunks by its chunks, as RFC 9112 §6.3 allows, and forgets the length. The
-// RFC has such a request be the last on its connection: whoever goes by the length takes what follows the chunks for the request's own
-// body, so that it must not be read as a request. A Watched connection counts what the handler is not shown.
+// net/http reads a request that has both a Content-Length and chunked framing by its chunks, as RFC 9112 §6.3 allows, and drops the
+// length. The RFC requires such a request to be the last on its connection: another party that goes by the length takes what follows
+// the chunks for part of the body, so that it must not be read as a request. Because the handler does not see the dropped header, a
+// watchedConn counts Content-Length headers in the bytes that it reads.
 
-// lengthHeader is the header's name after a line's end, in lower case.
+// lengthHeader is the start of a Content-Length header after the end of the line before it, in lower case.
 var lengthHeader = []byte("\ncontent-length")
 
-// watched is a client's connection that counts the lines which look like a Content-Length, wherever they stand.
-type watched struct {
+// watchedConn is a client's connection that counts the lines that look like a Content-Length header, in headers and bodies alike.
+type watchedConn struct {
 	net.Conn
-	lengths atomic.Int64
-	matched int   // of lengthHeader, at the end of what was read
-	honest  int64 // requests that were read by their length; of the handlers, which run one after another
+	lengthHeaders atomic.Int64
+	matched       int   // bytes of lengthHeader matched at the end of the data read so far
+	lengthFramed  int64 // requests framed by their length; used by handlers alone, which run one after another
 }
 
-// Read counts in passing. A line may be cut anywhere.
-func (c *watched) Read(b []byte) (int, error) {
+// Read implements net.Conn and counts headers in what it reads; a line may be split between two reads.
+func (c *watchedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	for remaining := b[:n]; len(remaining) > 0; {
 		if c.matched == 0 {
@@ -39,7 +40,7 @@
 		case char|0x20 == lengthHeader[c.matched] || char == lengthHeader[c.matched]:
 			remaining = remaining[1:]
 			if c.matched++; c.matched == len(lengthHeader) {
-				c.lengths.Add(1)
+				c.lengthHeaders.Add(1)
 				c.matched = 0
 			}
 		default:
@@ -49,15 +50,15 @@
 	return n, err
 }
 
-// CloseWrite is what net/http calls to end a connection that is not used again.
-func (c *watched) CloseWrite() error {
-	if half, canHalf := c.Conn.(interface{ CloseWrite() error }); canHalf {
+// CloseWrite is called by net/http before it closes a connection that is not used again.
+func (c *watchedConn) CloseWrite() error {
+	if half, supported := c.Conn.(interface{ CloseWrite() error }); supported {
 		return half.CloseWrite()
 	}
 	return nil
 }
 
-// watchedListener wraps the connections that it accepts.
+// watchedListener wraps each accepted connection in a watchedConn.
 type watchedListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -66,48 +67,48 @@
 	if err != nil {
 		return nil, err
 	}
-	return &watched{Conn: c}, nil
+	return &watchedConn{Conn: c}, nil
 }
 
-// watchedName is the key of a watched connection in a request's context.
-type watchedName struct{}
+// watchedKey is the key of a watchedConn in a request's context.
+type watchedKey struct{}
 
-// Watch has a server tell its handler which requests are framed in two ways, which is how requests are smuggled. A connection that wraps
-// one of the listener's gives it by a method NetConn, as TLS does. Where a server is not watched, each chunked request is the last on its
-// connection.
+// Watch sets up a server so that its handler can tell requests with ambiguous framing, which are used for request smuggling. A
+// connection that wraps one of the listener's has to return it from a method NetConn, as TLS connections do. On a server without
+// Watch, every chunked request is the last on its connection.
 func Watch(server *http.Server, listener net.Listener) net.Listener {
 	server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		for {
-			above, wrapped := c.(interface{ NetConn() net.Conn })
+			innerConn, wrapped := c.(interface{ NetConn() net.Conn })
 			if !wrapped {
-				return context.WithValue(ctx, watchedName{}, c)
+				return context.WithValue(ctx, watchedKey{}, c)
 			}
-			c = above.NetConn()
+			c = innerConn.NetConn()
 		}
 	}
 	return watchedListener{listener}
 }
 
-// resetOnClose has a client's connection end with a reset. To a client of HTTP/1.0, which knows no chunks, an answer that broke off would
-// look complete if its connection ended in order.
+// resetOnClose makes a client's connection end with a reset. An HTTP/1.0 client, which does not know chunks, would take a truncated
+// answer for complete if its connection were closed regularly.
 func resetOnClose(q *http.Request) {
-	c, isWatched := q.Context().Value(watchedName{}).(*watched)
+	c, isWatched := q.Context().Value(watchedKey{}).(*watchedConn)
 	if !isWatched {
 		return
 	}
 	if tcp, ok := c.Conn.(interface{ SetLinger(seconds int) error }); ok {
-		_ = tcp.SetLinger(0) // a connection that is closed already has been reset by the client
+		_ = tcp.SetLinger(0) // fails only if the connection is closed already: the client has reset it
 	}
 }
 
-// isFramedTwice reports whether a chunked request may have had a Content-Length too.
+// isFramedTwice reports whether a chunked request may have had a Content-Length as well.
 func isFramedTwice(q *http.Request) bool {
-	c, watched := q.Context().Value(watchedName{}).(*watched)
+	c, isWatched := q.Context().Value(watchedKey{}).(*watchedConn)
 	if len(q.TransferEncoding) == 0 {
-		if watched && q.Header.Get("Content-Length") != "" {
-			c.honest++
+		if isWatched && q.Header.Get("Content-Length") != "" {
+			c.lengthFramed++
 		}
 		return false
 	}
-	return !watched || c.lengths.Load() > c.honest
+	return !isWatched || c.lengthHeaders.Load() > c.lengthFramed
 }
--- a/router/protocol.go
+++ b/router/protocol.go
@@ -14,17 +14,17 @@
 	"asterridge/rpc"
 )
 
-// ClientHeader is what a protocol reads of a client's request before its body.
+// ClientHeader is what a protocol reads from a client's request before its body.
 type ClientHeader struct {
-	ID          string        // the caller's own id of this attempt; empty: the router gives one
+	ID          string        // the client's ID of this request; if empty, the router generates one
 	Secret      string        // the access key
-	Key         string        // under which the request runs once, if the caller gives one
-	Timeout     time.Duration // how long the caller will wait; 0: as long as the path lets it
-	Idempotent  string        // "yes" or "no" where the caller says whether the request may run more than once
-	LastEventID uint64        // of a stream that the caller takes up again: the last event that it has
+	Key         string        // idempotency key; empty if the client sent none
+	Timeout     time.Duration // how long the client will wait; 0: as long as the path allows
+	Idempotent  string        // "yes" or "no" if the client says whether the request may be executed more than once
+	LastEventID uint64        // of a stream that the client resumes: the last event that it has
 }
 
-// Prompt is what the router reads of a request's prompt: its text, or the segments that it is made of.
+// Prompt is what the router reads of a request's prompt: its text or its segments.
 type Prompt struct {
 	Model    string
 	Text     string
@@ -32,13 +32,13 @@
 	Stream   bool
 }
 
-// Segment is a part of a prompt that other prompts may share; Size is in the replicas' own units.
+// Segment is a part of a prompt that other prompts may share. Size is in the replicas' own units.
 type Segment struct {
 	ID   string
 	Size int
 }
 
-// Size is that of the whole prompt, in bytes or in the segments' units.
+// Size returns the size of the entire prompt, in bytes or in the segments' units.
 func (p Prompt) Size() int {
 	if p.Segments == nil {
 		return len(p.Text)
@@ -50,54 +50,56 @@
 	return sum
 }
 
-// ReplicaHeader is what a protocol tells a replica with a request.
+// ReplicaHeader is what a protocol tells a replica along with a request.
 type ReplicaHeader struct {
-	Domain      string // of kept prompts
-	Weights     string // the version that the replica is to have; empty: any
-	Source      string // where the replica may fetch what it lacks of the prompt
-	Sink        string // where it is to leave what it has read
+	Domain      string // cache domain
+	Weights     string // the weights that the replica must have; empty: any
+	Source      string // where the replica may fetch cached blocks that it lacks
+	Sink        string // where it stores the blocks that it computes
 	Timeout     time.Duration
-	LastEventID uint64 // the stream goes on behind this event; 0: from its beginning
+	LastEventID uint64 // the stream resumes after this event; 0: it starts at the beginning
 }
 
-// Outcome is what a replica's answer means.
+// Outcome is the meaning of a replica's answer.
 type Outcome struct {
 	Served      bool
-	NotExecuted bool // the protocol says that a refusal of this form was not executed
-	NamesTenant bool // it names the tenant as its ground
-	Throttled   bool // it is a throttle: refused for load or rate
-	PickAgain   bool // other weights, or leaving: pick again
+	NotExecuted bool // the protocol defines this rejection as not executed
+	NamesTenant bool // the rejection is for this tenant's load
+	Throttled   bool // rejected for load or rate
+	PickAgain   bool // the replica cannot serve the request now: pick another one
 	NoSlot      bool // no slot was free
 	Reason      string
 }
 
-// Protocol is the one place that knows how clients and replicas speak.
+// Protocol defines how clients and replicas communicate; nothing else in the router depends on their message formats.
 type Protocol interface {
 	ReadHeader(q *http.Request) (ClientHeader, error)
 	ReadPrompt(q *http.Request, body []byte) (Prompt, error)
 	SetHeaders(h http.Header, x *Exchange, s ReplicaHeader)
 	Classify(r *http.Response) Outcome
-	// Occupancy is what an answer tells of the replica's load; Version, of its model's version; 0: nothing.
+	// Occupancy returns what an answer says about the replica's load, if anything. ModelVersion returns the version of its model, or 0
+	// if the answer does not say.
 	Occupancy(r *http.Response) (Occupancy, bool)
 	ModelVersion(r *http.Response) uint64
 	AnswerID(r *http.Response) string
-	// IDHeader is the header by which our own answers bear the request's id.
+	// IDHeader is the name of the response header with the request's ID.
 	IDHeader() string
-	// RetryAfter writes when to come back.
+	// RetryAfter formats the delay after which to try again.
 	RetryAfter(d time.Duration) string
-	// EndDetector looks for a stream's own end marker; nil where its framing tells the end.
+	// EndDetector returns a function that recognizes the end marker of a stream; nil where the framing marks the end.
 	EndDetector() func(tail []byte) bool
-	// SendsDeadline says whether replicas are told the request's deadline and end their answers by it, streams too.
+	// SendsDeadline reports whether replicas are told the request's deadline and end their answers by it, streams included.
 	SendsDeadline() bool
-	// ReportPath is where replicas tell their load; empty: they do not, and the core's word for them counts.
+	// ReportPath is the URL path where replicas report their load. If it is empty, they send no reports, and the cores' data about
+	// them counts.
 	ReportPath() string
 	LoadPath() string
 }
 
-// ChatProtocol speaks the widely published chat completions: JSON in, JSON or an event stream out.
+// ChatProtocol is the widely used chat completions API: JSON requests, JSON or event stream responses.
 type ChatProtocol struct{}
 
-// Headers that the protocol adds.
+// Headers of the protocol.
 const (
 	idHeader      = "X-Request-Id"
 	tenantHeader  = "X-Tenant"
@@ -106,7 +108,7 @@
 	sourceHeader  = "X-Prefix-From"
 )
 
-// chatBody is what is read of a chat request's body.
+// chatBody is the part of a chat request's body that the router reads.
 type chatBody struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -116,7 +118,7 @@
 	} `json:"messages"`
 }
 
-// ReadHeader reads the headers.
+// ReadHeader reads the access key, the idempotency key and the time-out from the headers.
 func (ChatProtocol) ReadHeader(q *http.Request) (o ClientHeader, err error) {
 	text, bearer := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
 	if !bearer {
@@ -133,7 +135,7 @@
 	return o, nil
 }
 
-// ReadPrompt finds the model, the prompt's text, and whether a stream is wanted. Other addresses carry no prompt.
+// ReadPrompt reads the model, the prompt's text and the stream flag. Requests to other paths carry no prompt.
 func (ChatProtocol) ReadPrompt(q *http.Request, body []byte) (Prompt, error) {
 	if !strings.HasSuffix(q.URL.Path, "/chat/completions") {
 		return Prompt{}, nil
@@ -149,7 +151,7 @@
 	for _, m := range b.Messages {
 		var text string
 		if json.Unmarshal(m.Content, &text) != nil {
-			text = string(m.Content) // a list of parts: its raw form is as good a key
+			text = string(m.Content) // a list of content parts: its raw JSON serves as a prefix key too
 		}
 		parts = append(parts, m.Role, text)
 	}
@@ -158,8 +160,8 @@
 
 // SetHeaders sets the router's headers on a request to a replica.
 func (ChatProtocol) SetHeaders(h http.Header, x *Exchange, s ReplicaHeader) {
-	for _, ours := range []string{"Authorization", domainHeader, weightsHeader, sourceHeader} {
-		h.Del(ours) // a caller does not say them for us
+	for _, name := range []string{"Authorization", domainHeader, weightsHeader, sourceHeader} {
+		h.Del(name) // a client must not set these
 	}
 	h.Set(idHeader, x.ID)
 	h.Set(tenantHeader, x.Tenant.Name)
@@ -177,27 +179,27 @@
 	}
 }
 
-// Occupancy is told in reports, not in answers.
+// Occupancy implements Protocol; replicas tell their load in reports, not in answers.
 func (ChatProtocol) Occupancy(*http.Response) (Occupancy, bool) { return Occupancy{}, false }
 
-// ModelVersion is told in reports, not in answers.
+// ModelVersion implements Protocol; replicas tell their version in reports, not in answers.
 func (ChatProtocol) ModelVersion(*http.Response) uint64 { return 0 }
 
-// IDHeader bears the request's ID.
+// IDHeader returns the name of the header with the request's ID.
 func (ChatProtocol) IDHeader() string { return idHeader }
 
-// RetryAfter writes whole seconds, rounded up.
+// RetryAfter formats the delay in whole seconds, rounded up.
 func (ChatProtocol) RetryAfter(d time.Duration) string { return rpc.RetryAfter(d) }
 
-// unreadableReason is the reason of a rejection whose body cannot be read.
+// unreadableReason is the reason of a rejection whose body cannot be parsed.
 const unreadableReason = "unreadable"
 
-// Classify reads the status; the body of a rejection has {"error":{"type":…}}.
+// Classify reads the status and, of a rejection, the body {"error":{"type":…}}.
 func (ChatProtocol) Classify(r *http.Response) Outcome {
 	if r.StatusCode != 429 && r.StatusCode != 503 && r.StatusCode != 412 {
 		return Outcome{Served: true}
 	}
-	raw, _ := io.ReadAll(io.LimitReader(r.Body, 1<<16)) // what came of it is all that there is
+	raw, _ := io.ReadAll(io.LimitReader(r.Body, 1<<16)) // a body cut off by an error is judged by what was read
 	var body struct {
 		Error struct {
 			Type   string `json:"type"`
@@ -216,27 +218,28 @@
 	case r.StatusCode == 503 && (body.Error.Type == "overloaded" || body.Error.Type == "leaving" || body.Error.Type == "warming"):
 		v.NotExecuted, v.PickAgain, v.NoSlot = true, true, body.Error.Type == "overloaded"
 	default:
-		return Outcome{Served: true} // not a refusal known as not run: it is the replica's own answer
+		return Outcome{Served: true} // not a rejection defined as not executed: passed on as the replica's answer
 	}
 	return v
 }
 
-// AnswerID is the request ID that the answer bears.
+// AnswerID returns the request ID in the answer.
 func (ChatProtocol) AnswerID(r *http.Response) string { return r.Header.Get(idHeader) }
 
-// EndDetector looks for the event stream's end marker.
+// EndDetector recognizes the end marker of the event stream.
 func (ChatProtocol) EndDetector() func(tail []byte) bool {
 	return func(tail []byte) bool { return bytes.HasSuffix(bytes.TrimRight(tail, "\r\n"), []byte("data: [DONE]")) }
 }
 
-// SendsDeadline is false: a deadline is for the first chunk, and streams are as long as they are.
+// SendsDeadline is false: the deadline is for the first chunk, and streams may last longer.
 func (ChatProtocol) SendsDeadline() bool { return false }
 
-// ReportPath is where a replica reports its load.
+// ReportPath is the URL path where a replica reports its load.
 func (ChatProtocol) ReportPath() string { return "/report" }
 
-// LoadPath is where a replica takes the order to load weights; it refuses a lower order number than it has met.
+// LoadPath is the URL path where a replica takes orders to load weights; it rejects an order number below the highest that it has
+// seen.
 func (ChatProtocol) LoadPath() string { return "/weights" }
 
-// Loading stands in a report in the place of the weights while new ones load.
+// Loading takes the place of the weights in a report while new ones load.
 const Loading = "loading"
--- a/router/relay.go
+++ b/router/relay.go
@@ -13,20 +13,20 @@
 	"asterridge/apierror"
 )
 
-// Sizes in bytes, and the times of a relayed answer.
+// Sizes in bytes, and time-outs, of a relayed answer.
 const (
 	tailSize            = 64
 	chunkSize           = 32 << 10
-	chunkTimeoutDefault = 60 * time.Second // between two pieces of a stream
-	// answerSlack is for the way of what a replica sent before the deadline that it was told.
+	chunkTimeoutDefault = 60 * time.Second // between two chunks of a stream
+	// answerSlack is the time allowed for the transfer of what a replica sent before the deadline that it was told.
 	answerSlack = 200 * time.Millisecond
 )
 
-// chunkBuffers are buffers that streams use in turn.
+// chunkBuffers is a pool of stream buffers.
 var chunkBuffers = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// relay passes the answer on as it comes (docs/design.md §5.6). If a stream breaks off, the client's connection is aborted: an answer that
-// ends in order would look complete.
+// relay passes the answer on as it arrives (docs/design.md §5.6). If a stream breaks off, it aborts the client's connection, because
+// an answer that ends regularly would look complete.
 func (r *Router) relay(_ context.Context, w http.ResponseWriter, response any) error {
 	x := response.(*Exchange)
 	a := x.Answer
@@ -53,7 +53,7 @@
 		return nil
 	}
 	if x.Request.Context().Err() != nil {
-		err = apierror.New(apierror.ClientGone, "left during the answer")
+		err = apierror.New(apierror.ClientGone, "client disconnected during the answer")
 	} else {
 		err = apierror.Wrap(err, apierror.StreamBroken, "relay")
 		r.log.Warn().Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("stream broke off at a replica")
@@ -64,8 +64,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// chunkTimeout is how long the next chunk of an answer is waited for. A replica that is told the deadline ends its answer by then. Until
-// then its silence is no reason to end the answer, and after that nothing is to be expected of it.
+// chunkTimeout returns how long to wait for the next chunk of an answer. A replica that is told the deadline ends its answer by then:
+// silence before the deadline is no reason to end the answer, and nothing is to be expected after it.
 func (r *Router) chunkTimeout(x *Exchange) time.Duration {
 	if r.options.Protocol.SendsDeadline() {
 		return max(0, time.Until(x.Deadline)+answerSlack)
@@ -73,14 +73,14 @@
 	return chunkTimeoutDefault
 }
 
-// errBroken is a stream that the replica broke off.
+// errBroken is the error of a stream that the replica broke off.
 type errBroken struct{ cause error }
 
 func (e errBroken) Error() string { return e.cause.Error() }
 func (e errBroken) Unwrap() error { return e.cause }
 
-// relayBody passes the answer's bytes on. A stream that may be resumed goes on at another replica, after the last event that the client has
-// in full (docs/design.md §5.7).
+// relayBody passes the answer's bytes on. A resumable stream that breaks off continues at another replica, after the last event that
+// the client has received completely (docs/design.md §5.7).
 func (r *Router) relayBody(w http.ResponseWriter, x *Exchange) error {
 	flush := http.NewResponseController(w)
 	stream := eventStream{lastID: x.LastEventID, skipThrough: x.LastEventID}
@@ -99,22 +99,22 @@
 	}
 }
 
-// resume has the stream go on at another replica, under the budget of retries.
+// resume continues a broken stream at another replica, if the retry budget allows it.
 func (r *Router) resume(x *Exchange, cause error) error {
 	x.Answer.end(cause)
 	r.coolDown(x.replica)
 	x.resumedPlacement = x.placement
-	if err := r.payRetry(x, cause); err != nil {
+	if err := r.chargeRetry(x, cause); err != nil {
 		return err
 	}
 	r.counts.add("resumed", 1)
 	ctx, stop := context.WithDeadline(x.Request.Context(), x.Deadline)
 	defer stop()
-	if err := r.attempt(ctx, x, r.onward); err != nil {
+	if err := r.attempt(ctx, x, r.afterAttempts); err != nil {
 		return err
 	}
 	if x.Answer.Status != http.StatusOK || x.Answer.buffer == nil {
-		return apierror.New(apierror.StreamBroken, "the other replica answered %d", x.Answer.Status)
+		return apierror.New(apierror.StreamBroken, "response to resume from has status %d or is no event stream", x.Answer.Status)
 	}
 	return nil
 }
@@ -126,17 +126,17 @@
 	flush  *http.ResponseController
 	x      *Exchange
 	stream *eventStream
-	// resumable: the client gets complete events only, so that the stream can go on at another replica.
+	// resumable: the client gets complete events only, so that the stream can continue at another replica.
 	resumable bool
-	// tail is the end of what was passed on, where the stream's own end marker is looked for.
+	// tail is the last bytes that were passed on, where the stream's end marker is looked for.
 	tail []byte
 }
 
 // relayReplica passes on what one replica sends. The error is errBroken if the replica broke the answer off.
 func (r *Router) relayReplica(w http.ResponseWriter, flush *http.ResponseController, x *Exchange, stream *eventStream) error {
 	a := x.Answer
-	// A client that stops reading is not waited for without end; a writer that knows no deadlines has its own bounds.
-	_ = flush.SetWriteDeadline(time.Now().Add(r.chunkTimeout(x))) // see above
+	// Limits how long a client that stops reading is waited for.
+	_ = flush.SetWriteDeadline(time.Now().Add(r.chunkTimeout(x))) // a writer without deadlines has limits of its own
 	if a.Complete {
 		_, err := w.Write(a.firstChunk)
 		return err
@@ -146,7 +146,7 @@
 		a.buffer = chunkBuffers.Get().(*[chunkSize]byte)
 	}
 	defer func() {
-		chunkBuffers.Put(a.buffer) // the first chunk, which lies in it, is written by then
+		chunkBuffers.Put(a.buffer) // the first chunk, which is stored in it, has been written by now
 		if !events {
 			a.buffer = nil
 		}
@@ -155,7 +155,8 @@
 	return relay.run()
 }
 
-// run passes on the first chunk, and then each as it comes. A replica that sends none for the chunk's time-out is cut off.
+// run passes on the first chunk and then each one as it arrives. It closes the connection to a replica that sends nothing for the
+// chunk time-out.
 func (p *replicaRelay) run() error {
 	a := p.x.Answer
 	if err := p.pass(a.firstChunk); err != nil {
@@ -182,7 +183,7 @@
 	}
 }
 
-// pass writes a chunk at once; of a resumable stream, the events that are complete.
+// pass writes and flushes a chunk; of a resumable stream, only the events that are complete.
 func (p *replicaRelay) pass(chunk []byte) error {
 	p.tail = append(p.tail, chunk[max(0, len(chunk)-tailSize):]...)
 	p.tail = append(p.tail[:0], p.tail[max(0, len(p.tail)-tailSize):]...)
@@ -197,10 +198,10 @@
 	return p.flush.Flush()
 }
 
-// end makes sure that the answer is complete, and writes what follows its last complete event.
+// end checks that the answer is complete, and writes the bytes after its last complete event.
 func (p *replicaRelay) end() error {
 	if a := p.x.Answer; a.AtEnd != nil && !a.AtEnd(p.tail) {
-		return errBroken{apierror.New(apierror.StreamBroken, "no end mark")}
+		return errBroken{apierror.New(apierror.StreamBroken, "the stream ended without its end marker")}
 	}
 	unfinished := p.stream.dropPartial()
 	if len(unfinished) == 0 {
@@ -210,17 +211,17 @@
 	return err
 }
 
-// eventStream cuts a stream into complete events, and knows the last one's ID.
+// eventStream splits a stream into complete events and keeps the ID of the last one.
 type eventStream struct {
 	lastID  uint64
-	buffer  []byte // what was taken last
-	partial []byte // of it, the event that is not whole yet
-	// skipThrough is the last event that the client has from an earlier answer: a replica that begins again sends it once more. It is zero
-	// from the first later event on.
+	buffer  []byte // partial event and latest chunk
+	partial []byte // the end of buffer: an event that is not complete yet
+	// skipThrough is the ID of the last event that the client has from an earlier answer; a replica that starts over sends the events
+	// up to it again. It is zero once a later event has arrived.
 	skipThrough uint64
 }
 
-// eventEnd gives where the last complete event ends; 0 if there is none.
+// eventEnd returns the offset after the last complete event; 0 if there is none.
 func eventEnd(b []byte) int {
 	last := 0
 	for _, end := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
@@ -231,7 +232,7 @@
 	return last
 }
 
-// complete gives the events that are complete now; they stay valid until the next call.
+// complete adds a chunk and returns the events that it completes. They stay valid until the next call.
 func (e *eventStream) complete(b []byte) []byte {
 	e.buffer = append(append(e.buffer[:0], e.partial...), b...)
 	at := eventEnd(e.buffer)
@@ -252,7 +253,7 @@
 	return complete
 }
 
-// eventID reads the ID from a line of an event.
+// eventID parses a line of an event as its ID.
 func eventID(line []byte) (id uint64, ok bool) {
 	text, ok := bytes.CutPrefix(line, []byte("id:"))
 	if !ok {
@@ -262,23 +263,24 @@
 	return id, err == nil
 }
 
-// skipRepeated leaves out the events up to the first whose ID is above skipThrough. What comes before it without an ID belongs to them.
+// skipRepeated drops the events up to the first one with an ID above skipThrough. Events without an ID before that one are dropped
+// with them.
 func (e *eventStream) skipRepeated(events []byte) []byte {
-	begin, at := 0, 0 // of the event, and of the line
+	eventStart, lineEnd := 0, 0 // offsets of the current event and of the next line
 	for line := range bytes.Lines(events) {
-		at += len(line)
+		lineEnd += len(line)
 		if id, ok := eventID(line); ok && id > e.skipThrough {
 			e.skipThrough = 0
-			return events[begin:]
+			return events[eventStart:]
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
-			begin = at
+			eventStart = lineEnd
 		}
 	}
 	return nil
 }
 
-// dropPartial gives up the event that is not complete, and returns it.
+// dropPartial discards the incomplete event and returns its bytes.
 func (e *eventStream) dropPartial() []byte {
 	partial := e.partial
 	e.partial = nil
--- a/router/replica_conn.go
+++ b/router/replica_conn.go
@@ -12,43 +12,44 @@
 	"asterridge/rpc"
 )
 
-// These bound the time between the last check and the replica having the request (docs/design.md §3.2).
+// Limits on the time between the last check and the arrival of the request at the replica (docs/design.md §3.2).
 const (
 	dialLimit  = time.Second
-	writeLimit = 500 * time.Millisecond // W: the whole request is in the kernel, or the connection ends
-	ackLimit   = 700 * time.Millisecond // A: what the kernel has is acknowledged, or the connection ends
-	sendBuffer = 256 << 10              // what the kernel takes beyond what it has sent
+	writeLimit = 500 * time.Millisecond // W: the kernel has accepted the whole request by then, or the connection is closed
+	ackLimit   = 700 * time.Millisecond // A: the replica has acknowledged the data by then, or the connection is closed
+	sendBuffer = 256 << 10              // bytes that the kernel buffers unsent
 )
 
-// errUnwritten is a request of which no byte was written.
-var errUnwritten = errors.New("not written")
+// errUnwritten is the error of a request of which no byte was written.
+var errUnwritten = errors.New("request not written")
 
-// replicaConn is a connection to a replica. In the moment of a request's first write it checks again whether the request may still be sent.
+// replicaConn is a connection to a replica. At the first write of each request it checks again whether the request may still be sent.
 type replicaConn struct {
 	net.Conn
 	mu       sync.Mutex
 	current  *requestWrite
-	unusable bool                     // something may come on it that belongs to no request
-	written  [rememberedWrites]string // ids of the requests written last
+	unusable bool                     // a response that belongs to no request may arrive on it
+	written  [rememberedWrites]string // IDs of the latest requests written
 	count    int
 }
 
-// requestWrite is one request's write on a connection. It outlasts the beginning of the next one: a connection whose answer has no body is
-// idle, and another request's, before the sender of the first one hears of the answer.
+// requestWrite is the state of one request's write on a connection. It remains in use after the next request's write has begun: after
+// an answer without a body the connection becomes idle, and is given to another request, before the sender of the first one gets the
+// answer.
 type requestWrite struct {
 	conn    *replicaConn
 	id      string
-	check   func() (*View, error) // until the request was written or rejected
-	view    *View                 // not nil: the request may have left, under this view
+	check   func() (*View, error) // nil once the request is being written
+	view    *View                 // if not nil, the request may have been sent, under this view
 	at      time.Time
 	failure error
 }
 
-// rememberedWrites is how many of the requests that it has carried a connection remembers.
+// rememberedWrites is the number of latest request IDs that a connection remembers.
 const rememberedWrites = 32
 
-// dialGuarded connects to a replica. The connection bounds what the kernel may deliver late.
-func (r *Router) dialGuarded(ctx context.Context, network, address string) (net.Conn, error) {
+// dialReplica connects to a replica. The connection limits how late the kernel may deliver data.
+func (r *Router) dialReplica(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, stop := context.WithTimeout(ctx, dialLimit)
 	defer stop()
 	c, err := r.options.Net.DialContext(ctx, network, address)
@@ -57,71 +58,71 @@
 	}
 	if err := rpc.BoundSend(c, ackLimit, sendBuffer); err != nil {
 		_ = c.Close() // the first error counts
-		return nil, apierror.Wrap(err, apierror.Internal, "bound the connection")
+		return nil, apierror.Wrap(err, apierror.Internal, "set the limits of the replica connection")
 	}
 	return &replicaConn{Conn: c}, nil
 }
 
-// arm begins the write of the next request. A request is not written twice on one connection: a second copy of the answer to the first
-// attempt, a rejection say, could not be told from the answer to the second.
-func (g *replicaConn) arm(id string, check func() (*View, error)) *requestWrite {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.current = &requestWrite{conn: g, id: id, check: check, failure: errUnwritten}
-	if g.unusable || slices.Contains(g.written[:], id) {
-		g.current.check = func() (*View, error) { return nil, errPickAgain }
+// startWrite begins the write of the next request. A request is not written twice on one connection, because a duplicate of the answer
+// to its first attempt, for example a rejection, could not be told from the answer to the second.
+func (c *replicaConn) startWrite(id string, check func() (*View, error)) *requestWrite {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.current = &requestWrite{conn: c, id: id, check: check, failure: errUnwritten}
+	if c.unusable || slices.Contains(c.written[:], id) {
+		c.current.check = func() (*View, error) { return nil, errPickAgain }
 	}
-	return g.current
+	return c.current
 }
 
-// Write lets the first bytes of a request pass only if its check does. The deadline is set before the check: a process that is frozen
-// between the two finds it passed.
-func (g *replicaConn) Write(b []byte) (int, error) {
-	if err := g.mayWrite(); err != nil {
+// Write passes the first bytes of a request only if its check succeeds. The write deadline is set before the check, so that a process
+// that is frozen between the two fails the write when it resumes.
+func (c *replicaConn) Write(b []byte) (int, error) {
+	if err := c.checkFirstWrite(); err != nil {
 		return 0, err
 	}
-	return g.Conn.Write(b)
+	return c.Conn.Write(b)
 }
 
-// mayWrite makes the check of the request whose first bytes are being written; nil for all bytes after them.
-func (g *replicaConn) mayWrite() error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	t := g.current
-	if t == nil || t.check == nil {
+// checkFirstWrite runs the check of the request whose first bytes are being written; it returns nil for all later bytes.
+func (c *replicaConn) checkFirstWrite() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	w := c.current
+	if w == nil || w.check == nil {
 		return nil
 	}
-	_ = g.Conn.SetWriteDeadline(time.Now().Add(writeLimit)) // a closed connection fails the write as well
-	if t.view, t.failure = t.check(); t.failure != nil {
-		t.view = nil
-		return t.failure
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(writeLimit)) // on a closed connection the write fails anyway
+	if w.view, w.failure = w.check(); w.failure != nil {
+		w.view = nil
+		return w.failure
 	}
-	t.check, t.at = nil, time.Now()
-	g.written[g.count%rememberedWrites] = t.id
-	g.count++
+	w.check, w.at = nil, time.Now()
+	c.written[c.count%rememberedWrites] = w.id
+	c.count++
 	return nil
 }
 
-// finish ends a request's write: from now on nothing of it is written that was not. It gives the view under which it was written, or why it
-// was not.
-func (t *requestWrite) finish() (seen *View, at time.Time, failure error) {
-	t.conn.mu.Lock()
-	defer t.conn.mu.Unlock()
-	if t.view == nil {
-		failure := t.failure
-		t.check = func() (*View, error) { return nil, failure }
+// finish ends a request's write: if none of it was written yet, none will be. It returns the view under which the request was written,
+// or the reason why it was not.
+func (w *requestWrite) finish() (seen *View, at time.Time, failure error) {
+	w.conn.mu.Lock()
+	defer w.conn.mu.Unlock()
+	if w.view == nil {
+		failure := w.failure
+		w.check = func() (*View, error) { return nil, failure }
 	}
-	return t.view, t.at, t.failure
+	return w.view, w.at, w.failure
 }
 
-// discard ends the connection of a request that got an answer which is not its own: its own may come yet, where another request's is due.
-// If another request has the connection already, it goes on, and checks the answer's ID as this one did.
-func (t *requestWrite) discard() {
-	g := t.conn
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.current == t {
-		g.unusable = true
-		_ = g.Close() // it is not used again
+// discard closes the connection of a request that got another request's answer: its own answer may still arrive and would be taken for
+// the next one's. If another request is already using the connection, it continues, and checks the answer's ID as well.
+func (w *requestWrite) discard() {
+	c := w.conn
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.current == w {
+		c.unusable = true
+		_ = c.Close() // the connection is not used again
 	}
 }
--- a/router/replica_conn_test.go
+++ b/router/replica_conn_test.go
@@ -21,7 +21,7 @@
 func (c *noted) Close() error                     { c.closed = true; return nil }
 
 func write(g *replicaConn, id string) (*requestWrite, error) {
-	t := g.arm(id, func() (*View, error) { return &View{}, nil })
+	t := g.startWrite(id, func() (*View, error) { return &View{}, nil })
 	_, err := g.Write(nil)
 	return t, err
 }
@@ -52,14 +52,14 @@
 	g := &replicaConn{Conn: &noted{}}
 	a, err := write(g, "a")
 	is.NoErr(err)
-	b := g.arm("b", func() (*View, error) { return &View{}, nil })
+	b := g.startWrite("b", func() (*View, error) { return &View{}, nil })
 	seen, _, failure := a.finish()
 	is.True(seen != nil && failure == nil) // it was written, though b was not yet
 	_, err = g.Write(nil)
 	is.NoErr(err) // and b may be
 	seen, _, failure = b.finish()
 	is.True(seen != nil && failure == nil)
-	c := g.arm("c", func() (*View, error) { return &View{}, nil })
+	c := g.startWrite("c", func() (*View, error) { return &View{}, nil })
 	seen, _, failure = c.finish()
 	is.True(seen == nil && failure == errUnwritten)
 	_, err = g.Write(nil)
--- a/router/router.go
+++ b/router/router.go
@@ -1,13 +1,14 @@
-// Package router is the data plane as a library: a chain of filters that takes a client's request to a replica under the shared throttles.
-// cmd/proxy is a thin program over it; a program of one's own may embed it (docs/design.md §5).
+// Package router is the data plane as a library: a chain of filters that carries a client's request to a replica, subject to throttles
+// that all proxies share. cmd/proxy is a thin program on top of it; other programs may embed it (docs/design.md §5).
 //
-// A request is an Exchange. Its filters are in filters.go, claims.go and send.go, in the order of the chain: is this router current, whose
-// request is it, which path, the embedding program's own filters, attempts, balance, queue, claim, send. placement.go, cost.go and
-// balancer.go choose the replica; replica_conn.go checks everything again in the moment of the first write; relay.go passes the answer on.
-// The state that all of it goes by is a View, which compile.go makes of the registers that the agent publishes (updates.go).
+// A request is an Exchange. The filters are in filters.go, claims.go and send.go. In the order of the chain they check that this
+// router is current, authenticate the request, find its path, run the embedding program's own filters, make attempts, balance load,
+// queue, claim the idempotency key and send. placement.go, cost.go and balancer.go choose the replica; replica_conn.go repeats all
+// checks at the first write; relay.go passes the answer on to the client. All of them work from a View, which compile.go builds from
+// the registers that the agent publishes (updates.go).
 //
-// What was surely not written to a replica was not executed; everything else may have been. This line decides what may be attempted again,
-// and what the client is told.
+// A request of which provably nothing was written to a replica was not executed; any other may have been executed. This distinction
+// decides what may be attempted again and what the client is told.
 package router
 
 import (
@@ -35,21 +36,21 @@
 	"asterridge/watch"
 )
 
-// Keys that agents publish besides the registers.
+// Keys that agents publish in addition to the registers.
 const (
 	ProxiesKey   = "proxies"
 	ThrottleKey  = "hold"
 	ReportsKey   = "reports"
 	CachedPrefix = "kept/"
-	// CoresKey has the addresses of the cores that answer, by name.
+	// CoresKey has the addresses of the responsive cores, by name.
 	CoresKey = "cores"
-	// DisturbedKey says when a core was last seen to fall silent or to return: until then the cores may not have been able to go on
-	// with what they do, so that what has a term counts it from there (§6.2).
+	// DisturbedKey has the time at which a core was last seen to stop answering or to return. Before that time the cores may have been
+	// unable to make progress, so every period that is measured against them starts there (§6.2).
 	DisturbedKey = "disturbed"
-	CacheUp      = "~up" // a field among the cached blocks of a source: it answers
+	CacheUp      = "~up" // field among a source's cached blocks: the source is reachable
 )
 
-// StoreName is the name in the prefix index of a store that is configured as a pool.
+// StoreName returns the name in the prefix index of a store that is configured as a pool.
 func StoreName(pool string) string { return storeName + pool }
 
 // Router is the state of one proxy's data plane.
@@ -61,7 +62,7 @@
 	agent           *watch.Client
 	names           indices
 	view            atomic.Pointer[View]
-	current         atomic.Pointer[time.Time] // vouched for until then
+	current         atomic.Pointer[time.Time] // end of the period for which the agent vouches for the view
 	throttles       *throttle.Table
 	signals         *throttle.Signals
 	index           *prefixindex.Index
@@ -76,34 +77,34 @@
 	windows         sync.Map // *concurrencyWindow by pool name
 	disturbed       atomic.Pointer[time.Time]
 	modelVersions   ModelVersions
-	sources         sync.Map // stores that answer, by name in the index
-	chain           handle
-	onward          handle // the chain after attemptsFilter
+	sources         sync.Map // reachable stores, by name in the prefix index
+	chain           handler
+	afterAttempts   handler // the filters after attemptsFilter
 	random          *lockedRandom
-	runID           string // this life of the process
+	runID           string // identifies this run of the process
 	noticesSent     atomic.Uint64
 	throttleReports chan throttle.Notice
 	stopping        atomic.Bool
 	draining        atomic.Bool
-	loggedCurrent   atomic.Bool // as the log has it
+	loggedCurrent   atomic.Bool // the state that was logged last
 	open            running
 	stopped         chan struct{}
 }
 
-// Sizes of the router's own parts.
+// Sizes of the router's own resources.
 const (
-	// idleReplicaConnections bounds the idle connections that are kept to each replica.
+	// idleReplicaConnections is the maximum number of idle connections kept to each replica.
 	idleReplicaConnections = 64
-	// throttleReportQueue is how many throttles may wait to be reported to the agent.
+	// throttleReportQueue is the maximum number of throttles waiting to be reported to the agent.
 	throttleReportQueue = 256
 	runIDLength         = 8
 )
 
-// New makes a router; Run has it follow its agent.
+// New returns a router that does not follow its agent until Run is called.
 func New(options Options) *Router {
 	options = options.withDefaults()
 	nameHash := fnv.New64a()
-	_, _ = nameHash.Write([]byte(options.Name)) // a hash never fails
+	_, _ = nameHash.Write([]byte(options.Name)) // hash.Hash.Write never returns an error
 	r := &Router{
 		options:         options,
 		log:             options.Log,
@@ -123,7 +124,7 @@
 		stopped:         make(chan struct{}),
 	}
 	r.upstream = &http.Transport{
-		DialContext:         r.dialGuarded,
+		DialContext:         r.dialReplica,
 		MaxIdleConnsPerHost: idleReplicaConnections,
 		IdleConnTimeout:     options.KeepAlive,
 		DisableCompression:  true,
@@ -136,22 +137,23 @@
 		RPC: r.rpc, Address: options.Agent, Path: "/agent/pull", Wait: options.AgentWatchWait,
 		Request: r.watchRequest, OnUpdate: r.applyUpdates, OnResponse: r.fresh,
 	})
-	r.linkFilters()
+	r.buildFilterChain()
 	return r
 }
 
-// linkFilters makes the chain that each request goes through, the last filter first. What comes after the attempts is a chain of its own.
-func (r *Router) linkFilters() {
-	filters := []Filter{currencyFilter{r}, identityFilter{r}, pathFilter{r}}
+// buildFilterChain composes the chain that each request goes through, from the last filter to the first. The part after attemptsFilter
+// is also kept on its own, because it runs once per attempt.
+func (r *Router) buildFilterChain() {
+	filters := []Filter{admissionFilter{r}, identityFilter{r}, pathFilter{r}}
 	filters = append(filters, r.options.Filters...)
 	filters = append(filters, attemptsFilter{r}, balanceFilter{r}, queueFilter{r}, claimFilter{r}, sendFilter{r})
 	r.chain = func(context.Context, *Exchange) error {
-		return apierror.New(apierror.Internal, "no filter answered")
+		return apierror.New(apierror.Internal, "filter chain ended without a response")
 	}
 	for i := len(filters) - 1; i >= 0; i-- {
 		filter, onward := filters[i], r.chain
 		if _, attempts := filter.(attemptsFilter); attempts {
-			r.onward = onward
+			r.afterAttempts = onward
 		}
 		r.chain = func(ctx context.Context, x *Exchange) error { return filter.Handle(ctx, x, onward) }
 	}
@@ -164,10 +166,10 @@
 	r.agent.Run(ctx)
 }
 
-// Status is what a router reports to its agent, and so to the cores.
+// Status is a router's report to its agent, which passes it on to the cores.
 type Status struct {
 	Proxy   string           `json:"proxy"`
-	Run     string           `json:"run"` // one process's life
+	Run     string           `json:"run"` // identifies the run of the process
 	Zone    string           `json:"zone"`
 	Admin   string           `json:"admin"`
 	Current bool             `json:"current"`
@@ -175,15 +177,15 @@
 	Counts  map[string]int64 `json:"counts"`
 }
 
-// RunName names this run of the proxy; claims are held under it.
+// RunName identifies this run of the proxy; claims are held under this name.
 func (s Status) RunName() string { return s.Proxy + "." + s.Run }
 
-// watchRequest introduces this router to its agent.
+// watchRequest returns the watch request for the agent, with this router's status and the configuration revision that it applies.
 func (r *Router) watchRequest() watch.Request {
 	r.logCurrency()
 	status := Status{Proxy: r.options.Name, Run: r.runID, Zone: r.options.Zone, Admin: r.options.Admin, Current: r.IsCurrent(),
 		Stop: r.stopping.Load(), Counts: r.counts.all()}
-	raw, _ := json.Marshal(status) // a plain struct always encodes
+	raw, _ := json.Marshal(status) // a struct of plain fields always encodes
 	request := watch.Request{Name: r.options.Name, Role: "proxy", Status: raw, Applied: map[string]register.Revision{}}
 	if v := r.view.Load(); v != nil {
 		request.Applied[config.Key] = v.Version
@@ -191,7 +193,7 @@
 	return request
 }
 
-// logCurrency logs when the router becomes current, or has ceased to be, and reports whether that has changed.
+// logCurrency logs when the router becomes current or ceases to be, and reports whether that changed since the last call.
 func (r *Router) logCurrency() (changed bool) {
 	current := r.IsCurrent()
 	if changed = r.loggedCurrent.Swap(current) != current; changed {
@@ -200,22 +202,22 @@
 	return changed
 }
 
-// IsCurrent reports whether this router can prove that it knows every accepted change.
+// IsCurrent reports whether this router provably knows every accepted change.
 func (r *Router) IsCurrent() bool {
 	until := r.current.Load()
 	return until != nil && r.view.Load() != nil && time.Now().Before(*until)
 }
 
-// IsReady is the answer to readiness checks: current, and neither stopping nor draining.
+// IsReady answers readiness checks: the router is current, and neither stopping nor draining.
 func (r *Router) IsReady() bool { return r.IsCurrent() && !r.stopping.Load() && !r.draining.Load() }
 
-// IsConfigured reports whether this router has a configuration.
+// IsConfigured reports whether this router has received a configuration.
 func (r *Router) IsConfigured() bool {
 	v := r.view.Load()
 	return v != nil && v.Version.Version > 0
 }
 
-// Limits are the bounds that the configuration in force sets for clients; a bound that it leaves open is 0.
+// Limits returns the limits that the configuration in force sets for clients; a limit that it does not set is 0.
 func (r *Router) Limits() config.Limits {
 	if v := r.view.Load(); v != nil {
 		return v.limits
@@ -223,10 +225,10 @@
 	return config.Limits{}
 }
 
-// Drain makes the router unready; it goes on serving until Stop.
+// Drain makes the router report that it is not ready; it keeps serving until Stop.
 func (r *Router) Drain() { r.draining.Store(true) }
 
-// Handler serves clients, through a go-kit endpoint.
+// Handler returns the HTTP handler that serves clients, through a go-kit endpoint.
 func (r *Router) Handler() http.Handler {
 	serve := func(ctx context.Context, request any) (any, error) {
 		x := request.(*Exchange)
@@ -247,11 +249,11 @@
 			d.id = rand.Text()
 		}
 		defer func() {
-			for _, leave := range d.onDone {
-				leave()
+			for _, cleanup := range d.onDone {
+				cleanup()
 			}
 		}()
-		w.Header().Set(r.options.Protocol.IDHeader(), d.id) // every answer bears it, refusals too
+		w.Header().Set(r.options.Protocol.IDHeader(), d.id) // on every answer, rejections included
 		if isFramedTwice(q) {
 			w.Header().Set("Connection", "close")
 		}
@@ -259,7 +261,7 @@
 	})
 }
 
-// Stop rejects what waits, and returns when the running streams have ended or the context has.
+// Stop rejects queued requests and returns when the running streams have ended or the context is done.
 func (r *Router) Stop(ctx context.Context) {
 	if r.stopping.Swap(true) {
 		return
@@ -271,7 +273,7 @@
 	}
 }
 
-// encodeRejection writes an error, with what is known of whether the request was executed.
+// encodeRejection writes an error response that says whether the request was executed, as far as that is known.
 func (r *Router) encodeRejection(ctx context.Context, err error, w http.ResponseWriter) {
 	f := apierror.Of(err)
 	if f.Again > 0 {
--- a/router/send.go
+++ b/router/send.go
@@ -18,16 +18,16 @@
 	"asterridge/throttle"
 )
 
-// recheck checks everything again, before a connection is sought and in the moment of the write (docs/design.md §3.2). It changes nothing,
-// and gives the view that it checked by. The error is errPickAgain if the request is to be led anew.
+// recheck repeats all checks, before a connection is sought and again at the moment of the write (docs/design.md §3.2). It changes no
+// state, and returns the view that it checked against. The error is errPickAgain if the request has to be routed anew.
 func (r *Router) recheck(x *Exchange) (*View, error) {
-	if err := r.admits(); err != nil {
+	if err := r.admissionError(); err != nil {
 		return nil, err
 	}
 	v := r.view.Load()
 	t, p, rep := v.tenantOf(x), v.find(x.Request.Host, x.Request.URL.Path, x.Prompt.Model), v.replicas[x.replica.Name]
 	if v != x.View && (t == nil || p == nil || !reflect.DeepEqual(t.Tenant, x.Tenant.Tenant) || !reflect.DeepEqual(p.Path, x.Path.Path)) {
-		return nil, errPickAgain // led anew, it is sent by what holds now, or refused
+		return nil, errPickAgain // routed anew, it is sent under the current configuration, or rejected
 	}
 	if until := r.throttles.Until(x.item.Scope); !until.IsZero() {
 		return nil, errPickAgain
@@ -39,7 +39,7 @@
 		return nil, errPickAgain
 	}
 	if on, ready := v.placement(x, p, rep); !ready || on != x.placement {
-		return nil, errPickAgain // the route has switched: the base is picked at the write (§6.6)
+		return nil, errPickAgain // the placement has changed: the base is chosen at the write (§6.6)
 	}
 	if r.isPastOldVersion(v, x) {
 		return nil, errPickAgain
@@ -51,13 +51,13 @@
 func (f sendFilter) Handle(_ context.Context, x *Exchange, _ func(context.Context, *Exchange) error) error {
 	r, rep := f.r, x.replica
 	domain := prefixindex.Domain(x.Tenant.Name, x.Tenant.CreatedVersion, x.Tenant.Isolated, domainOf(x.weights, x.placement))
-	x.remaining = 0 // nothing was told yet
+	x.remaining = 0 // the replica was not told a time yet
 	v, err := r.recheck(x)
 	if err != nil {
 		return err
 	}
 	x.remaining = r.remainingTime(v, x)
-	// The stream outlives the wait for its first piece: it has the caller's context, and a stop of its own.
+	// The stream outlives the wait for its first chunk, so it uses the client's context and a cancel function of its own.
 	sending, stop := context.WithCancel(x.Request.Context())
 	timer := time.AfterFunc(time.Until(x.Deadline), stop)
 	answer, err := r.send(sending, x, domain)
@@ -68,7 +68,7 @@
 	}
 	if err := r.matchResponse(x, answer); err != nil {
 		timer.Stop()
-		_ = answer.Body.Close() // nothing of it is passed on
+		_ = answer.Body.Close() // its body is not used
 		x.write.discard()
 		stop()
 		return err
@@ -77,12 +77,12 @@
 	verdict := r.options.Protocol.Classify(answer)
 	if !verdict.Served {
 		timer.Stop()
-		_ = answer.Body.Close() // nothing of it is passed on
+		_ = answer.Body.Close() // its body is not used
 		stop()
 		return r.handleRejection(x, answer, verdict)
 	}
 	x.Answer = &Answer{Status: answer.StatusCode, Header: answer.Header, Body: answer.Body, finish: func(error) {
-		_ = answer.Body.Close() // nothing of it is passed on
+		_ = answer.Body.Close() // the answer is over: nothing more is read from it
 		stop()
 	}}
 	err = r.readFirstChunk(x, answer)
@@ -100,19 +100,19 @@
 	return nil
 }
 
-// matchResponse rejects a response that is none, or another request's: whatever it says, it says nothing of this request, which may have
-// been executed.
+// matchResponse rejects a response with an invalid status, or with the ID of another request. Such a response says nothing about this
+// request, which may have been executed.
 func (r *Router) matchResponse(x *Exchange, answer *http.Response) error {
 	if answer.StatusCode < http.StatusOK || answer.StatusCode > highestStatus {
-		return r.handleLostAttempt(x, apierror.New(apierror.ReplicaRejected, "status %d", answer.StatusCode))
+		return r.handleLostAttempt(x, apierror.New(apierror.ReplicaRejected, "invalid response status %d", answer.StatusCode))
 	}
 	if id := r.options.Protocol.AnswerID(answer); id != x.ID {
 		r.log.Error().Str("request", x.ID).Str("answer", id).Str("replica", x.replica.Name).Msg("answer bears the ID of another request")
-		foreign, again := apierror.New(apierror.ForeignAnswer, "answer %q", id), errAgain{}
-		if err := r.handleLostAttempt(x, foreign); errors.As(err, &again) {
-			return again
+		mismatch, retry := apierror.New(apierror.ForeignAnswer, "response has request ID %q", id), errRetryable{}
+		if err := r.handleLostAttempt(x, mismatch); errors.As(err, &retry) {
+			return retry
 		}
-		return foreign
+		return mismatch
 	}
 	return nil
 }
@@ -120,7 +120,7 @@
 // highestStatus is the highest HTTP status.
 const highestStatus = 599
 
-// observeResponse takes what a response tells of its replica.
+// observeResponse records what a response's header says about its replica: its occupancy and its model version.
 func (r *Router) observeResponse(x *Exchange, answer *http.Response) {
 	if seen, reported := r.options.Protocol.Occupancy(answer); reported {
 		seen.at = time.Now()
@@ -131,26 +131,26 @@
 	}
 }
 
-// replicaRequest makes the request to the replica from the client's.
+// replicaRequest builds the request to the replica from the client's request.
 func (r *Router) replicaRequest(ctx context.Context, x *Exchange, domain string) (*http.Request, error) {
 	q, err := http.NewRequestWithContext(ctx, x.Request.Method, "http://"+x.replica.Address+x.Request.URL.RequestURI(), nil)
 	if err != nil {
 		return nil, apierror.Wrap(err, apierror.Internal, "make request")
 	}
 	if target := x.Request.RequestURI; strings.HasPrefix(target, "/") && !strings.HasPrefix(target, "//") {
-		q.URL = &url.URL{Scheme: "http", Host: x.replica.Address, Opaque: target} // as it came, and not escaped anew
-	} else if strings.HasPrefix(target, "//") && q.URL.RequestURI() != target { // net/url takes no such target as it came
-		return nil, apierror.New(apierror.Malformed, "a target that begins with two slashes has characters that RFC 3986 wants escaped")
+		q.URL = &url.URL{Scheme: "http", Host: x.replica.Address, Opaque: target} // exactly as received, without escaping it again
+	} else if strings.HasPrefix(target, "//") && q.URL.RequestURI() != target { // net/url cannot pass it on as received
+		return nil, apierror.New(apierror.Malformed, "a target that begins with two slashes has characters that must be escaped (RFC 3986)")
 	}
 	q.Host = x.Request.Host
-	hops := map[string]bool{} // that the caller's connection alone concern
+	hopByHop := map[string]bool{} // headers for the client's connection only
 	for _, value := range x.Request.Header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
-			hops[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+			hopByHop[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
 		}
 	}
 	for name, values := range x.Request.Header {
-		if hops[name] {
+		if hopByHop[name] {
 			continue
 		}
 		switch name {
@@ -165,7 +165,7 @@
 	}
 	r.options.Protocol.SetHeaders(q.Header, x, s)
 	setPlacementHeaders(q.Header, x.placement)
-	// A body reader without GetBody keeps net/http from resending by itself (§5.4).
+	// Without GetBody, net/http cannot resend the request by itself (§5.4).
 	q.Body, q.GetBody = io.NopCloser(struct{ io.Reader }{bytes.NewReader(x.Body)}), nil
 	if len(x.Body) > 0 {
 		q.ContentLength = int64(len(x.Body))
@@ -173,12 +173,12 @@
 	return q, nil
 }
 
-// send writes the request and waits for the head of the response. What was surely not written was not executed; everything else may have
-// been (docs/design.md §3.2).
+// send writes the request and waits for the response header. A request of which provably nothing was written was not executed; any
+// other may have been executed (docs/design.md §3.2).
 func (r *Router) send(ctx context.Context, x *Exchange, domain string) (*http.Response, error) {
-	var now *requestWrite
+	var write *requestWrite
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
-		now = got.Conn.(*replicaConn).arm(x.ID, func() (*View, error) { return r.recheck(x) }) // all that the transport dials are guards
+		write = got.Conn.(*replicaConn).startWrite(x.ID, func() (*View, error) { return r.recheck(x) }) // dialReplica returns only these
 	}})
 	q, err := r.replicaRequest(traced, x, domain)
 	if err != nil {
@@ -189,8 +189,8 @@
 	var seen *View
 	var at time.Time
 	failure := errUnwritten
-	if now != nil {
-		seen, at, failure = now.finish()
+	if write != nil {
+		seen, at, failure = write.finish()
 	}
 	if seen == nil {
 		r.counts.add("unwritten", 1)
@@ -198,12 +198,12 @@
 		case failure != errUnwritten:
 			return nil, failure
 		case x.Request.Context().Err() != nil:
-			return nil, apierror.New(apierror.ClientGone, "left before the request was written")
+			return nil, apierror.New(apierror.ClientGone, "client disconnected before the request was written")
 		}
 		r.coolDown(x.replica)
 		return nil, errUnsent{unwritten(answer, err)}
 	}
-	x.View, x.Sent, x.write = seen, at, now
+	x.View, x.Sent, x.write = seen, at, write
 	if x.Attempt == 0 {
 		r.budget.first()
 		r.counts.add("first_shots", 1)
@@ -214,13 +214,14 @@
 	return answer, nil
 }
 
-// unwritten says why a request was not written. A response that was on the connection before belongs to no request.
+// unwritten returns the reason why a request was not written. A response that was on the connection before the write belongs to no
+// request.
 func unwritten(answer *http.Response, err error) error {
 	if answer != nil {
-		_ = answer.Body.Close() // nothing of it is passed on
-		return apierror.New(apierror.ReplicaRejected, "an answer came before the request was written")
+		_ = answer.Body.Close() // its body is not used
+		return apierror.New(apierror.ReplicaRejected, "a response arrived before the request was written")
 	}
-	return apierror.Wrap(err, apierror.ReplicaRejected, "no connection, or none that was written to")
+	return apierror.Wrap(err, apierror.ReplicaRejected, "no connection to the replica, or nothing written to it")
 }
 
 // readFirstChunk reads the first chunk of a stream, or a short answer in full.
@@ -254,41 +255,41 @@
 	return nil
 }
 
-// maxBufferedBody is the size in bytes up to which an answer is read in full before it is passed on.
+// maxBufferedBody is the size in bytes up to which an answer is read in full before any of it is passed on.
 const maxBufferedBody = 1 << 20
 
-// errUnframed is an answer that only the connection's end would end: one that was cut off looks just like it.
-var errUnframed = apierror.New(apierror.StreamBroken, "an answer without an end of its own")
+// errUnframed rejects an answer whose end is marked only by the end of the connection, because a truncated one would look complete.
+var errUnframed = apierror.New(apierror.StreamBroken, "the answer has neither a length nor chunked framing nor an end marker")
 
-// handleLostAttempt ends an attempt that may have been executed.
+// handleLostAttempt ends an attempt that failed and may have been executed.
 func (r *Router) handleLostAttempt(x *Exchange, err error) error {
 	x.mayHaveExecuted = true
 	if x.Request.Context().Err() != nil {
-		return apierror.Wrap(err, apierror.OutcomeLost, "the caller left")
+		return apierror.Wrap(err, apierror.OutcomeLost, "client disconnected")
 	}
 	r.coolDown(x.replica)
 	r.log.Warn().Str("request", x.ID).Str("replica", x.replica.Name).Err(err).Msg("request lost at a replica")
-	lost := apierror.Wrap(err, apierror.OutcomeLost, "no whole answer from "+x.replica.Name)
+	lost := apierror.Wrap(err, apierror.OutcomeLost, "no complete answer from "+x.replica.Name)
 	if x.Idempotent && time.Now().Before(x.Deadline) {
-		return errAgain{lost}
+		return errRetryable{lost}
 	}
 	return apierror.New(apierror.OutcomeLost, "%v", lost)
 }
 
-// handleRejection acts on a rejection: one for load throttles the tenant's scope, and all that the protocol defines as not executed may be
-// attempted again.
+// handleRejection handles a replica's rejection. A rejection for load throttles the tenant's scope; one that the protocol defines as
+// not executed may be attempted again.
 func (r *Router) handleRejection(x *Exchange, answer *http.Response, v Outcome) error {
 	r.counts.add("refusals", 1)
-	cause := apierror.New(apierror.ReplicaRejected, "%s refused: %s", x.replica.Name, v.Reason)
+	cause := apierror.New(apierror.ReplicaRejected, "replica %s rejected the request: %s", x.replica.Name, v.Reason)
 	if v.Throttled {
 		r.counts.add("refusals_pushed", 1)
 		rule := r.view.Load().throttleRule
 		values := answer.Header.Values("Retry-After")
-		own := v.NamesTenant || r.signals.Rejected(x.replica.index, x.Tenant.index)
-		if !own {
+		tenantOnly := v.NamesTenant || r.signals.Rejected(x.replica.index, x.Tenant.index)
+		if !tenantOnly {
 			r.coolDown(x.replica)
 		}
-		if own || len(values) > 0 {
+		if tenantOnly || len(values) > 0 {
 			delay, parsed := throttle.RetryAfter(values, r.dateOf(answer), time.Duration(rule.CapMs)*time.Millisecond)
 			if !parsed {
 				delay = r.random.backoff(rule, x.Attempt+r.streak(x))
@@ -308,10 +309,10 @@
 	if !v.NotExecuted {
 		return r.handleLostAttempt(x, errors.New(cause.Error()))
 	}
-	return errAgain{cause}
+	return errRetryable{cause}
 }
 
-// dateOf is the replica's own wall clock, by which its Retry-After dates count; ours may have jumped.
+// dateOf returns the replica's own wall-clock time, which its Retry-After dates refer to; the local clock may have jumped.
 func (r *Router) dateOf(answer *http.Response) time.Time {
 	if at, err := http.ParseTime(answer.Header.Get("Date")); err == nil {
 		return at
@@ -319,8 +320,9 @@
 	return r.options.Clock()
 }
 
-// logFirstChunk counts and logs how long a first chunk took beside what the placement expected, so that a late one can be told by its cause: it waited
-// here, was computed anew, or stood behind others at its replica.
+// logFirstChunk counts and logs the delay of a first chunk next to the delay that the placement expected, so that the cause of a late
+// one can be told: it waited in this proxy, its prompt was computed without cached blocks, or it was behind other requests at its
+// replica.
 func (r *Router) logFirstChunk(x *Exchange, delay time.Duration) {
 	c := x.prefill
 	r.counts.add("first_chunks", 1)
@@ -333,7 +335,7 @@
 		Msg("first chunk")
 }
 
-// observeFirstChunk gives the delay of the first chunk to the signals.
+// observeFirstChunk reports the delay of the first chunk to the throttling signals.
 func (r *Router) observeFirstChunk(x *Exchange, delay time.Duration) {
 	x.replica.bad.Store(0)
 	r.borrow.observe(false)
@@ -342,7 +344,7 @@
 	r.endPrefill(x)
 	report := x.replica.report.Load()
 	if report != nil && !report.Warm {
-		return // slow for everyone
+		return // slow for all tenants while it warms up
 	}
 	rule := r.view.Load().throttleRule
 	coldPrefill := time.Duration(float64(x.Prompt.Size()) / x.replica.rate() * float64(time.Millisecond))
--- a/router/throttling.go
+++ b/router/throttling.go
@@ -14,27 +14,28 @@
 	"asterridge/throttle"
 )
 
-// lockedRandom is a random source for several goroutines.
+// lockedRandom is a random source that is safe for concurrent use.
 type lockedRandom struct {
 	mu sync.Mutex
 	r  *mathrand.Rand
 }
 
-// backoff draws a backoff.
+// backoff returns a random delay for an attempt, within the bounds of the rule.
 func (l *lockedRandom) backoff(rule config.ThrottleRule, attempt int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return throttle.Backoff(rule, attempt, l.r)
 }
 
-// throttleExtended wakes the queue when a throttle here was extended.
+// throttleExtended is called when a throttle was extended in this router's table; it wakes the queue.
 func (r *Router) throttleExtended(e throttle.Entry) {
 	r.log.Info().Str("scope", e.Scope).Str("id", e.ID).Int64("remaining_ms", e.RemainingMs).Str("reason", e.Reason).Msg("throttle extended")
 	r.queue.WakeAll()
 }
 
-// releaseDelay spreads the first releases after a throttle over the proxies: the first by rendezvous rank goes at once, the second a step
-// later, then two, four and so on. If the first is rejected again, the others hear of it before they send (docs/design.md §4.4).
+// releaseDelay spreads the first requests after a throttle over the proxies. The proxy that is first in rendezvous order sends at
+// once, the next one a step later, then two proxies, four and so on. If the first request is rejected, the other proxies learn of the
+// new throttle before they send (docs/design.md §4.4).
 func (r *Router) releaseDelay(scope string) time.Duration {
 	v := r.view.Load()
 	if v == nil {
@@ -46,13 +47,13 @@
 			before++
 		}
 	}
-	return time.Duration(bits.Len(uint(before))) * turnStep
+	return time.Duration(bits.Len(uint(before))) * releaseStep
 }
 
-// turnStep is the time between two steps of release.
-const turnStep = 100 * time.Millisecond
+// releaseStep is the time between two steps of the release.
+const releaseStep = 100 * time.Millisecond
 
-// throttle extends a scope's throttle here at once, and has it reported to all (docs/design.md §4.2).
+// throttle extends a scope's throttle in this router at once, and queues it to be reported to all proxies (docs/design.md §4.2).
 func (r *Router) throttle(x *Exchange, delay time.Duration, reason, raw string) {
 	rule := r.view.Load().throttleRule
 	limit := time.Duration(rule.CapMs) * time.Millisecond
@@ -62,16 +63,16 @@
 	}
 	r.counts.add("throttles", 1)
 	if !r.throttles.Merge(n, limit) {
-		return // an equal or longer hold stands here, and was told already
+		return // an equal or longer throttle is in force here and was reported
 	}
 	r.log.Info().Str("scope", n.Scope).Str("request", x.ID).Int64("delay_ms", n.RemainingMs).Str("reason", reason).Msg("throttle reported")
 	select {
 	case r.throttleReports <- n:
-	default: // a full line means a storm; the local hold stands and others report too
+	default: // queue full under many rejections: the local throttle stays, and other proxies report too
 	}
 }
 
-// reportThrottles reports throttles to the agent. What cannot be reported is tried again while it lasts.
+// reportThrottles reports throttles to the agent. A failed report is repeated as long as the throttle lasts.
 func (r *Router) reportThrottles(ctx context.Context) {
 	for {
 		select {
@@ -85,7 +86,7 @@
 				if err == nil {
 					break
 				}
-				_ = rpc.Sleep(ctx, 100*time.Millisecond) // the loop looks at the context
+				_ = rpc.Sleep(ctx, 100*time.Millisecond) // the loop checks the context
 			}
 		}
 	}
