--- a/router/exchange_test.go
+++ b/router/exchange_test.go
@@ -10,9 +10,9 @@
 	"asterridge/rpc"
 )
 
-// Whatever order steps are tried in, only lawful ones are taken, retry_wait leads to eligible or an end alone, an end is the end, and the
-// audit has each step with its prior state.
-func TestStatesOnlyMoveForward(t *testing.T) {
+// Tries random transitions: only valid ones are taken, retry_wait leads to eligible or a final state alone, a final state is not left,
+// and the audit records each transition with its prior state.
+func TestOnlyValidStateTransitionsAreTaken(t *testing.T) {
 	is := is.New(t)
 	all := []State{Received, Eligible, Submitted, RetryWait, Done, Failed, Stale}
 	ends := map[State]bool{Done: true, Failed: true, Stale: true}
@@ -29,7 +29,7 @@
 				return
 			}()
 			if !isTaken {
-				is.Equal(x.State, from) // a refused step changes nothing
+				is.Equal(x.State, from) // a rejected transition changes nothing
 				continue
 			}
 			taken = append(taken, to)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestRetriesStayWithinATenthAndTheAllowance(t *testing.T) {
+func TestRetriesStayWithinRatioAndAllowance(t *testing.T) {
 	is := is.New(t)
 	b := budget{tokens: retryAllowance}
 	spent := 0
@@ -66,8 +66,8 @@
 	is.True(spent > 95)
 }
 
-// Retries stay within half of the ratio that a deployment allows, and never over a tenth.
-func TestSecondAttemptsStayWithinTheRatioAllowed(t *testing.T) {
+// The share of retries is at most half of the configured ratio, and never above a tenth.
+func TestRetriesStayWithinConfiguredRatio(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct{ ratio, part float64 }{{0, 0.1}, {0.5, 0.1}, {0.2, 0.1}, {0.1, 0.05}, {0.02, 0.01}} {
 		b := &New(Options{RetryRatio: c.ratio, Net: &rpc.TCP{}}).budget
@@ -83,8 +83,9 @@
 	}
 }
 
-// What all routers together may save up stays within half of the fleet's slack, however many they are; one retry each is left.
-func TestSavedRetriesAreSharedOut(t *testing.T) {
+// The retries that all routers together can save up are at most half of the fleet's slack, however many routers there are, but at
+// least one each.
+func TestSavedRetriesAreSharedAmongRouters(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct{ slack, routers, most float64 }{{58, 9, 29.0 / 9}, {202, 81, 101.0 / 81}, {10, 81, 1}, {1000, 2, maxRetryTokens}, {0, 9, maxRetryTokens}} {
 		b := budget{tokens: retryAllowance}
--- a/router/filters.go
+++ b/router/filters.go
@@ -196,7 +196,7 @@
 func (f queueFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	r := f.r
 	waiting, stop := context.WithCancel(ctx)
-	if x.Path.LatencyTargetMs > 0 && x.Answer == nil { // not for a resumed stream: its wait does not count from its arrival
+	if x.Path.LatencyTargetMs > 0 && x.Answer == nil { // not for a resumed stream: this limit counts from the arrival of the request
 		waiting, stop = context.WithDeadline(ctx, x.Received.Add(time.Duration(waitShare*float64(x.Deadline.Sub(x.Received)))))
 	}
 	defer stop()
--- a/router/framing_test.go
+++ b/router/framing_test.go
@@ -13,8 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// answered sends some requests at once, in pieces of a size, and gives how many were read.
-func answered(is *is.I, watched bool, step int, requests ...string) (count int) {
+// countAnswered sends requests on one connection, in pieces of the given size, and returns how many were countAnswered.
+func countAnswered(is *is.I, watched bool, step int, requests ...string) (count int) {
 	is.Helper()
 	near, far := net.Pipe()
 	listener := &oneConn{c: far, closed: make(chan struct{})}
@@ -62,7 +62,7 @@
 	return count
 }
 
-// oneConn is a listener to which one connection comes.
+// oneConn is a listener that accepts a single connection.
 type oneConn struct {
 	c      net.Conn
 	closed chan struct{}
@@ -82,7 +82,8 @@
 
 func (l *oneConn) Addr() net.Addr { return l.c.LocalAddr() }
 
-// A request with both a length and chunks is the last on its connection, wherever the header's line is cut; others are not held to be one.
+// A request with both a Content-Length and chunks must be the last on its connection, wherever the header line is split, or the rest
+// of its body could be read as a smuggled request. Other requests keep the connection open.
 func TestRequestFramedTwiceIsTheLastOnItsConnection(t *testing.T) {
 	is := is.New(t)
 	const (
@@ -93,13 +94,13 @@
 		inBody  = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n11\r\n\r\nContent-Length\r\n\r\n0\r\n\r\n"
 	)
 	for _, step := range []int{1, 2, 3, 7, 50, 4096} {
-		is.Equal(answered(is, true, step, long, twice, long, long), 2)
-		is.Equal(answered(is, true, step, twice, bare), 1)
+		is.Equal(countAnswered(is, true, step, long, twice, long, long), 2)
+		is.Equal(countAnswered(is, true, step, twice, bare), 1)
 	}
-	for _, step := range []int{1, 2, 3, 7} { // no more than one request is read ahead
-		is.Equal(answered(is, true, step, bare, bare, long, chunked, twice, chunked), 5)
-		is.Equal(answered(is, true, step, long, chunked, bare, chunked, long, long, chunked), 7)
+	for _, step := range []int{1, 2, 3, 7} { // small pieces, so that at most one request is read ahead
+		is.Equal(countAnswered(is, true, step, bare, bare, long, chunked, twice, chunked), 5)
+		is.Equal(countAnswered(is, true, step, long, chunked, bare, chunked, long, long, chunked), 7)
 	}
-	is.Equal(answered(is, true, 1, inBody, chunked), 1)            // it may have been one: better closed than smuggled through
-	is.Equal(answered(is, false, 1, long, bare, chunked, long), 3) // nobody counts
+	is.Equal(countAnswered(is, true, 1, inBody, chunked), 1)            // a body that looks like the header closes the connection too, to be safe
+	is.Equal(countAnswered(is, false, 1, long, bare, chunked, long), 3) // without Watch every chunked request is the last
 }
--- a/router/resumed_test.go
+++ b/router/resumed_test.go
@@ -22,7 +22,7 @@
 	"asterridge/sim"
 )
 
-// plainDialect is a plain manner of speaking in which streams may be taken up behind an event.
+// plainDialect is a minimal protocol without prompts whose streams can be resumed after an event.
 type plainDialect struct{ router.ChatProtocol }
 
 func (plainDialect) ReadHeader(q *http.Request) (o router.ClientHeader, err error) {
@@ -54,23 +54,23 @@
 func (plainDialect) ReportPath() string             { return "" }
 func (plainDialect) LoadPath() string               { return "" }
 
-// run is what one replica does with a request.
-type run struct {
-	refuses bool
-	plain   bool          // no stream
-	sends   int           // events after which it breaks off, in the midst of the next; less than 0: it sends all
-	pause   time.Duration // before each event
-	foreign bool          // its answer bears another request's id
-	again   bool          // begins at the first event, whatever it is asked to go on behind
+// replicaRun is how a replica answers one request.
+type replicaRun struct {
+	rejects    bool
+	plain      bool          // answers without a stream
+	sends      int           // breaks off within the event after this many; negative: sends all
+	pause      time.Duration // before each event
+	wrongID    bool          // its answer has another request's ID
+	startsOver bool          // starts at the first event, ignoring the event to resume after
 }
 
-// streamer is all replicas: the runs come in the order in which they are asked, whichever is.
-type streamer struct {
-	mu      sync.Mutex
-	runs    []run
-	asked   []string // "replica: after LAST, body"
-	targets []string
-	left    []int
+// fakeReplicas serves all replicas; the runs are used in the order of the requests, whichever replica gets them.
+type fakeReplicas struct {
+	mu          sync.Mutex
+	runs        []replicaRun
+	requests    []string // one line for each request: ID, event to resume after, method, body
+	targets     []string
+	remainingMs []int
 }
 
 const lastEvent = 12
@@ -86,27 +86,27 @@
 	return text
 }
 
-func (s *streamer) replica(name string) http.Handler {
+func (s *fakeReplicas) replica(name string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
 		s.mu.Lock()
 		left, _ := strconv.Atoi(q.Header.Get("X-Left-Ms"))
-		s.left = append(s.left, left)
+		s.remainingMs = append(s.remainingMs, left)
 		s.targets = append(s.targets, q.RequestURI)
-		s.asked = append(s.asked, fmt.Sprintf("%s after %q: %s %s", q.Header.Get("X-Request-Id"), q.Header.Get("After-Event"), q.Method, body))
-		r := run{sends: -1}
+		s.requests = append(s.requests, fmt.Sprintf("%s after %q: %s %s", q.Header.Get("X-Request-Id"), q.Header.Get("After-Event"), q.Method, body))
+		r := replicaRun{sends: -1}
 		if len(s.runs) > 0 {
 			r, s.runs = s.runs[0], s.runs[1:]
 		}
-		order := len(s.asked)
+		order := len(s.requests)
 		s.mu.Unlock()
 		w.Header().Set("X-Request-Id", q.Header.Get("X-Request-Id"))
 		w.Header().Set("X-Order", fmt.Sprint(order))
-		if r.foreign {
+		if r.wrongID {
 			w.Header().Set("X-Request-Id", "foreign")
 		}
 		switch {
-		case r.refuses:
+		case r.rejects:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		case r.plain:
@@ -116,7 +116,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set("X-Replica", name)
 		after, _ := strconv.Atoi(q.Header.Get("After-Event"))
-		if r.again {
+		if r.startsOver {
 			after = 0
 		}
 		flush := http.NewResponseController(w)
@@ -126,7 +126,7 @@
 			if r.sends == 0 {
 				_, _ = io.WriteString(w, text[:len(text)/2])
 				_ = flush.Flush()
-				time.Sleep(10 * time.Millisecond) // the half event is on its way
+				time.Sleep(10 * time.Millisecond) // so that the half event is delivered before the reset
 				panic(http.ErrAbortHandler)
 			}
 			r.sends--
@@ -136,7 +136,7 @@
 	})
 }
 
-// stream is what a caller got.
+// stream is the response that a client received.
 type stream struct {
 	status int
 	header http.Header
@@ -144,10 +144,10 @@
 	err    error
 }
 
-// resumed plays with a router before two replicas that break off as told, on a path with these settings.
-func resumed(t *testing.T, p config.Path, play func(is *is.I, s *streamer, ask func(header ...string) stream, counts func(name string) int64)) {
+// runResumed runs a scenario with a router in front of two replicas that answer as the scenario says, on a path with the given settings.
+func runResumed(t *testing.T, p config.Path, scenario func(is *is.I, s *fakeReplicas, ask func(header ...string) stream, counts func(name string) int64)) {
 	t.Helper()
-	resumedOn(t, p, func(is *is.I, s *streamer, stand *sim.Testbed) {
+	runResumedOnTestbed(t, p, func(is *is.I, s *fakeReplicas, testbed *sim.Testbed) {
 		ask := func(header ...string) stream {
 			q, err := http.NewRequest(http.MethodPost, "http://"+sim.TestbedAddress+"/s/x", strings.NewReader("a body"))
 			is.NoErr(err)
@@ -155,7 +155,7 @@
 			for i := 0; i+1 < len(header); i += 2 {
 				q.Header.Set(header[i], header[i+1])
 			}
-			answer, err := stand.Client.Do(q)
+			answer, err := testbed.Client.Do(q)
 			if err != nil {
 				return stream{err: err}
 			}
@@ -163,8 +163,8 @@
 			text, err := io.ReadAll(answer.Body)
 			return stream{answer.StatusCode, answer.Header, string(text), err}
 		}
-		play(is, s, ask, func(name string) int64 {
-			rows, err := stand.Router.Rows(context.Background(), router.Query{What: "counts"})
+		scenario(is, s, ask, func(name string) int64 {
+			rows, err := testbed.Router.Rows(context.Background(), router.Query{What: "counts"})
 			is.NoErr(err)
 			n, _ := rows[0][name].(int64)
 			return n
@@ -172,16 +172,16 @@
 	})
 }
 
-// resumedOn is resumed for callers that connect by themselves.
-func resumedOn(t *testing.T, p config.Path, play func(is *is.I, s *streamer, stand *sim.Testbed)) {
+// runResumedOnTestbed is like resumed, for scenarios that open their own connections.
+func runResumedOnTestbed(t *testing.T, p config.Path, scenario func(is *is.I, s *fakeReplicas, testbed *sim.Testbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		stand := sim.NewTestbed(router.Options{Name: "proxy-1", Protocol: plainDialect{}, Log: zerolog.Nop()})
-		defer stand.Stop()
-		s := &streamer{}
-		stand.Serve("10.0.2.1:80", s.replica("one"))
-		stand.Serve("10.0.2.2:80", s.replica("two"))
+		testbed := sim.NewTestbed(router.Options{Name: "proxy-1", Protocol: plainDialect{}, Log: zerolog.Nop()})
+		defer testbed.Stop()
+		s := &fakeReplicas{}
+		testbed.Serve("10.0.2.1:80", s.replica("one"))
+		testbed.Serve("10.0.2.2:80", s.replica("two"))
 		b := config.Empty()
 		p.Name, p.Pool, p.Public, p.MaxBody, p.Cost = "stream", "pool", true, 1000, 1
 		if p.Address == "" {
@@ -192,20 +192,20 @@
 		}
 		b.Paths["stream"] = p
 		b.Pools["pool"] = config.Pool{Name: "pool", Kind: "web"}
-		stand.Configure(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 8},
+		testbed.Configure(b, config.Replica{Name: "one", Address: "10.0.2.1:80", Pool: "pool", State: "present", Limit: 8},
 			config.Replica{Name: "two", Address: "10.0.2.2:80", Pool: "pool", State: "present", Limit: 8})
-		play(is, s, stand)
+		scenario(is, s, testbed)
 	})
 }
 
 var resumable = config.Path{Resumable: true}
 
-// The first replica breaks off in the midst of an event, and the second goes on behind the last whole one: the caller gets every event once,
-// under the head of the first answer, and does not see that there were two.
-func TestBrokenStreamGoesOnAtAnotherReplica(t *testing.T) {
+// When the first replica breaks off within an event, the second one continues after the last complete event: the client gets every
+// event once, under the header of the first answer.
+func TestBrokenStreamResumesAtAnotherReplica(t *testing.T) {
 	for sent := range lastEvent {
-		resumed(t, resumable, func(is *is.I, s *streamer, ask func(...string) stream, counts func(string) int64) {
-			s.runs = []run{{sends: sent}, {sends: -1}}
+		runResumed(t, resumable, func(is *is.I, s *fakeReplicas, ask func(...string) stream, counts func(string) int64) {
+			s.runs = []replicaRun{{sends: sent}, {sends: -1}}
 			got := ask()
 			is.NoErr(got.err)
 			is.Equal(got.status, http.StatusOK)
@@ -214,7 +214,7 @@
 			if sent > 0 {
 				after = fmt.Sprint(sent)
 			}
-			is.Equal(s.asked, []string{`r1 after "": POST a body`, fmt.Sprintf("r1 after %q: POST a body", after)})
+			is.Equal(s.requests, []string{`r1 after "": POST a body`, fmt.Sprintf("r1 after %q: POST a body", after)})
 			is.Equal(got.header.Get("X-Order"), "1")
 			is.Equal(counts("resumed"), int64(1))
 			is.Equal(counts("second_shots"), int64(1))
@@ -223,31 +223,31 @@
 	}
 }
 
-// A caller that takes a stream up again says what it has, and so does the router when that stream breaks off in turn.
-func TestStreamTakenUpByTheCallerGoesOnToo(t *testing.T) {
+// A stream that the client resumes after an event continues at another replica in the same way, after the last event that the client
+// has by then.
+func TestStreamResumedByTheClientIsResumedAgain(t *testing.T) {
 	for _, sent := range []int{0, 1, 3} {
-		resumed(t, resumable, func(is *is.I, s *streamer, ask func(...string) stream, _ func(string) int64) {
-			s.runs = []run{{sends: sent}, {sends: -1}}
+		runResumed(t, resumable, func(is *is.I, s *fakeReplicas, ask func(...string) stream, _ func(string) int64) {
+			s.runs = []replicaRun{{sends: sent}, {sends: -1}}
 			got := ask("After-Event", "5")
 			is.NoErr(got.err)
 			is.Equal(got.text, eventsFrom(6, lastEvent))
-			is.Equal(s.asked, []string{`r1 after "5": POST a body`, fmt.Sprintf("r1 after %q: POST a body", fmt.Sprint(5+sent))})
+			is.Equal(s.requests, []string{`r1 after "5": POST a body`, fmt.Sprintf("r1 after %q: POST a body", fmt.Sprint(5+sent))})
 		})
 	}
 }
 
-// A replica that is asked to go on behind an event and begins again all the same: the caller gets no event twice, from whichever replica, and
-// none is missing.
-func TestResumedStreamThatBeginsAgainRepeatsNoEvent(t *testing.T) {
+// A replica may ignore the event to resume after and start over: the client still gets every event exactly once.
+func TestResumedStreamThatStartsOverRepeatsNoEvent(t *testing.T) {
 	for sent := range lastEvent {
-		resumed(t, resumable, func(is *is.I, s *streamer, ask func(...string) stream, _ func(string) int64) {
-			s.runs = []run{{sends: sent}, {sends: -1, again: true}}
+		runResumed(t, resumable, func(is *is.I, s *fakeReplicas, ask func(...string) stream, _ func(string) int64) {
+			s.runs = []replicaRun{{sends: sent}, {sends: -1, startsOver: true}}
 			got := ask()
 			is.NoErr(got.err)
 			is.Equal(got.text, eventsFrom(1, lastEvent))
 		})
-		resumed(t, resumable, func(is *is.I, s *streamer, ask func(...string) stream, _ func(string) int64) {
-			s.runs = []run{{sends: sent, again: true}, {sends: -1, again: true}}
+		runResumed(t, resumable, func(is *is.I, s *fakeReplicas, ask func(...string) stream, _ func(string) int64) {
+			s.runs = []replicaRun{{sends: sent, startsOver: true}, {sends: -1, startsOver: true}}
 			got := ask("After-Event", "5")
 			is.NoErr(got.err)
 			is.Equal(got.text, eventsFrom(6, lastEvent))
@@ -255,10 +255,10 @@
 	}
 }
 
-// Between the events that one replica sends, nothing is held back but what is not whole: the caller has each event as it comes.
-func TestWholeEventsArePassedOnAtOnce(t *testing.T) {
-	resumed(t, resumable, func(is *is.I, s *streamer, ask func(...string) stream, _ func(string) int64) {
-		s.runs = []run{{sends: -1, pause: time.Second}}
+// Only incomplete events are held back: the client gets each event as soon as the replica has sent it.
+func TestCompleteEventsArePassedOnAtOnce(t *testing.T) {
+	runResumed(t, resumable, func(is *is.I, s *fakeReplicas, ask func(...string) stream, _ func(string) int64) {
+		s.runs = []replicaRun{{sends: -1, pause: time.Second}}
 		began := time.Now()
 		got := ask()
 		is.NoErr(got.err)
@@ -267,31 +267,32 @@
 	})
 }
 
-// A path's tries bound how many replicas one stream goes to; then the caller's connection is aborted behind a whole event.
-func TestTriesBoundResumedStreams(t *testing.T) {
+// A path's limit of attempts also limits how many replicas one stream uses; after that the client's connection is aborted after a
+// complete event.
+func TestAttemptLimitAppliesToResumedStreams(t *testing.T) {
 	for _, tries := range []int{1, 2} {
 		p := resumable
 		p.Tries = tries
-		resumed(t, p, func(is *is.I, s *streamer, ask func(...string) stream, counts func(string) int64) {
-			s.runs = []run{{sends: 2}, {sends: 2}, {sends: 2}, {sends: 2}}
+		runResumed(t, p, func(is *is.I, s *fakeReplicas, ask func(...string) stream, counts func(string) int64) {
+			s.runs = []replicaRun{{sends: 2}, {sends: 2}, {sends: 2}, {sends: 2}}
 			got := ask()
 			is.Equal(got.status, http.StatusOK)
 			is.True(errors.Is(got.err, io.ErrUnexpectedEOF))
 			is.Equal(got.text, eventsFrom(1, 2*tries))
-			is.Equal(len(s.asked), tries)
+			is.Equal(len(s.requests), tries)
 			is.Equal(counts("state_"+string(router.Failed)), int64(1))
 			is.Equal(counts("bounce_stream_cut"), int64(1))
 		})
 	}
 }
 
-// Going on is paid for like any retry: a process begins with one, and each first attempt gives a tenth.
-func TestBudgetBoundsResumedStreams(t *testing.T) {
-	resumed(t, resumable, func(is *is.I, s *streamer, ask func(...string) stream, counts func(string) int64) {
+// Resuming a stream is charged to the retry budget like any retry: a process starts with one, and each first attempt adds a tenth.
+func TestRetryBudgetLimitsResumedStreams(t *testing.T) {
+	runResumed(t, resumable, func(is *is.I, s *fakeReplicas, ask func(...string) stream, counts func(string) int64) {
 		whole, broken := 0, 0
 		for range 30 {
 			s.mu.Lock()
-			s.runs = []run{{sends: 1}, {sends: -1}}
+			s.runs = []replicaRun{{sends: 1}, {sends: -1}}
 			s.mu.Unlock()
 			if got := ask(); got.err == nil && got.text == eventsFrom(1, lastEvent) {
 				whole++
@@ -300,78 +301,78 @@
 				broken++
 			}
 		}
-		is.True(whole == 3 || whole == 4) // one, and a tenth for each of thirty, as far as tenths add up to ones
+		is.True(whole == 3 || whole == 4) // one, and a tenth for each of thirty; floating-point tenths may add up to just under a whole
 		is.Equal(broken, 30-whole)
 		is.Equal(counts("second_shots"), int64(whole))
-		is.Equal(len(s.asked), 30+whole)
+		is.Equal(len(s.requests), 30+whole)
 		is.Equal(counts("first_shots"), int64(30))
 	})
 }
 
-// A stream that may not be resumed aborts the caller's connection, and nobody else is asked.
-func TestOtherStreamsAbort(t *testing.T) {
-	resumed(t, config.Path{}, func(is *is.I, s *streamer, ask func(...string) stream, counts func(string) int64) {
-		s.runs = []run{{sends: 3}, {sends: -1}}
+// When a stream that is not resumable breaks off, the client's connection is aborted and no other replica is asked.
+func TestStreamThatIsNotResumableAborts(t *testing.T) {
+	runResumed(t, config.Path{}, func(is *is.I, s *fakeReplicas, ask func(...string) stream, counts func(string) int64) {
+		s.runs = []replicaRun{{sends: 3}, {sends: -1}}
 		got := ask()
 		is.True(errors.Is(got.err, io.ErrUnexpectedEOF))
 		is.True(strings.HasPrefix(got.text, eventsFrom(1, 3)) && strings.HasPrefix(eventsFrom(1, 4), got.text))
-		is.Equal(len(s.asked), 1)
+		is.Equal(len(s.requests), 1)
 		is.Equal(counts("resumed"), int64(0))
 		is.Equal(counts("bounce_stream_cut"), int64(1))
 	})
 }
 
-// What a second replica answers otherwise than with a stream does not get into the first one's; a refusal that has not run goes on to
-// another, as far as that is paid for.
-func TestOtherAnswersDoNotGetIntoAStream(t *testing.T) {
-	for _, second := range []run{{plain: true}, {foreign: true, sends: -1}, {refuses: true}} {
-		resumed(t, resumable, func(is *is.I, s *streamer, ask func(...string) stream, _ func(string) int64) {
-			s.runs = []run{{sends: 3}, second, second, second}
+// A second answer that is not a stream, or has another request's ID, must not be appended to the first stream. A rejection that was
+// not executed goes on to another replica, within the retry budget.
+func TestOnlyMatchingStreamsResumeAStream(t *testing.T) {
+	for _, second := range []replicaRun{{plain: true}, {wrongID: true, sends: -1}, {rejects: true}} {
+		runResumed(t, resumable, func(is *is.I, s *fakeReplicas, ask func(...string) stream, _ func(string) int64) {
+			s.runs = []replicaRun{{sends: 3}, second, second, second}
 			got := ask()
 			is.Equal(got.status, http.StatusOK)
 			is.True(got.err != nil)
 			is.Equal(got.text, eventsFrom(1, 3))
-			is.Equal(len(s.asked), 2) // the budget has one
+			is.Equal(len(s.requests), 2) // the budget allows one retry
 		})
 	}
-	resumed(t, resumable, func(is *is.I, s *streamer, ask func(...string) stream, _ func(string) int64) {
+	runResumed(t, resumable, func(is *is.I, s *fakeReplicas, ask func(...string) stream, _ func(string) int64) {
 		for range 20 {
-			is.NoErr(ask().err) // they fill the budget
+			is.NoErr(ask().err) // to fill the budget
 		}
-		s.runs, s.asked = []run{{sends: 3}, {refuses: true}, {sends: -1}}, nil
+		s.runs, s.requests = []replicaRun{{sends: 3}, {rejects: true}, {sends: -1}}, nil
 		got := ask()
 		is.NoErr(got.err)
 		is.Equal(got.text, eventsFrom(1, lastEvent))
-		is.Equal(len(s.asked), 3)
+		is.Equal(len(s.requests), 3)
 	})
 }
 
-// A stream is not taken up beyond the request's time; within it the next replica is told what is left.
-func TestResumedWithinTheRequestsTime(t *testing.T) {
+// A stream is not resumed after the request's deadline; before it, the next replica is told the remaining time.
+func TestStreamResumesOnlyBeforeTheDeadline(t *testing.T) {
 	p := resumable
 	p.DeadlineMs = 5000
-	resumed(t, p, func(is *is.I, s *streamer, ask func(...string) stream, _ func(string) int64) {
-		s.runs = []run{{sends: 3, pause: time.Second}, {sends: -1}}
+	runResumed(t, p, func(is *is.I, s *fakeReplicas, ask func(...string) stream, _ func(string) int64) {
+		s.runs = []replicaRun{{sends: 3, pause: time.Second}, {sends: -1}}
 		got := ask()
 		is.NoErr(got.err)
 		is.Equal(got.text, eventsFrom(1, lastEvent))
-		is.True(s.left[0] > 4900 && s.left[1] > 800 && s.left[1] < 1100)
-		s.runs = []run{{sends: 7, pause: time.Second}, {sends: -1}}
-		s.asked = nil
+		is.True(s.remainingMs[0] > 4900 && s.remainingMs[1] > 800 && s.remainingMs[1] < 1100)
+		s.runs = []replicaRun{{sends: 7, pause: time.Second}, {sends: -1}}
+		s.requests = nil
 		got = ask()
 		is.True(got.err != nil)
 		is.Equal(got.text, eventsFrom(1, 7))
-		is.Equal(len(s.asked), 1)
+		is.Equal(len(s.requests), 1)
 	})
 }
 
-// To a client of HTTP/1.0 a stream ends with its connection. One that breaks off ends with a reset, so that it does not look complete; a
-// complete one ends in order.
-func TestBrokenStreamLooksBrokenToAClientOfOldHTTP(t *testing.T) {
+// An HTTP/1.0 client sees the end of a stream only by the end of its connection: a stream that breaks off must end with a reset, or it
+// would look complete. A complete stream ends regularly.
+func TestBrokenStreamIsResetForHTTP10Clients(t *testing.T) {
 	for _, sent := range []int{0, 3, -1} {
-		resumedOn(t, config.Path{}, func(is *is.I, s *streamer, stand *sim.Testbed) {
-			s.runs = []run{{sends: sent}}
-			client, err := stand.Net.Host("10.0.9.1").DialContext(context.Background(), "tcp", sim.TestbedAddress)
+		runResumedOnTestbed(t, config.Path{}, func(is *is.I, s *fakeReplicas, testbed *sim.Testbed) {
+			s.runs = []replicaRun{{sends: sent}}
+			client, err := testbed.Net.Host("10.0.9.1").DialContext(context.Background(), "tcp", sim.TestbedAddress)
 			is.NoErr(err)
 			defer client.Close()
 			_, err = io.WriteString(client, "POST /s/x HTTP/1.0\r\nX-Request-Id: r1\r\nContent-Length: 0\r\n\r\n")
@@ -387,12 +388,12 @@
 	}
 }
 
-// A target goes to the replica byte for byte, or is refused as not run: one that begins with two slashes and has characters that are to be
-// escaped cannot be sent as it came.
-func TestTargetsGoOnAsTheyCameOrAreRefused(t *testing.T) {
+// A request target is sent to the replica byte for byte or rejected as not executed. One that begins with two slashes and has
+// characters that must be escaped cannot be sent unchanged.
+func TestRequestTargetIsSentUnchangedOrRejected(t *testing.T) {
 	for target, passed := range map[string]bool{"/s/a|b": true, "/s/a%7Cb": true, "//s/a": true, "//s/a%7cb?x=|": true, "//s/a|b": false, "//s/a%7cb|": false} {
-		resumedOn(t, config.Path{Address: "/"}, func(is *is.I, s *streamer, stand *sim.Testbed) {
-			client, err := stand.Net.Host("10.0.9.1").DialContext(context.Background(), "tcp", sim.TestbedAddress)
+		runResumedOnTestbed(t, config.Path{Address: "/"}, func(is *is.I, s *fakeReplicas, testbed *sim.Testbed) {
+			client, err := testbed.Net.Host("10.0.9.1").DialContext(context.Background(), "tcp", sim.TestbedAddress)
 			is.NoErr(err)
 			defer client.Close()
 			_, err = io.WriteString(client, "POST "+target+" HTTP/1.1\r\nHost: x\r\nX-Request-Id: r1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
@@ -403,7 +404,7 @@
 			if !passed {
 				is.Equal(answer.StatusCode, http.StatusBadRequest)
 				is.Equal(answer.Header.Get("X-Ran"), "no")
-				is.Equal(len(s.asked), 0)
+				is.Equal(len(s.requests), 0)
 				return
 			}
 			is.Equal(answer.StatusCode, http.StatusOK)
--- a/router/send.go
+++ b/router/send.go
@@ -176,9 +176,9 @@
 // send writes the request and waits for the response header. A request of which provably nothing was written was not executed; any
 // other may have been executed (docs/design.md §3.2).
 func (r *Router) send(ctx context.Context, x *Exchange, domain string) (*http.Response, error) {
-	var write *requestWrite
+	var pending *requestWrite
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(got httptrace.GotConnInfo) {
-		write = got.Conn.(*replicaConn).startWrite(x.ID, func() (*View, error) { return r.recheck(x) }) // dialReplica returns only these
+		pending = got.Conn.(*replicaConn).startWrite(x.ID, func() (*View, error) { return r.recheck(x) }) // dialReplica returns only these
 	}})
 	q, err := r.replicaRequest(traced, x, domain)
 	if err != nil {
@@ -189,8 +189,8 @@
 	var seen *View
 	var at time.Time
 	failure := errUnwritten
-	if write != nil {
-		seen, at, failure = write.finish()
+	if pending != nil {
+		seen, at, failure = pending.finish()
 	}
 	if seen == nil {
 		r.counts.add("unwritten", 1)
@@ -203,7 +203,7 @@
 		r.coolDown(x.replica)
 		return nil, errUnsent{unwritten(answer, err)}
 	}
-	x.View, x.Sent, x.write = seen, at, write
+	x.View, x.Sent, x.write = seen, at, pending
 	if x.Attempt == 0 {
 		r.budget.first()
 		r.counts.add("first_shots", 1)
