--- a/router/attempts.go
+++ b/router/attempts.go
@@ -22,8 +22,8 @@
 // Handle makes attempts as long as the path, the deadline and the retry budget allow (docs/design.md §5.4).
 func (f attemptsFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	r := f.r
-	waiting, stop := context.WithDeadline(ctx, x.Deadline)
-	defer stop()
+	waiting, cancel := context.WithDeadline(ctx, x.Deadline)
+	defer cancel()
 	r.step(x, Eligible, "")
 	err := r.attempt(waiting, x, onward)
 	if err != nil && x.mayHaveExecuted && apierror.Of(err).Code.Executed == apierror.NotRun {
--- a/router/claims.go
+++ b/router/claims.go
@@ -51,8 +51,8 @@
 		return
 	}
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
-		defer stop()
+		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+		defer cancel()
 		_, err := rpc.Call[struct{}](ctx, r.rpc, r.options.Agent, "/agent/claim", Claim{x.Tenant.Name, x.Key, x.ID, state})
 		if err != nil {
 			r.log.Warn().Str("request", x.ID).Str("state", state).Err(err).Msg("end of a claim not reported")
--- a/router/filters.go
+++ b/router/filters.go
@@ -195,15 +195,15 @@
 // Handle waits in the queue until the request gets a credit, which names its replica.
 func (f queueFilter) Handle(ctx context.Context, x *Exchange, onward func(context.Context, *Exchange) error) error {
 	r := f.r
-	waiting, stop := context.WithCancel(ctx)
+	waiting, cancel := context.WithCancel(ctx)
 	if x.Path.LatencyTargetMs > 0 && x.Answer == nil { // not for a resumed stream: this limit counts from the arrival of the request
-		waiting, stop = context.WithDeadline(ctx, x.Received.Add(time.Duration(waitShare*float64(x.Deadline.Sub(x.Received)))))
+		waiting, cancel = context.WithDeadline(ctx, x.Received.Add(time.Duration(waitShare*float64(x.Deadline.Sub(x.Received)))))
 	}
-	defer stop()
+	defer cancel()
 	go func() {
 		select {
 		case <-r.stopped:
-			stop()
+			cancel()
 		case <-waiting.Done():
 		}
 	}()
--- a/router/framing.go
+++ b/router/framing.go
@@ -79,18 +79,18 @@
 func Watch(server *http.Server, listener net.Listener) net.Listener {
 	server.ConnContext = func(ctx context.Context, c net.Conn) context.Context {
 		for {
-			innerConn, wrapped := c.(interface{ NetConn() net.Conn })
+			wrapper, wrapped := c.(interface{ NetConn() net.Conn })
 			if !wrapped {
 				return context.WithValue(ctx, watchedKey{}, c)
 			}
-			c = innerConn.NetConn()
+			c = wrapper.NetConn()
 		}
 	}
 	return watchedListener{listener}
 }
 
 // resetOnClose makes a client's connection end with a reset. An HTTP/1.0 client, which does not know chunks, would take a truncated
-// answer for complete if its connection were closed regularly.
+// answer for complete if its connection were closed normally.
 func resetOnClose(q *http.Request) {
 	c, isWatched := q.Context().Value(watchedKey{}).(*watchedConn)
 	if !isWatched {
--- a/router/relay.go
+++ b/router/relay.go
@@ -26,7 +26,7 @@
 var chunkBuffers = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
 // relay passes the answer on as it arrives (docs/design.md §5.6). If a stream breaks off, it aborts the client's connection, because
-// an answer that ends regularly would look complete.
+// an answer that ends normally would look complete.
 func (r *Router) relay(_ context.Context, w http.ResponseWriter, response any) error {
 	x := response.(*Exchange)
 	a := x.Answer
@@ -82,10 +82,10 @@
 // relayBody passes the answer's bytes on. A resumable stream that breaks off continues at another replica, after the last event that
 // the client has received completely (docs/design.md §5.7).
 func (r *Router) relayBody(w http.ResponseWriter, x *Exchange) error {
-	flush := http.NewResponseController(w)
+	control := http.NewResponseController(w)
 	stream := eventStream{lastID: x.LastEventID, skipThrough: x.LastEventID}
 	for {
-		err := r.relayReplica(w, flush, x, &stream)
+		err := r.relayReplica(w, control, x, &stream)
 		var broken errBroken
 		if err == nil || !errors.As(err, &broken) || x.Answer.buffer == nil || !x.Path.Resumable || x.Request.Context().Err() != nil || !time.Now().Before(x.Deadline) {
 			return err
@@ -108,8 +108,8 @@
 		return err
 	}
 	r.counts.add("resumed", 1)
-	ctx, stop := context.WithDeadline(x.Request.Context(), x.Deadline)
-	defer stop()
+	ctx, cancel := context.WithDeadline(x.Request.Context(), x.Deadline)
+	defer cancel()
 	if err := r.attempt(ctx, x, r.afterAttempts); err != nil {
 		return err
 	}
@@ -121,11 +121,11 @@
 
 // replicaRelay passes one replica's answer on to the client.
 type replicaRelay struct {
-	router *Router
-	w      http.ResponseWriter
-	flush  *http.ResponseController
-	x      *Exchange
-	stream *eventStream
+	router  *Router
+	w       http.ResponseWriter
+	control *http.ResponseController
+	x       *Exchange
+	stream  *eventStream
 	// resumable: the client gets complete events only, so that the stream can continue at another replica.
 	resumable bool
 	// tail is the last bytes that were passed on, where the stream's end marker is looked for.
@@ -133,10 +133,10 @@
 }
 
 // relayReplica passes on what one replica sends. The error is errBroken if the replica broke the answer off.
-func (r *Router) relayReplica(w http.ResponseWriter, flush *http.ResponseController, x *Exchange, stream *eventStream) error {
+func (r *Router) relayReplica(w http.ResponseWriter, control *http.ResponseController, x *Exchange, stream *eventStream) error {
 	a := x.Answer
 	// Limits how long a client that stops reading is waited for.
-	_ = flush.SetWriteDeadline(time.Now().Add(r.chunkTimeout(x))) // a writer without deadlines has limits of its own
+	_ = control.SetWriteDeadline(time.Now().Add(r.chunkTimeout(x))) // a writer without deadlines has limits of its own
 	if a.Complete {
 		_, err := w.Write(a.firstChunk)
 		return err
@@ -151,7 +151,7 @@
 			a.buffer = nil
 		}
 	}()
-	relay := &replicaRelay{router: r, w: w, flush: flush, x: x, stream: stream, resumable: events && x.Path.Resumable}
+	relay := &replicaRelay{router: r, w: w, control: control, x: x, stream: stream, resumable: events && x.Path.Resumable}
 	return relay.run()
 }
 
@@ -169,7 +169,7 @@
 		if n > 0 {
 			timeout := p.router.chunkTimeout(p.x)
 			timer.Reset(timeout)
-			_ = p.flush.SetWriteDeadline(time.Now().Add(timeout)) // as above
+			_ = p.control.SetWriteDeadline(time.Now().Add(timeout)) // as above
 			if err := p.pass(a.buffer[:n]); err != nil {
 				return err
 			}
@@ -195,7 +195,7 @@
 	if _, err := p.w.Write(chunk); err != nil {
 		return err
 	}
-	return p.flush.Flush()
+	return p.control.Flush()
 }
 
 // end checks that the answer is complete, and writes the bytes after its last complete event.
--- a/router/replica_conn.go
+++ b/router/replica_conn.go
@@ -50,8 +50,8 @@
 
 // dialReplica connects to a replica. The connection limits how late the kernel may deliver data.
 func (r *Router) dialReplica(ctx context.Context, network, address string) (net.Conn, error) {
-	ctx, stop := context.WithTimeout(ctx, dialLimit)
-	defer stop()
+	ctx, cancel := context.WithTimeout(ctx, dialLimit)
+	defer cancel()
 	c, err := r.options.Net.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
--- a/router/resumed_test.go
+++ b/router/resumed_test.go
@@ -367,7 +367,7 @@
 }
 
 // An HTTP/1.0 client sees the end of a stream only by the end of its connection: a stream that breaks off must end with a reset, or it
-// would look complete. A complete stream ends regularly.
+// would look complete. A complete stream ends normally.
 func TestBrokenStreamIsResetForHTTP10Clients(t *testing.T) {
 	for _, sent := range []int{0, 3, -1} {
 		runResumedOnTestbed(t, config.Path{}, func(is *is.I, s *fakeReplicas, testbed *sim.Testbed) {
--- a/router/router.go
+++ b/router/router.go
@@ -87,7 +87,7 @@
 	stopping        atomic.Bool
 	draining        atomic.Bool
 	loggedCurrent   atomic.Bool // the state that was logged last
-	open            running
+	inFlight        running
 	stopped         chan struct{}
 }
 
@@ -241,23 +241,23 @@
 	}
 	kit := kithttp.NewServer(serve, r.decode, r.relay, kithttp.ServerErrorEncoder(r.encodeRejection))
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		r.open.add(1)
-		defer r.open.add(-1)
-		d := &clientConn{control: http.NewResponseController(w)}
-		d.header, d.failure = r.options.Protocol.ReadHeader(q)
-		if d.id = d.header.ID; d.id == "" {
-			d.id = rand.Text()
+		r.inFlight.add(1)
+		defer r.inFlight.add(-1)
+		conn := &clientConn{control: http.NewResponseController(w)}
+		conn.header, conn.failure = r.options.Protocol.ReadHeader(q)
+		if conn.id = conn.header.ID; conn.id == "" {
+			conn.id = rand.Text()
 		}
 		defer func() {
-			for _, cleanup := range d.onDone {
+			for _, cleanup := range conn.onDone {
 				cleanup()
 			}
 		}()
-		w.Header().Set(r.options.Protocol.IDHeader(), d.id) // on every answer, rejections included
+		w.Header().Set(r.options.Protocol.IDHeader(), conn.id) // on every answer, rejections included
 		if isFramedTwice(q) {
 			w.Header().Set("Connection", "close")
 		}
-		kit.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), clientConnKey{}, d)))
+		kit.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), clientConnKey{}, conn)))
 	})
 }
 
@@ -268,7 +268,7 @@
 	}
 	close(r.stopped)
 	select {
-	case <-r.open.idle():
+	case <-r.inFlight.idle():
 	case <-ctx.Done():
 	}
 }
--- a/router/send.go
+++ b/router/send.go
@@ -58,19 +58,19 @@
 	}
 	x.remaining = r.remainingTime(v, x)
 	// The stream outlives the wait for its first chunk, so it uses the client's context and a cancel function of its own.
-	sending, stop := context.WithCancel(x.Request.Context())
-	timer := time.AfterFunc(time.Until(x.Deadline), stop)
+	sending, cancel := context.WithCancel(x.Request.Context())
+	timer := time.AfterFunc(time.Until(x.Deadline), cancel)
 	answer, err := r.send(sending, x, domain)
 	if err != nil {
 		timer.Stop()
-		stop()
+		cancel()
 		return err
 	}
 	if err := r.matchResponse(x, answer); err != nil {
 		timer.Stop()
 		_ = answer.Body.Close() // its body is not used
 		x.write.discard()
-		stop()
+		cancel()
 		return err
 	}
 	r.observeResponse(x, answer)
@@ -78,12 +78,12 @@
 	if !verdict.Served {
 		timer.Stop()
 		_ = answer.Body.Close() // its body is not used
-		stop()
+		cancel()
 		return r.handleRejection(x, answer, verdict)
 	}
 	x.Answer = &Answer{Status: answer.StatusCode, Header: answer.Header, Body: answer.Body, finish: func(error) {
 		_ = answer.Body.Close() // the answer is over: nothing more is read from it
-		stop()
+		cancel()
 	}}
 	err = r.readFirstChunk(x, answer)
 	if !timer.Stop() && err == nil {
