--- a/membership/change.go
+++ b/membership/change.go
@@ -11,32 +11,33 @@
 	"asterridge/register"
 )
 
-// Action is what a Change does to the list.
+// Action is the kind of a Change.
 type Action string
 
-// The actions, as messages spell them.
+// The actions, with their names on the wire.
 const (
 	Admit  Action = "admit"
 	Remove Action = "retire"
-	Leave  Action = "leave" // asked for by the member itself
+	Leave  Action = "leave" // requested by the member itself
 )
 
 const (
 	minMembers = 3
-	// minMembersAfterLoss is the least size after the removal of a member whose disk is gone for sure: the list is the weaker already.
+	// minMembersAfterLoss is the smallest list that the removal of a member with a lost disk may leave. It is lower than minMembers because
+	// the loss has already weakened the list.
 	minMembersAfterLoss = 2
 	maxMembers          = 15
-	// maxID is the highest ID that a member can have: 16 million admissions in the life of a fleet.
+	// maxID is the highest ID of a member; it allows 16 million admissions over the lifetime of a fleet.
 	maxID = 1<<register.MemberBits - 1
-	// JoinerTimeout is the age of its last hello at which a joiner no longer counts.
+	// JoinerTimeout is the age of the last hello beyond which a joiner is ignored.
 	JoinerTimeout = 3 * time.Second
 )
 
-// Joiner is a core that is no member and asks to be admitted, as it last introduced itself.
+// Joiner is a core that is not a member and asks to be admitted, as described by its last hello message.
 type Joiner struct {
 	Name, Address, Zone string
 	Incarnation         string
-	CaughtUp            bool // it has all that a majority had committed
+	CaughtUp            bool // it has every key that a majority has committed
 	HeardAt             time.Time
 }
 
@@ -44,27 +45,28 @@
 type Change struct {
 	Action Action `json:"do"`
 	Name   string `json:"name"`
-	// MemberID is the ID of the member to be taken off, so that a late copy never meets a successor of its name; 0: whoever has the name.
+	// MemberID is the ID of the member to be taken off the list, so that a delayed duplicate cannot remove a later member of the same name;
+	// 0: any member of that name.
 	MemberID uint32 `json:"id,omitempty"`
-	// Incarnation is that of the joiner to be admitted; empty: whoever calls under the name.
+	// Incarnation is that of the joiner to be admitted; empty: any joiner of that name.
 	Incarnation string `json:"incarnation,omitempty"`
-	// ReplacedBy is the incarnation that stands at the member's name or address now, so that the member's disk is gone for sure; empty if
-	// that is not known.
+	// ReplacedBy is the incarnation that now uses the member's name or address, which proves that the member's disk is lost; empty if no
+	// such incarnation is known.
 	ReplacedBy string `json:"lost,omitempty"`
 }
 
-// Apply works out the change of the members' register, under the guards of each action; none if it was made before. The errors are
-// apierror.Conflict while keys are still transferred, apierror.NotFound, Exists, Behind and OutOfRange.
+// Apply returns the update of the members' register, after checking the preconditions of the action; nil if the change was made before. The
+// errors are apierror.Conflict while keys are being transferred, Malformed if the list is unreadable, NotFound, Exists, Behind and OutOfRange.
 func (c Change) Apply(fields register.Fields, view View, now time.Time) (register.Fields, error) {
 	list := Decode(fields)
 	if list.Unreadable != "" {
-		return nil, apierror.New(apierror.Malformed, "the field %s of the members cannot be read", list.Unreadable)
+		return nil, apierror.New(apierror.Malformed, "field %s of the member list is unreadable", list.Unreadable)
 	}
 	if c.isDone(list) {
 		return nil, nil
 	}
 	if list.Previous != nil {
-		return nil, apierror.New(apierror.Conflict, "the change of members before is not carried through yet")
+		return nil, apierror.New(apierror.Conflict, "keys are still being transferred after the previous membership change")
 	}
 	change, err := c.apply(fields, list, view, now)
 	if err != nil {
@@ -74,11 +76,11 @@
 	return change, nil
 }
 
-// IsIdempotent reports whether a copy of the change that arrives late can do no harm.
+// IsIdempotent reports whether a delayed duplicate of the change has no effect.
 func (c Change) IsIdempotent() bool { return c.MemberID != 0 || c.Incarnation != "" }
 
-// isDone reports whether the list shows that the change was made before: the member of that ID is off it, or the joiner of that incarnation
-// is on it. IDs are never given twice.
+// isDone reports whether the change was made before: the member with that ID is no longer on the list, or the joiner of that incarnation is
+// on it. IDs are never reused.
 func (c Change) isDone(list List) bool {
 	if c.Action == Admit {
 		return c.Incarnation != "" && HasIncarnation(list.Members, c.Incarnation)
@@ -98,27 +100,27 @@
 		return change, nil
 	}
 	if c.Action != Remove && c.Action != Leave {
-		return nil, apierror.New(apierror.OutOfRange, "%q is none of admit, retire and leave", c.Action)
+		return nil, apierror.New(apierror.OutOfRange, "action %q is not one of admit, retire, leave", c.Action)
 	}
-	if !slices.ContainsFunc(list.Members, c.concerns) {
-		return nil, apierror.New(apierror.NotFound, "no member %q, or not under the number %d", c.Name, c.MemberID)
+	if !slices.ContainsFunc(list.Members, c.matches) {
+		return nil, apierror.New(apierror.NotFound, "no member named %q with ID %d (0: any ID)", c.Name, c.MemberID)
 	}
 	if c.Action == Remove {
 		if err := c.checkRemoval(list, view); err != nil {
 			return nil, err
 		}
 	} else if !view.MayLeave(list.Members, c.Name) {
-		return nil, apierror.New(apierror.OutOfRange, "%d members would be left: too few", len(list.Members)-1)
+		return nil, apierror.New(apierror.OutOfRange, "%d members would remain: too few", len(list.Members)-1)
 	}
 	return register.Fields{c.Name: nil, HighestIDField: encodeID(list.HighestID)}, nil
 }
 
-// concerns reports whether a member is the one that the change takes off.
-func (c Change) concerns(m config.Member) bool {
+// matches reports whether a member is the one that the change takes off.
+func (c Change) matches(m config.Member) bool {
 	return m.Name == c.Name && (c.MemberID == 0 || m.ID == c.MemberID)
 }
 
-// checkRemoval makes sure that enough members are left, and a majority of them live.
+// checkRemoval makes sure that enough members remain and that a majority of them is live.
 func (c Change) checkRemoval(list List, view View) error {
 	live := 0
 	for _, name := range view.Live {
@@ -126,12 +128,12 @@
 			live++
 		}
 	}
-	least := minMembers
+	minRemaining := minMembers
 	if c.ReplacedBy != "" {
-		least = minMembersAfterLoss
+		minRemaining = minMembersAfterLoss
 	}
-	if left := len(list.Members) - 1; left < least || live < Majority(left) {
-		return apierror.New(apierror.OutOfRange, "%d members would be left, %d of them live: too few", left, live)
+	if left := len(list.Members) - 1; left < minRemaining || live < Majority(left) {
+		return apierror.New(apierror.OutOfRange, "%d members would remain, %d of them live: too few", left, live)
 	}
 	return nil
 }
--- a/membership/liveness.go
+++ b/membership/liveness.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// LivenessTimeout is the age of its last answer at which a core no longer counts as live: it is not picked as an owner.
+	// LivenessTimeout is how long after its last answer a core counts as live. A core that is not live is not picked as an owner.
 	LivenessTimeout = time.Second
-	// ReplacementTimeout is how long a member is unresponsive before it is removed in favour of one that replaces it.
+	// ReplacementTimeout is how long a member is unresponsive before it is removed if another one has replaced it.
 	ReplacementTimeout = 3 * time.Second
-	// RemovalTimeout is how long a member without a replacement is unresponsive before it is removed, if the rest does better without it.
+	// RemovalTimeout is how long a member without a replacement is unresponsive before it is removed, if the remaining list can take at
+	// least as many losses as required, or more than before.
 	RemovalTimeout = 5 * time.Second
-	// RemovalTimeoutAfterRestart is what is left of RemovalTimeout for a member that was unresponsive before this core restarted.
+	// RemovalTimeoutAfterRestart is the part of RemovalTimeout that is left for a member that was unresponsive before this core restarted.
 	RemovalTimeoutAfterRestart = 2 * time.Second
-	// StableQuorumTime is how long a majority must have been heard without a break before any unresponsiveness counts.
+	// StableQuorumTime is how long a majority must have been reachable without interruption before unresponsive members are removed.
 	StableQuorumTime = time.Second
 )
 
-// Tracker measures how long each member has been unresponsive. It is not safe for concurrent use; a copy is a snapshot that later
+// Tracker measures how long each member has been unresponsive. It is not safe for concurrent use. A copy is a snapshot that later
 // observations do not change.
 type Tracker struct {
-	// MaxStep is the most that one observation adds to any time. A core that was frozen itself has heard nobody meanwhile, and that
-	// says nothing of the others.
+	// MaxStep is the most that one observation adds to any duration. A core that was itself suspended has heard nobody meanwhile, which
+	// says nothing about the other members.
 	MaxStep time.Duration
-	// Recorded are the members that were unresponsive before this process started, or at the last call of Recordable that the caller
-	// kept: incarnation by name.
+	// Recorded has the members that were unresponsive before this process started, or at the last result of Recordable that the caller
+	// stored: incarnation by name.
 	Recorded map[string]string
 
 	members      map[string]memberLiveness // by name; replaced as a whole by each observation
 	lastObserved time.Time
-	stableFor    time.Duration // how long a majority has been heard without a break
+	stableFor    time.Duration // how long a majority has been reachable without interruption
 }
 
 type memberLiveness struct {
 	incarnation     string
 	lastHeard       time.Time
 	unresponsiveFor time.Duration
-	listedFor       time.Duration // how long it is known to be on the list
+	listedFor       time.Duration // how long this core has seen it on the list
 }
 
-// Observe takes a look at all members. lastHeard gives the time of a member's last answer, zero if there was none.
+// Observe updates the state of all members. lastHeard returns the time of a member's last answer, zero if there was none.
 func (t *Tracker) Observe(now time.Time, members []config.Member, lastHeard func(config.Member) time.Time, hasQuorum bool) {
 	step := min(now.Sub(t.lastObserved), t.MaxStep)
 	t.lastObserved = now
@@ -70,10 +71,10 @@
 	}
 }
 
-// Stable reports whether a majority has been heard for StableQuorumTime.
+// Stable reports whether a majority has been reachable for StableQuorumTime.
 func (t *Tracker) Stable() bool { return t.stableFor >= StableQuorumTime }
 
-// UnresponsiveFor is how long a member has not been heard; zero for one that was not observed.
+// UnresponsiveFor returns how long a member has been unresponsive; zero for one that was not observed.
 func (t *Tracker) UnresponsiveFor(m config.Member) time.Duration {
 	if state := t.members[m.Name]; state.incarnation == m.Incarnation {
 		return state.unresponsiveFor
@@ -81,7 +82,7 @@
 	return 0
 }
 
-// CountUnresponsive is how many of these members have been unresponsive for at least that long.
+// CountUnresponsive returns how many of the members have been unresponsive for at least that long.
 func (t *Tracker) CountUnresponsive(members []config.Member, atLeast time.Duration) (count int) {
 	for _, m := range members {
 		if t.UnresponsiveFor(m) >= atLeast {
@@ -91,8 +92,8 @@
 	return count
 }
 
-// Replaced reports whether a newer member of its zone is live that was admitted after an unresponsive one was last heard, or less than
-// ReplacementTimeout before: a replacement in order is admitted first.
+// Replaced reports whether a newer member of the same zone is live that was admitted after the unresponsive one was last heard, or less
+// than ReplacementTimeout before that: in a planned replacement the new member is admitted first.
 func (t *Tracker) Replaced(m config.Member, members []config.Member) bool {
 	return slices.ContainsFunc(members, func(newer config.Member) bool {
 		return newer.ID > m.ID && newer.Zone == m.Zone && t.UnresponsiveFor(newer) < LivenessTimeout &&
@@ -100,7 +101,7 @@
 	})
 }
 
-// Recordable lists the members that have been unresponsive for so long that a restarted core is to know it: incarnation by name.
+// Recordable returns the members whose unresponsiveness has to be known after a restart of this core: incarnation by name.
 func (t *Tracker) Recordable() map[string]string {
 	incarnations := map[string]string{}
 	for name, state := range t.members {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -11,7 +11,7 @@
 	"asterridge/register"
 )
 
-// What may be lost at once: machines, or the largest zones, or the largest regions, whichever is more of the members.
+// The tolerated losses are machines, the largest zones or the largest regions, whichever has the most members.
 func TestToleratedLosses(t *testing.T) {
 	is := is.New(t)
 	var members []config.Member
@@ -28,8 +28,8 @@
 	is.Equal(Tolerance{Regions: 1}.Losses(members), 0)
 }
 
-// How many more members may go: an odd list bears as many as the even one that is larger by one.
-func TestSpareMembers(t *testing.T) {
+// A list of odd size can lose as many members as the list that has one more.
+func TestSpareLosses(t *testing.T) {
 	is := is.New(t)
 	for members, spare := range map[int]int{1: 0, 2: 0, 3: 1, 4: 1, 5: 2, 7: 3, 8: 3, 9: 4} {
 		is.Equal(SpareLosses(members, 0), spare)
@@ -37,38 +37,38 @@
 	}
 }
 
-// Silence counts beat by beat: neither a freeze of this core nor the time before a majority is heard says anything of the others, and what
-// was noted on the disk counts on after a restart.
-func TestSilenceIsCounted(t *testing.T) {
+// Unresponsive time is added observation by observation, at most MaxStep each, so a suspension of this core is not held against the others.
+// Losing the majority restarts the stable time, and what was recorded on disk before a restart still counts.
+func TestUnresponsiveTimeCountsOnlyWhileObserved(t *testing.T) {
 	is := is.New(t)
 	const tickInterval = 300 * time.Millisecond
 	members := []config.Member{{Name: "a", Incarnation: "1"}, {Name: "b", Incarnation: "2"}}
 	now := time.Now()
 	heard := map[string]time.Time{}
-	s := Tracker{MaxStep: 2 * tickInterval, Recorded: map[string]string{"b": "2"}}
-	look := func(after time.Duration, hasMajority bool) {
+	tracker := Tracker{MaxStep: 2 * tickInterval, Recorded: map[string]string{"b": "2"}}
+	observe := func(after time.Duration, hasMajority bool) {
 		now = now.Add(after)
-		s.Observe(now, members, func(m config.Member) time.Time { return heard[m.Name] }, hasMajority)
+		tracker.Observe(now, members, func(m config.Member) time.Time { return heard[m.Name] }, hasMajority)
 	}
-	look(tickInterval, true)
-	is.Equal(s.UnresponsiveFor(members[1]), RemovalTimeout-RemovalTimeoutAfterRestart) // noted by an earlier life
-	is.Equal(s.UnresponsiveFor(members[0]), time.Duration(0))
+	observe(tickInterval, true)
+	is.Equal(tracker.UnresponsiveFor(members[1]), RemovalTimeout-RemovalTimeoutAfterRestart) // recorded before the restart
+	is.Equal(tracker.UnresponsiveFor(members[0]), time.Duration(0))
 	heard["a"], heard["b"] = now, now
-	look(tickInterval, true)
-	is.Equal(s.CountUnresponsive(members, 1), 0)
-	look(time.Minute, true) // frozen
-	is.Equal(s.UnresponsiveFor(members[0]), 2*tickInterval)
-	is.Equal(s.CountUnresponsive(members, 2*tickInterval), 2)
-	is.True(s.stableFor >= StableQuorumTime)
-	look(tickInterval, false)
-	is.Equal(s.stableFor, time.Duration(0))
-	members[0].Incarnation = "3" // another disk under its name
-	look(tickInterval, true)
-	is.Equal(s.UnresponsiveFor(members[0]), time.Duration(0))
+	observe(tickInterval, true)
+	is.Equal(tracker.CountUnresponsive(members, 1), 0)
+	observe(time.Minute, true) // this core was suspended
+	is.Equal(tracker.UnresponsiveFor(members[0]), 2*tickInterval)
+	is.Equal(tracker.CountUnresponsive(members, 2*tickInterval), 2)
+	is.True(tracker.stableFor >= StableQuorumTime)
+	observe(tickInterval, false)
+	is.Equal(tracker.stableFor, time.Duration(0))
+	members[0].Incarnation = "3" // another disk under the same name
+	observe(tickInterval, true)
+	is.Equal(tracker.UnresponsiveFor(members[0]), time.Duration(0))
 }
 
-// A list with a field that cannot be read is not changed: keys may be transferred still, or a number be given twice.
-func TestListThatCannotBeReadIsNotChanged(t *testing.T) {
+// A list with an unreadable field is not changed: keys may still be in transfer, or an ID could be assigned twice.
+func TestUnreadableListIsNotChanged(t *testing.T) {
 	is := is.New(t)
 	for _, field := range []string{PreviousField, HighestIDField} {
 		fields := register.Fields{field: []byte(`{"torn`)}
--- a/membership/record.go
+++ b/membership/record.go
@@ -9,35 +9,35 @@
 	"asterridge/register"
 )
 
-// Record is a committed content of the members' register. A core keeps the newest one beside a later change that is not committed yet, in
-// memory and on its disk, and hands it on: a member that lags may know of no list that names it, and the others cannot commit the change
-// without it (docs/control.md §3).
+// Record is a committed content of the members' register. A core keeps the newest one next to a later change that is not committed yet, in
+// memory and on disk, and sends it to others: a member that is behind may not know any list that contains it, and the others cannot commit
+// the change without that member (docs/control.md §3).
 type Record struct {
 	Revision register.Revision `json:"stamp"`
 	Fields   register.Fields   `json:"fields"`
 }
 
-// Fields of the members' register that are not members. Names of members cannot begin with a tilde.
+// Fields of the members' register that are not members. A member's name cannot begin with a tilde.
 const (
-	// PreviousField holds the list before, from a change until every key is on a majority of the new list.
+	// PreviousField holds the previous list from a change until a majority of the new list has every key.
 	PreviousField = "~carry"
-	// HighestIDField holds the highest ID that any member ever had. IDs are never given again.
+	// HighestIDField holds the highest ID that was ever assigned. IDs are never reused.
 	HighestIDField = "~next"
 )
 
 // List is the decoded content of the members' register.
 type List struct {
-	// Members are in the order of their IDs.
+	// Members is sorted by ID.
 	Members []config.Member
-	// Previous is the list before, while keys are still transferred from it; else nil.
+	// Previous is the previous list while keys are being transferred from it; otherwise nil.
 	Previous []config.Member
-	// HighestID is the highest ID that any member ever had.
+	// HighestID is the highest ID that was ever assigned.
 	HighestID uint32
-	// Unreadable names a field besides the members that cannot be read; empty if all can. Such a list is not changed.
+	// Unreadable names a field other than the members that cannot be decoded; empty if there is none. Such a list must not be changed.
 	Unreadable string
 }
 
-// Decode reads the fields of the members' register. A field that cannot be read counts as absent.
+// Decode decodes the fields of the members' register. A member that cannot be decoded counts as absent.
 func Decode(fields register.Fields) (l List) {
 	for name, raw := range fields {
 		var m config.Member
@@ -61,12 +61,12 @@
 	return l
 }
 
-// HasIncarnation reports whether one of the members is this incarnation of a disk.
+// HasIncarnation reports whether one of the members has this incarnation.
 func HasIncarnation(members []config.Member, incarnation string) bool {
 	return slices.ContainsFunc(members, func(m config.Member) bool { return m.Incarnation == incarnation })
 }
 
-// without gives the members but the one of that name.
+// without returns the members except the one of that name.
 func without(members []config.Member, name string) []config.Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m config.Member) bool { return m.Name == name })
 }
--- a/membership/tolerance.go
+++ b/membership/tolerance.go
@@ -6,7 +6,7 @@
 	"asterridge/config"
 )
 
-// Tolerance is what a deployment may lose at once with all its promises kept: any machines, or whole zones, or whole regions.
+// Tolerance is what a deployment may lose at once with all its guarantees kept: any machines, whole zones, or whole regions.
 type Tolerance struct {
 	Machines int
 	Zones    int
@@ -14,7 +14,7 @@
 	RegionOf map[string]string // region by zone; zones without an entry are in no region
 }
 
-// Losses is the largest number of these members that the tolerated losses can take.
+// Losses returns the largest number of these members that the tolerated losses can affect.
 func (t Tolerance) Losses(members []config.Member) int {
 	byZone, byRegion := map[string]int{}, map[string]int{}
 	for _, m := range members {
@@ -26,7 +26,7 @@
 	return max(t.Machines, sumOfLargest(byZone, t.Zones), sumOfLargest(byRegion, t.Regions))
 }
 
-// sumOfLargest adds up the n largest counts.
+// sumOfLargest returns the sum of the n largest counts.
 func sumOfLargest(counts map[string]int, n int) (sum int) {
 	var sorted []int
 	for _, count := range counts {
@@ -40,8 +40,8 @@
 	return sum
 }
 
-// Majority is the least number of members that is more than half of them.
+// Majority returns the smallest number that is more than half of the members.
 func Majority(members int) int { return members/2 + 1 }
 
-// SpareLosses is how many more members a list of this size bears losing before it has no majority, if some are unresponsive already.
+// SpareLosses returns how many more members a list of this size can lose and keep a majority, if some are unresponsive already.
 func SpareLosses(members, unresponsive int) int { return members - unresponsive - Majority(members) }
--- a/membership/view.go
+++ b/membership/view.go
@@ -7,36 +7,36 @@
 	"asterridge/config"
 )
 
-// View is what one core knows of the others at one moment.
+// View is what one core knows about the others at one moment.
 type View struct {
-	// Live names the members heard within LivenessTimeout, the core itself included.
+	// Live has the names of the members heard within LivenessTimeout, including the core itself.
 	Live      []string
 	Liveness  Tracker
 	Joiners   map[string]Joiner // by name
 	Tolerance Tolerance
 }
 
-// newMember makes a member of a joiner that has caught up; an empty incarnation is any.
+// newMember returns the member entry for a joiner that has caught up; an empty incarnation matches any.
 func (v View) newMember(name, incarnation string, list List, now time.Time) (config.Member, error) {
 	joiner, ok := v.Joiners[name]
 	switch {
 	case !ok || now.Sub(joiner.HeardAt) > JoinerTimeout || incarnation != "" && incarnation != joiner.Incarnation:
-		return config.Member{}, apierror.New(apierror.NotFound, "no core %q calls on us to be admitted", name)
+		return config.Member{}, apierror.New(apierror.NotFound, "no core %q is asking to be admitted", name)
 	case !joiner.CaughtUp:
-		return config.Member{}, apierror.New(apierror.Behind, "%s has no full snapshot of the keys yet", name)
+		return config.Member{}, apierror.New(apierror.Behind, "core %s has not yet received all keys", name)
 	case len(list.Members) >= maxMembers || list.HighestID == maxID:
-		return config.Member{}, apierror.New(apierror.OutOfRange, "there are %d members", len(list.Members))
+		return config.Member{}, apierror.New(apierror.OutOfRange, "no more members can be admitted: there are %d, or all IDs are used", len(list.Members))
 	}
 	for _, m := range list.Members {
 		if m.Name == name || m.Address == joiner.Address {
-			return config.Member{}, apierror.New(apierror.Exists, "member %s has this name or address: retire it first", m.Name)
+			return config.Member{}, apierror.New(apierror.Exists, "member %s has the same name or address: retire it first", m.Name)
 		}
 	}
 	return config.Member{ID: list.HighestID + 1, Name: name, Address: joiner.Address, Zone: joiner.Zone, Incarnation: joiner.Incarnation}, nil
 }
 
-// MayLeave reports whether a live member may leave the list: the rest then bears the tolerated losses, or at least more of them than the
-// list would with this member unresponsive.
+// MayLeave reports whether a live member may leave the list: the remaining list can still take the tolerated losses, or can at least take
+// more losses than the present list with this member unresponsive.
 func (v View) MayLeave(members []config.Member, name string) bool {
 	rest := without(members, name)
 	unresponsive := v.Liveness.CountUnresponsive(rest, LivenessTimeout)
@@ -45,16 +45,17 @@
 		(spare >= v.Tolerance.Losses(rest) || spare > SpareLosses(len(members), unresponsive+1))
 }
 
-// Proposal is a change of members that one core holds to be due.
+// Proposal is a membership change that one core considers due.
 type Proposal struct {
 	Change
-	// UnresponsiveFor is for how long a majority of the other members must have missed the member that the change removes; 0: they need not be asked.
+	// UnresponsiveFor is how long the member to be removed must have been unresponsive for a majority of the other members; 0: they need
+	// not be asked.
 	UnresponsiveFor time.Duration
-	Member          config.Member // that is to be removed for its silence
+	Member          config.Member // to be removed because it is unresponsive
 }
 
-// Next gives the change of members that is due, if any: a member whose place another disk has taken is removed, a joiner that has caught up
-// is admitted, and a member that is lost is removed.
+// Next returns the membership change that is due, if any: the removal of a member whose name or address a joiner with another disk uses, the
+// admission of a joiner that has caught up, or the removal of a lost member.
 func (v View) Next(members []config.Member, now time.Time) (Proposal, bool) {
 	for _, joiner := range v.Joiners {
 		if now.Sub(joiner.HeardAt) > JoinerTimeout/3 || HasIncarnation(members, joiner.Incarnation) {
@@ -78,11 +79,11 @@
 	return Proposal{}, false
 }
 
-// IsMissed reports whether so many of the members have missed one that it may be removed for its silence: a majority of all the others, so
-// that it takes more than one broken link.
-func IsMissed(voices, members int) bool { return voices >= Majority(members-1) }
+// IsMissed reports whether enough members find another one unresponsive for it to be removed. It takes a majority of all the others, so that
+// one broken link is not enough.
+func IsMissed(reports, members int) bool { return reports >= Majority(members-1) }
 
-// memberAt finds a member that has a joiner's name or address.
+// memberAt returns the member that has the joiner's name or address.
 func memberAt(members []config.Member, joiner Joiner) (config.Member, bool) {
 	for _, m := range members {
 		if m.Name == joiner.Name || m.Address == joiner.Address {
@@ -92,9 +93,9 @@
 	return config.Member{}, false
 }
 
-// isLost reports whether a member has been unresponsive for so long that it is to be removed, and for how long that is: one that has a
-// replacement, or one without whom the others bear the tolerated losses, or more losses than with it once all that are lost like it are
-// removed.
+// isLost reports whether an unresponsive member is to be removed, and which timeout applies. A member is removed after ReplacementTimeout if
+// it was replaced. Otherwise it is removed after RemovalTimeout if the remaining list can take the tolerated losses, or if the list can take
+// more losses once all members that are overdue in the same way are removed.
 func (v View) isLost(m config.Member, members []config.Member) (timeout time.Duration, lost bool) {
 	unresponsiveFor := v.Liveness.UnresponsiveFor(m)
 	if unresponsiveFor < ReplacementTimeout {
