--- a/lease/grant.go
+++ b/lease/grant.go
@@ -7,16 +7,16 @@
 	"asterridge/register"
 )
 
-// Grant is a lease as its role's register has it. Versions alone do not tell grants apart: one that a minority of disks has may bear the same
-// version as another that came to a majority under a later epoch. So each has a nonce of its own.
+// Grant is a lease as stored in its role's register. The version alone does not identify a grant: one that only a minority of disks has may
+// have the same version as another that a majority accepted under a later epoch. So each grant has its own nonce.
 type Grant struct {
 	Holder string `json:"holder"`
 	Nonce  string `json:"mark"`
-	// Version is that of the register: the lease's fencing token.
+	// Version is the version of the register; it is the lease's fencing token.
 	Version uint64 `json:"version"`
 }
 
-// IsFree reports whether nobody holds the role: it was never taken, or its holder released it.
+// IsFree reports whether nobody holds the role: it was never granted, or its last holder released it.
 func (g Grant) IsFree() bool { return g.Version == 0 || g.IsReleased() }
 
 // IsReleased reports whether the role's last holder released it.
@@ -28,26 +28,26 @@
 	nonceField  = "mark"
 )
 
-// ReadGrant gives the grant that a role's register has; the zero one if the role was never taken. A holder that cannot be read is somebody:
-// its lease is waited out as any other.
+// ReadGrant returns the grant in a role's register; the zero Grant if the role was never granted. An unreadable holder counts as a holder:
+// candidates wait for the end of its lease as of any other.
 func ReadGrant(fields register.Fields, version uint64) Grant {
-	return Grant{Holder: readText(fields[holderField]), Nonce: readText(fields[nonceField]), Version: version}
+	return Grant{Holder: decodeString(fields[holderField]), Nonce: decodeString(fields[nonceField]), Version: version}
 }
 
-// readText gives a stored string, or the bytes themselves if they are none; empty if there are none.
-func readText(raw json.RawMessage) (text string) {
+// decodeString returns a stored JSON string, or the raw bytes if they are not one; empty if there are no bytes.
+func decodeString(raw json.RawMessage) (text string) {
 	if json.Unmarshal(raw, &text) != nil {
 		return string(raw)
 	}
 	return text
 }
 
-// Replace is the register's change by which a grant comes in the place of the expected one, and of no other. The error is apierror.Conflict
-// if another one stands.
+// Replace returns the register operation that replaces the expected grant by this one. Its error is apierror.Conflict if the register has
+// another grant than the expected one.
 func (g Grant) Replace(expected Grant) register.Op {
 	return func(present register.Fields, version uint64) (register.Fields, error) {
 		if current := ReadGrant(present, version); current.Version != expected.Version || current.Nonce != expected.Nonce {
-			return nil, apierror.New(apierror.Conflict, "expected version %d of %s, present is %d of %s", expected.Version, expected.Holder, version, current.Holder)
+			return nil, apierror.New(apierror.Conflict, "lease changed: expected version %d of holder %q, present is version %d of holder %q", expected.Version, expected.Holder, version, current.Holder)
 		}
 		holder, err := json.Marshal(g.Holder)
 		if err != nil {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,9 +1,10 @@
 // Package lease decides which process performs a singleton role. A lease is granted by a majority, through a register that every candidate
-// reads and changes; the holder counts it from before it asked and gives it up before its end, and a candidate counts from when the grant
-// showed to it. So at no moment do two hold one lease, whatever is frozen, slow or cut off (docs/design.md §2.7).
+// reads and changes. The holder measures the lease from before its request and stops using it a margin before its end; the other candidates
+// measure it from when they first see the grant. So no two processes ever hold a lease at the same time, even if processes are suspended or
+// slow, or the network is partitioned (docs/design.md §2.7).
 //
-// Each grant has a version, which only rises: it is the fencing token of what is done under the lease, so that what a former holder sends
-// late can be told from what the present one sends.
+// The version of a grant only increases. It is the fencing token for everything done under the lease, so that late messages of a former
+// holder can be told from those of the present one.
 package lease
 
 import (
@@ -15,67 +16,68 @@
 	"github.com/rs/zerolog"
 )
 
-// Store is where grants are written.
+// Store reads and writes grants.
 type Store interface {
-	// Read gives the grant that this process knows; the zero grant if there never was one.
+	// Read returns the latest grant that this process knows; the zero Grant if there is none.
 	Read(role string) Grant
-	// Acquire writes a grant in the place of the expected one, on a majority, and gives its version. After an error it may have been written.
+	// Acquire replaces the expected grant by another one on a majority and returns the new version. After an error the grant may or may not
+	// have been written.
 	Acquire(ctx context.Context, role string, grant, expected Grant) (version uint64, err error)
 }
 
 // Options of a candidate.
 type Options struct {
 	Role string
-	// Holder names this run of this process; no other run may have the name.
+	// Holder names this run of this process; it must be unique among all runs of all processes.
 	Holder string
-	// Length is how long a lease lasts, Margin by how much its holder gives it up sooner.
+	// Length is how long a lease lasts; its holder stops using it Margin earlier.
 	Length time.Duration
 	Margin time.Duration
 	Store  Store
 	Log    zerolog.Logger
 }
 
-// Candidate is one process's candidacy for one role.
+// Candidate competes for one role on behalf of one process.
 type Candidate struct {
 	options Options
 
 	mu sync.Mutex // guards what follows
-	// granted is our last grant, expires when we give it up; zero while we hold none.
+	// granted is our last grant. expires is when we stop using it; zero while we hold none.
 	granted Grant
 	expires time.Time
-	// observed is the grant that stands here, observedSince since when it has stood unchanged.
+	// observed is the grant that this process last saw, observedSince when it first saw it.
 	observed      Grant
 	observedSince time.Time
-	// released is set for good once this candidate has given the role up.
+	// released is set once this candidate has released the role; it is never reset.
 	released bool
-	// previousEnd is when the lease of the holder before us was over at the latest; zero if there was none.
+	// previousEnd is the latest time at which the previous holder's lease can have ended; zero if there was none.
 	previousEnd time.Time
 }
 
-// New makes a candidate.
+// New returns a candidate that holds nothing yet.
 func New(options Options) *Candidate { return &Candidate{options: options} }
 
-// Held reports whether the lease is ours now, with its fencing token.
+// Held reports whether this candidate holds the lease now, and its fencing token.
 func (c *Candidate) Held() (fence uint64, held bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.granted.Version, c.holds(time.Now())
 }
 
-// holds is Held; c.mu is held.
+// holds reports whether the lease is held at this time. The caller holds c.mu.
 func (c *Candidate) holds(now time.Time) bool { return now.Before(c.expires) }
 
-// Holder is the name under which this candidate holds its lease.
+// Holder returns the name under which this candidate holds its lease.
 func (c *Candidate) Holder() string { return c.options.Holder }
 
-// PreviousLeaseEnd is when the lease of the holder before us was over at the latest; zero if there was none.
+// PreviousLeaseEnd returns the latest time at which the previous holder's lease can have ended; zero if there was none.
 func (c *Candidate) PreviousLeaseEnd() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.previousEnd
 }
 
-// Observe notes how long another's grant has stood, for a candidate that does not campaign yet.
+// Observe records how long another holder's grant has been unchanged, for a candidate that does not campaign yet.
 func (c *Candidate) Observe() {
 	current := c.options.Store.Read(c.options.Role)
 	c.mu.Lock()
@@ -85,18 +87,18 @@
 	}
 }
 
-// observe notes since when a grant has stood here unchanged; c.mu is held.
+// observe records since when the current grant has been unchanged. The caller holds c.mu.
 func (c *Candidate) observe(current Grant, now time.Time) {
 	if current != c.observed || c.observedSince.IsZero() {
 		c.observed, c.observedSince = current, now
 	}
 }
 
-// Released reports whether the role's last holder has released it, as far as is known here.
+// Released reports whether, as far as this process knows, the role's last holder has released it.
 func (c *Candidate) Released() bool { return c.options.Store.Read(c.options.Role).IsReleased() }
 
-// Release gives our lease up ahead of its end, so that the next candidate need not wait for it, and ends our candidacy. Nothing is done under
-// the lease from the call on. If the release cannot be written, the others wait for the lease's end as ever.
+// Release releases the lease before its end, so that the next candidate need not wait for it, and ends this candidacy. The lease counts as not
+// held from the start of the call. If the release cannot be written, the other candidates wait for the lease to expire as usual.
 func (c *Candidate) Release(ctx context.Context) {
 	c.mu.Lock()
 	granted, active := c.granted, c.holds(time.Now())
@@ -109,8 +111,8 @@
 	c.options.Log.Info().Str("role", c.options.Role).Uint64("fence", granted.Version).Err(err).Msg("lease released")
 }
 
-// Campaign renews our lease, or takes one that was released, or whose grant has stood unchanged for a whole lease on our clock. It is to be
-// called a few times a lease. A failure leaves what we hold until its end.
+// Campaign renews our lease, or acquires one that was released or whose grant has been unchanged for a whole lease length on our clock. It is
+// to be called several times per lease length. If it fails, a lease that we hold stays valid until it expires.
 func (c *Candidate) Campaign(ctx context.Context) {
 	o := c.options
 	current := o.Store.Read(o.Role)
@@ -131,7 +133,7 @@
 	defer c.mu.Unlock()
 	c.granted = grant
 	if c.released {
-		return // meanwhile: nobody counts on us, and the others wait for the lease's end
+		return // released during the call: the new grant is not used, and the others wait for it to expire
 	}
 	c.expires = began.Add(o.Length - o.Margin)
 	if !renewing {
@@ -139,7 +141,7 @@
 	}
 }
 
-// expectedGrant gives the grant that ours is to come in the place of, and reports whether ours is a renewal and whether it is time.
+// expectedGrant returns the grant that ours is to replace, whether that is a renewal, and whether it is time to try.
 func (c *Candidate) expectedGrant(current Grant, now time.Time) (expected Grant, renewing, due bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,10 +150,10 @@
 	}
 	if !c.holds(now) {
 		c.observe(current, now)
-		if current.Holder == c.options.Holder { // ours, whose answer was lost or that has ended: nobody else had it since
+		if current.Holder == c.options.Holder { // ours: its answer was lost, or it has expired and nobody else has held it since
 			return current, false, true
 		}
-		// The holder counts from before it asked, we count from after its grant showed here: our wait ends later than its lease.
+		// The holder measures its lease from before its request, we measure it from when we saw the grant: our wait ends after its lease.
 		due = current.IsFree() || now.Sub(c.observedSince) >= c.options.Length
 		if due && current.Version != 0 {
 			c.previousEnd = c.observedSince.Add(c.options.Length)
@@ -159,11 +161,11 @@
 		return current, false, due
 	}
 	if current.Holder != c.options.Holder && current.Version > c.granted.Version {
-		c.expires = time.Time{} // cannot be while we hold it; give way all the same
+		c.expires = time.Time{} // impossible while we hold the lease; give it up to be safe
 		return Grant{}, false, false
 	}
 	if current.Version < c.granted.Version {
-		return c.granted, true, true // this process's own disk has not got it yet
+		return c.granted, true, true // our last grant has not reached this process's own disk yet
 	}
 	return current, true, true
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -15,119 +15,119 @@
 	"asterridge/register"
 )
 
-// store is a register that a candidate may be cut off from.
+// store is a candidate's view of a shared register, from which it may be disconnected.
 type store struct {
-	mu      *sync.Mutex
-	present *Grant
-	isCut   *bool
-	known   Grant
+	mu             *sync.Mutex
+	present        *Grant
+	isDisconnected *bool
+	known          Grant
 }
 
-func (b *store) Read(string) Grant {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !*b.isCut {
-		b.known = *b.present
+func (s *store) Read(string) Grant {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !*s.isDisconnected {
+		s.known = *s.present
 	}
-	return b.known
+	return s.known
 }
 
-func (b *store) Acquire(_ context.Context, _ string, made, met Grant) (uint64, error) {
-	time.Sleep(20 * time.Millisecond) // the way to a majority, in fake time
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if *b.isCut || *b.present != met {
-		return 0, errors.New("cut off, or too late")
+func (s *store) Acquire(_ context.Context, _ string, grant, expected Grant) (uint64, error) {
+	time.Sleep(20 * time.Millisecond) // round trip to a majority, in fake time
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if *s.isDisconnected || *s.present != expected {
+		return 0, errors.New("disconnected, or the grant has changed")
 	}
-	made.Version = met.Version + 1
-	*b.present = made
-	return made.Version, nil
+	grant.Version = expected.Version + 1
+	*s.present = grant
+	return grant.Version, nil
 }
 
-// At no moment do two hold a lease, though the holder is cut off, frozen, and comes back.
-func TestNeverTwoHoldersAndTheDutyMovesOn(t *testing.T) {
+// The holder is repeatedly disconnected and reconnected. There are never two holders, and another candidate takes over each time.
+func TestAtMostOneHolderAndAnotherTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var mu sync.Mutex
 		var present Grant
 		const length = 2 * time.Second
 		var candidates []*Candidate
-		cuts := make([]bool, 3)
+		disconnected := make([]bool, 3)
 		for i := range 3 {
 			candidates = append(candidates, New(Options{Role: "d", Holder: string(rune('a' + i)), Length: length, Margin: length / 8,
-				Store: &store{mu: &mu, present: &present, isCut: &cuts[i]}, Log: zerolog.Nop()}))
+				Store: &store{mu: &mu, present: &present, isDisconnected: &disconnected[i]}, Log: zerolog.Nop()}))
 		}
-		holds := func() (who []int) {
-			for i, s := range candidates {
-				if _, own := s.Held(); own {
-					who = append(who, i)
+		currentHolders := func() (holders []int) {
+			for i, candidate := range candidates {
+				if _, held := candidate.Held(); held {
+					holders = append(holders, i)
 				}
 			}
-			return who
+			return holders
 		}
-		changes, last, without := 0, -1, 0
-		for beat := range 600 {
+		takeovers, lastHolder, ticksWithoutHolder := 0, -1, 0
+		for tick := range 600 {
 			time.Sleep(50 * time.Millisecond)
-			who := holds()
-			is.True(len(who) <= 1)
-			if len(who) == 1 && who[0] != last {
-				changes, last = changes+1, who[0]
+			holders := currentHolders()
+			is.True(len(holders) <= 1)
+			if len(holders) == 1 && holders[0] != lastHolder {
+				takeovers, lastHolder = takeovers+1, holders[0]
 			}
-			if len(who) == 0 {
-				without++
+			if len(holders) == 0 {
+				ticksWithoutHolder++
 			}
 			mu.Lock()
-			if beat%150 == 100 { // cut the holder off, which is also what a freeze looks like
-				cuts[last] = true
-			} else if beat%150 == 0 {
-				cuts = append(cuts[:0], false, false, false)
+			if tick%150 == 100 { // disconnect the holder; a suspended process looks the same to the others
+				disconnected[lastHolder] = true
+			} else if tick%150 == 0 {
+				disconnected = append(disconnected[:0], false, false, false)
 			}
 			mu.Unlock()
-			if beat%8 == 0 {
-				for _, s := range candidates {
-					s.Campaign(t.Context())
+			if tick%8 == 0 {
+				for _, candidate := range candidates {
+					candidate.Campaign(t.Context())
 				}
 			}
 		}
-		is.True(changes >= 4)    // the duty moved on after each cut
-		is.True(without < 600/4) // and mostly somebody had it
+		is.True(takeovers >= 4)             // another candidate took over after each disconnection
+		is.True(ticksWithoutHolder < 600/4) // and there was a holder most of the time
 	})
 }
 
-// Two grants of the same version, one that only this candidate's disk has and one that came to a majority, are two leases: the second is waited
-// out from when it showed here, and the first is nothing to build on.
-func TestGrantsOfOneVersionAreToldApart(t *testing.T) {
+// Two grants have the same version: one is only on this candidate's disk, the other was accepted by a majority. They are different leases: the
+// candidate waits a whole lease length from when it sees the second, and cannot replace the register's grant by expecting the wrong one.
+func TestGrantsOfTheSameVersionAreDistinguishedByNonce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var mu sync.Mutex
-		cut := false
+		disconnected := false
 		lost := Grant{Holder: "a", Nonce: "lost", Version: 7}
-		stands := Grant{Holder: "b", Nonce: "stands", Version: 7}
+		committed := Grant{Holder: "b", Nonce: "stands", Version: 7}
 		present := lost
 		const length = 2 * time.Second
-		s := New(Options{Role: "d", Holder: "c", Length: length, Store: &store{mu: &mu, present: &present, isCut: &cut}, Log: zerolog.Nop()})
+		candidate := New(Options{Role: "d", Holder: "c", Length: length, Store: &store{mu: &mu, present: &present, isDisconnected: &disconnected}, Log: zerolog.Nop()})
 		step := func(after time.Duration) bool {
 			time.Sleep(after)
-			s.Campaign(t.Context())
-			_, own := s.Held()
-			return own
+			candidate.Campaign(t.Context())
+			_, held := candidate.Held()
+			return held
 		}
 		is.True(!step(0))
 		time.Sleep(length - time.Millisecond)
-		present = stands
+		present = committed
 		is.True(!step(2 * time.Millisecond))
 		is.True(!step(length - 2*time.Millisecond))
 		is.True(step(2 * time.Millisecond))
 
-		_, err := lost.Replace(stands)(register.Fields{"holder": []byte(`"a"`), "mark": []byte(`"lost"`)}, 7)
+		_, err := lost.Replace(committed)(register.Fields{"holder": []byte(`"a"`), "mark": []byte(`"lost"`)}, 7)
 		is.True(apierror.Is(err, apierror.Conflict))
-		_, err = lost.Replace(stands)(register.Fields{"holder": []byte(`"b"`), "mark": []byte(`"stands"`)}, 7)
+		_, err = lost.Replace(committed)(register.Fields{"holder": []byte(`"b"`), "mark": []byte(`"stands"`)}, 7)
 		is.NoErr(err)
 	})
 }
 
-// A register whose holder cannot be read is held by somebody; one without a holder was released.
-func TestHolderThatCannotBeReadIsSomebody(t *testing.T) {
+// A register with an unreadable holder counts as held; one with an empty holder was released.
+func TestUnreadableHolderCountsAsHolder(t *testing.T) {
 	is := is.New(t)
 	is.True(ReadGrant(nil, 0).IsFree())
 	is.True(!ReadGrant(register.Fields{"holder": []byte(`{"torn`), "mark": []byte(`"m"`)}, 3).IsFree())
@@ -135,43 +135,43 @@
 	is.Equal(ReadGrant(register.Fields{"holder": []byte(`"a"`)}, 3), Grant{Holder: "a", Version: 3})
 }
 
-// A lease that was released is taken at the next campaign of another candidate, the one that released it never has it again, and one whose
-// release could not be written is waited out.
-func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
-	for _, cutOff := range []bool{false, true} {
+// A released lease is acquired by another candidate's next campaign, and the candidate that released it never acquires it again. If the release
+// cannot be written, the other candidate waits for the lease to expire.
+func TestReleasedLeaseIsAcquiredAtOnce(t *testing.T) {
+	for _, releaseFails := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			var mu sync.Mutex
 			var present Grant
 			const length = 2 * time.Second
-			cuts := make([]bool, 2)
+			disconnected := make([]bool, 2)
 			var candidates []*Candidate
 			for i := range 2 {
 				candidates = append(candidates, New(Options{Role: "d", Holder: string(rune('a' + i)), Length: length, Margin: length / 8,
-					Store: &store{mu: &mu, present: &present, isCut: &cuts[i]}, Log: zerolog.Nop()}))
+					Store: &store{mu: &mu, present: &present, isDisconnected: &disconnected[i]}, Log: zerolog.Nop()}))
 			}
 			candidates[0].Campaign(t.Context())
 			fence, held := candidates[0].Held()
 			is.True(held)
 			candidates[1].Campaign(t.Context())
-			cuts[0] = cutOff
+			disconnected[0] = releaseFails
 			candidates[0].Release(t.Context())
 			_, held = candidates[0].Held()
 			is.True(!held)
 			candidates[1].Campaign(t.Context())
-			later, held := candidates[1].Held()
-			is.Equal(held, !cutOff)
-			if cutOff {
+			nextFence, held := candidates[1].Held()
+			is.Equal(held, !releaseFails)
+			if releaseFails {
 				time.Sleep(length)
 				candidates[1].Campaign(t.Context())
-				later, held = candidates[1].Held()
+				nextFence, held = candidates[1].Held()
 				is.True(held)
 			}
-			is.True(later > fence)
-			if !cutOff { // replicas that check no fences are left alone for a lease all the same
+			is.True(nextFence > fence)
+			if !releaseFails { // replicas that do not check fencing tokens must still get no orders for one lease length
 				is.True(time.Until(candidates[1].PreviousLeaseEnd()) > length/2)
 			}
-			cuts[0] = false
+			disconnected[0] = false
 			time.Sleep(2 * length)
 			candidates[0].Campaign(t.Context())
 			_, held = candidates[0].Held()
