--- a/throttle/backoff.go
+++ b/throttle/backoff.go
@@ -10,11 +10,11 @@
 	"asterridge/config"
 )
 
-// maxDoublings bounds how often a backoff doubles.
+// maxDoublings is the number of attempts after which a backoff no longer doubles.
 const maxDoublings = 6
 
-// RetryAfter parses the values of the header, in both of its forms: whole seconds, or a date that is compared with now, the wall clock. The
-// delay is limit at most. ok is false for no value, values that differ, a date that is not ahead, and anything else.
+// RetryAfter parses the values of the Retry-After header in both of its forms: whole seconds, or a date, which is compared with now (wall clock
+// time). The delay is at most limit. ok is false if there is no value, values differ, the date is not in the future, or a value is invalid.
 func RetryAfter(values []string, now time.Time, limit time.Duration) (delay time.Duration, ok bool) {
 	if len(values) == 0 {
 		return 0, false
@@ -38,8 +38,8 @@
 	return 0, false
 }
 
-// Backoff draws the delay after an attempt, counted from 0, where the replica named none: the rule's base, doubled with each attempt up to
-// its cap, less a random part up to its jitter.
+// Backoff returns a random delay after an attempt, counted from 0, to which the replica gave no Retry-After: the rule's base, doubled with each
+// attempt up to its cap, minus a random part of at most the rule's jitter.
 func Backoff(rule config.ThrottleRule, attempt int, random *rand.Rand) time.Duration {
 	step := time.Duration(rule.BaseMs) * time.Millisecond << min(attempt, maxDoublings)
 	step = min(step, time.Duration(rule.CapMs)*time.Millisecond)
--- a/throttle/table.go
+++ b/throttle/table.go
@@ -1,11 +1,12 @@
-// Package throttle is the shared waiting rule: one not-before moment for each scope, which only moves forward (docs/design.md §4).
+// Package throttle holds the throttles that all proxies share: for each scope, the earliest time at which requests may be sent again. That time
+// only moves forward (docs/design.md §4).
 //
-// When replicas throttle a tenant, the proxy that meets it puts a Notice into its Table and reports it; agents and cores pass it to every
-// other proxy. A Table merges notices by maximum, and each ID once, so that notices may come late, twice, in any order and in circles, and all
-// tables agree but for the time that notices travel. A notice bears the time that remains, never a time of day: each process counts it on its
-// own monotonic clock.
+// When replicas throttle a tenant, the proxy that notices it puts a Notice into its Table and reports it; agents and cores forward it to every
+// other proxy. A Table merges notices by taking the latest time, and each ID only once. So notices may be delayed, duplicated, reordered or
+// sent in loops, and all tables agree except for the time that notices travel. A notice carries the remaining time, not a time of day: each
+// process measures it on its own monotonic clock.
 //
-// Signals tell a throttled tenant from an unhealthy replica where a replica's rejection does not say which it means. Backoff and RetryAfter give
+// Signals tell a throttled tenant from an unhealthy replica if a replica's rejection does not say which it is. Backoff and RetryAfter compute
 // the delay.
 package throttle
 
@@ -19,18 +20,18 @@
 )
 
 const (
-	// Longest bounds every throttle that comes from another process: the largest cap that a configuration can set. Its maker has kept to
-	// its own cap.
+	// Longest limits a throttle received from another process. It is the largest cap that a configuration can set; the process that created
+	// the notice has already applied the cap of its own configuration.
 	Longest = 10 * time.Minute
-	// retention is how long throttles that are over stay in the table.
+	// retention is how long expired throttles stay in the table.
 	retention = time.Hour
-	// maxSeenIDs is how many IDs of a scope are remembered; beyond it the older half is forgotten.
+	// maxSeenIDs is how many notice IDs are remembered per scope; when it is reached, the older half is dropped.
 	maxSeenIDs = 64
-	// observedSuffix keeps observe-only throttles apart. No scope has a blank.
+	// observedSuffix separates observe-only throttles from others of the same scope. No scope contains a space.
 	observedSuffix = " observed"
 )
 
-// Scope names what a throttle covers: a tenant, or a tenant's use of one pool.
+// Scope returns the name of what a throttle covers: a tenant, or a tenant's use of one pool.
 func Scope(tenant, pool string, byPool bool) string {
 	if byPool {
 		return tenant + "/" + pool
@@ -38,30 +39,30 @@
 	return tenant
 }
 
-// Notice is a throttle on the wire.
+// Notice is a throttle as sent between processes.
 type Notice struct {
 	Scope string `json:"scope"`
-	// ID is the same wherever the notice goes.
+	// ID identifies the notice; it stays the same when the notice is forwarded.
 	ID          string `json:"mark"`
 	RemainingMs int64  `json:"remaining_ms"`
 	Reason      string `json:"reason"`
-	// Raw is the Retry-After as it came, for the audit.
+	// Raw is the Retry-After header as received, for auditing.
 	Raw     string `json:"raw,omitempty"`
 	Attempt int    `json:"shot"`
-	// Observed: the throttle is reported and never waited for.
+	// Observed means that the throttle is only reported; no request waits for it.
 	Observed bool `json:"observed,omitempty"`
 }
 
 // Entry is the throttle of one scope.
 type Entry struct {
 	Notice
-	// Until is the not-before moment, on this process's monotonic clock.
+	// Until is the not-before time, on this process's monotonic clock.
 	Until time.Time
-	// seenIDs are the notices that were merged, the latest last.
+	// seenIDs has the IDs of merged notices, the latest last.
 	seenIDs []string
 }
 
-// Table has the not-before moment of each scope.
+// Table has the not-before time of each scope.
 type Table struct {
 	onChange func(Entry)
 
@@ -69,12 +70,12 @@
 	scopes map[string]*Entry
 }
 
-// NewTable makes a table. onChange is told of each extension, outside the lock; it may be nil.
+// NewTable returns an empty table. onChange is called for each extension, without the lock held; it may be nil.
 func NewTable(onChange func(Entry)) *Table {
 	return &Table{scopes: map[string]*Entry{}, onChange: onChange}
 }
 
-// Merge takes a notice, whose remaining time counts up to limit, and reports whether the scope's moment moved.
+// Merge merges a notice, whose remaining time counts up to limit, and reports whether it extended the scope's throttle.
 func (t *Table) Merge(n Notice, limit time.Duration) bool {
 	extended, ok := t.merge(n, limit)
 	if ok && t.onChange != nil {
@@ -96,15 +97,15 @@
 		e = &Entry{}
 		t.scopes[key] = e
 	}
-	if !e.see(n.ID) || !until.After(e.Until) {
+	if !e.markSeen(n.ID) || !until.After(e.Until) {
 		return Entry{}, false
 	}
 	e.Notice, e.Until = n, until
 	return *e, true
 }
 
-// see notes an ID, and reports whether it is new.
-func (e *Entry) see(id string) bool {
+// markSeen records an ID, and reports whether it is new.
+func (e *Entry) markSeen(id string) bool {
 	if slices.Contains(e.seenIDs, id) {
 		return false
 	}
@@ -115,7 +116,7 @@
 	return true
 }
 
-// Apply merges the notices of a watch update: by scope, each with its age at the server.
+// Apply merges the notices of a watch update, by scope. agesMs has the age of each notice at the server.
 func (t *Table) Apply(fields register.Fields, agesMs map[string]int64) {
 	for scope, raw := range fields {
 		var n Notice
@@ -127,7 +128,7 @@
 	}
 }
 
-// Until gives the scope's not-before moment; zero if it has passed or there is none that is waited for.
+// Until returns the scope's not-before time; zero if it has passed, or if there is no throttle or only an observed one.
 func (t *Table) Until(scope string) time.Time {
 	if until := t.Last(scope); time.Now().Before(until) {
 		return until
@@ -135,7 +136,7 @@
 	return time.Time{}
 }
 
-// Last gives the scope's latest moment, passed or not; zero if there was none.
+// Last returns the scope's latest not-before time, passed or not; zero if there was none.
 func (t *Table) Last(scope string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,7 +146,7 @@
 	return time.Time{}
 }
 
-// All lists the throttles that still run, with what remains of each.
+// All returns the throttles that are still in force, with the remaining time of each.
 func (t *Table) All() (notices []Notice) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,7 +160,7 @@
 	return notices
 }
 
-// Prune forgets scopes whose moment has been past for the retention.
+// Prune deletes scopes whose throttle expired longer than the retention ago.
 func (t *Table) Prune() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -12,14 +12,14 @@
 	"asterridge/config"
 )
 
-func TestRetryAfterInBothFormsAndWhatDoesNotParse(t *testing.T) {
+func TestRetryAfterFormsAndInvalidValues(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	limit := 64 * time.Second
 	for _, c := range []struct {
 		values []string
 		want   time.Duration
-		isGood bool
+		wantOK bool
 	}{
 		{[]string{"17"}, 17 * time.Second, true},
 		{[]string{" 17 "}, 17 * time.Second, true},
@@ -37,8 +37,8 @@
 		{[]string{"-1"}, 0, false}, {[]string{"+1"}, 0, false}, {[]string{"1.5"}, 0, false}, {[]string{"1e3"}, 0, false}, {[]string{"0x10"}, 0, false},
 		{[]string{"soon"}, 0, false}, {[]string{""}, 0, false}, {[]string{"7", "8"}, 0, false}, {nil, 0, false}, {[]string{"７"}, 0, false},
 	} {
-		got, good := RetryAfter(c.values, now, limit)
-		is.Equal(fmt.Sprint(c.values, good, got), fmt.Sprint(c.values, c.isGood, c.want))
+		got, ok := RetryAfter(c.values, now, limit)
+		is.Equal(fmt.Sprint(c.values, ok, got), fmt.Sprint(c.values, c.wantOK, c.want))
 	}
 }
 
@@ -47,8 +47,8 @@
 	f.Add("Sun, 01 Mar 2026 12:00:30 GMT")
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	f.Fuzz(func(t *testing.T, text string) {
-		if d, good := RetryAfter([]string{text}, now, time.Minute); d < 0 || d > time.Minute || !good && d != 0 {
-			t.Errorf("%q gives %v", text, d)
+		if d, ok := RetryAfter([]string{text}, now, time.Minute); d < 0 || d > time.Minute || !ok && d != 0 {
+			t.Errorf("RetryAfter(%q) = %v, out of range", text, d)
 		}
 	})
 }
@@ -57,23 +57,23 @@
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	rule := config.Empty().Throttle
-	var longest [12]time.Duration
-	for attempt := range longest {
+	var maxSeen [12]time.Duration
+	for attempt := range maxSeen {
 		for range 2000 {
 			d := Backoff(rule, attempt, random)
 			is.True(d >= 0 && d <= time.Second<<min(attempt, 6))
-			longest[attempt] = max(longest[attempt], d)
+			maxSeen[attempt] = max(maxSeen[attempt], d)
 		}
-		is.True(longest[attempt] > time.Second<<min(attempt, 6)*9/10) // uniform up to the step
+		is.True(maxSeen[attempt] > time.Second<<min(attempt, 6)*9/10) // uniform up to the maximum
 	}
 	rule.Jitter, rule.CapMs = 0, 5000
 	is.Equal(Backoff(rule, 1, random), 2*time.Second)
 	is.Equal(Backoff(rule, 9, random), 5*time.Second)
 }
 
-// Notices come in any order, late, doubled and round in circles: the moment never moves back, each id counts once, and all tables agree
-// but for the travel time.
-func TestMergeIsForwardOnlyWhateverTheOrder(t *testing.T) {
+// Notices arrive in any order, delayed, duplicated and in loops. The not-before time never moves back, and all tables agree on it except for
+// the time that notices travel.
+func TestMergeNeverShortensAThrottleInAnyOrder(t *testing.T) {
 	for seed := range uint64(50) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -82,12 +82,12 @@
 			var latest time.Time
 			for n := range 40 {
 				at := random.IntN(3)
-				fresh := Notice{Scope: "s", ID: fmt.Sprint(n), RemainingMs: random.Int64N(9000)}
-				if until := time.Now().Add(time.Duration(fresh.RemainingMs) * time.Millisecond); until.After(latest) {
+				notice := Notice{Scope: "s", ID: fmt.Sprint(n), RemainingMs: random.Int64N(9000)}
+				if until := time.Now().Add(time.Duration(notice.RemainingMs) * time.Millisecond); until.After(latest) {
 					latest = until
 				}
-				tables[at].Merge(fresh, time.Minute)
-				for range 6 { // what one table has goes to another, some time later, again and again
+				tables[at].Merge(notice, time.Minute)
+				for range 6 { // one table's notices are sent to another with a delay, repeatedly
 					from, to := random.IntN(3), random.IntN(3)
 					all := tables[from].All()
 					time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
@@ -108,14 +108,14 @@
 			for _, table := range tables {
 				if until := table.Last("s"); time.Now().Before(latest) {
 					is.True(!until.Before(latest))                       // never earlier
-					is.True(until.Sub(latest) < 3*20*time.Millisecond*6) // later by travel alone: no ratchet
+					is.True(until.Sub(latest) < 3*20*time.Millisecond*6) // later by the travel time only: forwarding in loops does not extend it
 				}
 			}
 		})
 	}
 }
 
-func TestObservedHoldsNobodyAndHidesNoRealHold(t *testing.T) {
+func TestObservedThrottleDelaysNothingAndHidesNoRealThrottle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(nil)
@@ -124,7 +124,7 @@
 		is.True(table.Merge(Notice{Scope: "s", ID: "2", RemainingMs: 3000}, time.Minute))
 		is.Equal(time.Until(table.Until("s")), 3*time.Second)
 		is.True(table.Merge(Notice{Scope: "s", ID: "3", RemainingMs: 900000}, 10*time.Second))
-		is.Equal(time.Until(table.Until("s")), 10*time.Second) // the cap
+		is.Equal(time.Until(table.Until("s")), 10*time.Second) // limited by the cap
 		is.Equal(len(table.All()), 2)
 	})
 }
