--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -105,7 +105,8 @@
 		committed := Grant{Holder: "b", Nonce: "stands", Version: 7}
 		present := lost
 		const length = 2 * time.Second
-		candidate := New(Options{Role: "d", Holder: "c", Length: length, Store: &store{mu: &mu, present: &present, isDisconnected: &disconnected}, Log: zerolog.Nop()})
+		candidate := New(Options{Role: "d", Holder: "c", Length: length,
+			Store: &store{mu: &mu, present: &present, isDisconnected: &disconnected}, Log: zerolog.Nop()})
 		step := func(after time.Duration) bool {
 			time.Sleep(after)
 			candidate.Campaign(t.Context())
