--- a/queue/item.go
+++ b/queue/item.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Item is a waiting request. It keeps its position when it comes to the queue again.
+// Item is a waiting request. It keeps its position if it enters the queue again.
 type Item struct {
 	Tenant, Pool int // dense indices
-	// Weight is the tenant's share of the pool against other tenants.
+	// Weight is the tenant's share of the pool relative to other tenants.
 	Weight int
-	// Limit is how many requests of the tenant may wait for the pool.
+	// Limit is the maximum number of the tenant's requests that wait for the pool.
 	Limit int
-	// Cost is what the request counts for in fairness.
+	// Cost is the cost of the request in deficit round robin.
 	Cost int
-	// Scope is that of the throttle that the request waits for.
+	// Scope is the scope of the throttles that apply to the request.
 	Scope string
-	// Deadline is when waiting is over: a throttle that outlasts it ends the wait at once; zero: none.
+	// Deadline is when waiting must end. A throttle that lasts longer ends the wait at once. Zero: no deadline.
 	Deadline time.Time
-	// Due is the time after which requests go first that are not due yet; zero: never.
+	// Due is the time after which the item is overdue: it is granted only if no item that is not overdue can be. Zero: never overdue.
 	Due time.Time
-	// Body is for Options.Pick.
+	// Body is the caller's own data, for use in Options.Pick.
 	Body any
 
-	position uint64 // zero until the first time
+	position uint64 // assigned when the item first enters the queue; zero before
 	entered  time.Time
-	granted  chan struct{} // closed when the wait is over
-	// throttledFor is set if the wait was ended since the throttle outlasts the deadline: by how long it still lasts.
+	granted  chan struct{} // closed when the wait has ended
+	// throttledFor is set if the wait ended because a throttle outlasts the deadline: the remaining time of the throttle.
 	throttledFor time.Duration
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,8 +1,9 @@
 // Package queue holds waiting requests: a bounded queue for each tenant and pool, served by deficit round robin (docs/design.md §5.3).
 //
-// A request leaves the queue when its tenant's turn has come, its scope is not throttled, and Options.Pick gives it a credit: a slot at a
-// replica. Nothing polls: the queue looks again when a credit comes free or a throttle changes (Wake), and at the moment when a throttle ends.
-// After a throttle a flow is released in steps that double, so that the replicas are not met by all that has piled up (docs/design.md §4.4).
+// A request leaves the queue when it is its tenant's turn, its scope is not throttled, and Options.Pick returns a credit for it: a slot at a
+// replica. The queue does not poll: it is served when a credit becomes free or a throttle changes (Wake), and when a throttle ends.
+// After a throttle the number of requests that a flow may send doubles in steps, so that the replicas do not get everything that has piled up
+// at once (docs/design.md §4.4).
 package queue
 
 import (
@@ -14,22 +15,23 @@
 )
 
 const (
-	// paceStep is the time between two steps of release after a throttle; 1, 2, 4 … requests may go by then, and after paceSteps all.
-	paceStep  = 100 * time.Millisecond
-	paceSteps = 8
-	// paceMemory is how long after its end a throttle still matters.
-	paceMemory = 5 * time.Second
+	// rampStep is the length of one step of the ramp-up after a throttle. In total 1, 2, 4 … requests are granted by the end of each step;
+	// after rampSteps there is no limit.
+	rampStep  = 100 * time.Millisecond
+	rampSteps = 8
+	// rampRetention is how long after its end a throttle is still taken into account.
+	rampRetention = 5 * time.Second
 )
 
-// Options of a queue whose credits are of type G; all functions are needed.
+// Options of a queue whose credits have type G; all functions are required.
 type Options[G any] struct {
-	// Pick takes a credit for the item, if there is one. It is called under the queue's lock.
+	// Pick takes a free credit for the item and reports whether there was one. It is called with the queue's lock held.
 	Pick func(item *Item) (G, bool)
-	// Return gives back a credit whose item left in the moment of the grant. It is called under the queue's lock.
+	// Return returns a credit that was granted to an item whose context ended at the same time. It is called with the queue's lock held.
 	Return func(credit G)
-	// NotBefore gives the scope's latest not-before moment, passed or not; zero if there was none.
+	// NotBefore returns the scope's latest not-before time, passed or not; zero if there was none.
 	NotBefore func(scope string) time.Time
-	// ReleaseDelay is how long after that moment this process may begin to release; others go before it.
+	// ReleaseDelay returns how long after that time this process begins to send; it staggers the start of the processes.
 	ReleaseDelay func(scope string) time.Duration
 }
 
@@ -41,26 +43,26 @@
 	lastPosition uint64
 	rings        map[int]*flowRing // by pool
 	flows        map[flowKey]*flow
-	// grants are the credits of items that have not woken up yet.
+	// grants has the credits of items whose Take has not returned yet.
 	grants map[*Item]G
-	// wake is the timer that looks at all pools again, wakeAt when.
-	wake   *time.Timer
-	wakeAt time.Time
+	// wakeTimer serves all pools again at wakeAt.
+	wakeTimer *time.Timer
+	wakeAt    time.Time
 }
 
 type flowKey struct{ tenant, pool int }
 
-// New makes an empty queue.
+// New returns an empty queue.
 func New[G any](options Options[G]) *Queue[G] {
 	return &Queue[G]{options: options, rings: map[int]*flowRing{}, flows: map[flowKey]*flow{}, grants: map[*Item]G{}}
 }
 
-// Take waits for the item's turn and gives its credit. An item that comes again keeps its position and is never rejected for a full queue. The
-// errors are apierror.QueueFull and Throttled, which say when to come back, and Stale if the context ended first.
+// Take waits for the item's turn and returns its credit. An item that enters again keeps its position and is not rejected when the queue is
+// full. The errors are apierror.QueueFull and Throttled, which say when to retry, and Stale if the context ended first.
 func (q *Queue[G]) Take(ctx context.Context, item *Item) (G, error) {
-	var none G
+	var zero G
 	if err := q.enter(item); err != nil {
-		return none, err
+		return zero, err
 	}
 	select {
 	case <-item.granted:
@@ -75,25 +77,25 @@
 		}
 		q.options.Return(credit)
 		q.serve(item.Pool)
-		return none, apierror.Wrap(ctx.Err(), apierror.Stale, "left in the moment of its turn")
+		return zero, apierror.Wrap(ctx.Err(), apierror.Stale, "request ended just as it was granted")
 	}
 	if item.throttledFor > 0 {
-		err := apierror.New(apierror.Throttled, "%s is held for longer than the request may wait", item.Scope)
+		err := apierror.New(apierror.Throttled, "%s is throttled for longer than the request may wait", item.Scope)
 		err.Again, item.throttledFor = item.throttledFor, 0
-		return none, err
+		return zero, err
 	}
 	q.flow(item).remove(item)
-	return none, apierror.Wrap(ctx.Err(), apierror.Stale, "waited in the backlog")
+	return zero, apierror.Wrap(ctx.Err(), apierror.Stale, "request ended while waiting in the queue")
 }
 
-// enter puts an item at its position, and looks at its pool.
+// enter adds an item at its position, and serves its pool.
 func (q *Queue[G]) enter(item *Item) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	f := q.flow(item)
 	if item.position == 0 {
 		if waiting := len(f.items); waiting >= item.Limit {
-			full := apierror.New(apierror.QueueFull, "%d requests wait", waiting)
+			full := apierror.New(apierror.QueueFull, "queue is full: %d requests are waiting", waiting)
 			full.Again = f.drainTime(waiting, q.options.NotBefore(item.Scope))
 			return full
 		}
@@ -106,7 +108,7 @@
 	return nil
 }
 
-// flow gives the item's flow, a new one at the end of its pool's ring if there is none.
+// flow returns the item's flow; if there is none, it adds one at the end of the pool's ring.
 func (q *Queue[G]) flow(item *Item) *flow {
 	key := flowKey{tenant: item.Tenant, pool: item.Pool}
 	f := q.flows[key]
@@ -115,7 +117,7 @@
 		q.flows[key] = f
 		ring := q.rings[item.Pool]
 		if ring == nil {
-			ring = &flowRing{arrived: true}
+			ring = &flowRing{isNewTurn: true}
 			q.rings[item.Pool] = ring
 		}
 		ring.flows = append(ring.flows, f)
@@ -124,14 +126,14 @@
 	return f
 }
 
-// Wake is to be called when credits of a pool may have come free.
+// Wake must be called when credits of a pool may have become free.
 func (q *Queue[G]) Wake(pool int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.serve(pool)
 }
 
-// WakeAll is Wake for every pool; also when a throttle has changed.
+// WakeAll serves every pool. It must be called when a throttle has changed.
 func (q *Queue[G]) WakeAll() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -140,20 +142,20 @@
 	}
 }
 
-// serve grants what can be granted now; those that can still be in time go first.
+// serve grants what can be granted now; items that are not overdue go first.
 func (q *Queue[G]) serve(pool int) {
 	if ring := q.rings[pool]; ring != nil && q.grantAll(ring, false) {
 		q.grantAll(ring, true)
 	}
 }
 
-// grantAll goes round the flows until nothing is left to grant; it reports false if there is no credit any more.
+// grantAll visits the flows in turn until nothing is left to grant; it returns false if there are no more credits.
 func (q *Queue[G]) grantAll(ring *flowRing, overdue bool) bool {
 	now := time.Now()
 	for idle := 0; idle < len(ring.flows); {
 		f := ring.current()
 		next := -1
-		if len(f.items) > 0 && q.isReleased(f) {
+		if len(f.items) > 0 && q.mayGrant(f) {
 			next = f.next(now, overdue)
 		}
 		if next < 0 {
@@ -165,12 +167,12 @@
 		item := f.items[next]
 		if f.deficit < item.Cost {
 			ring.advance()
-			idle = 0 // it has work: its deficit grows each time round
+			idle = 0 // not idle: its deficit grows in each round until it covers the cost
 			continue
 		}
 		credit, ok := q.options.Pick(item)
 		if !ok {
-			return false // the turn stays here until a credit comes free
+			return false // this flow keeps its turn until a credit becomes free
 		}
 		f.take(next)
 		idle = 0
@@ -180,54 +182,54 @@
 	return true
 }
 
-// isReleased looks at the flow's throttle and at the pace of its release.
-func (q *Queue[G]) isReleased(f *flow) bool {
+// mayGrant reports whether the flow's throttle and the ramp-up after it allow another grant; if not, it sets the timer.
+func (q *Queue[G]) mayGrant(f *flow) bool {
 	now, scope := time.Now(), f.items[0].Scope
 	until := q.options.NotBefore(scope)
-	if until.IsZero() || now.Sub(until) > paceMemory {
+	if until.IsZero() || now.Sub(until) > rampRetention {
 		return true
 	}
 	if !until.Equal(f.throttledUntil) {
-		f.throttledUntil, f.releasedSince = until, 0
+		f.throttledUntil, f.grantedSinceThrottle = until, 0
 	}
 	if now.Before(until) {
-		f.giveUp(until)
+		f.endHopelessWaits(until)
 		q.wakeNoLaterThan(until)
 		return false
 	}
-	begin := until.Add(q.options.ReleaseDelay(scope))
-	if now.Before(begin) {
-		q.wakeNoLaterThan(begin)
+	rampStart := until.Add(q.options.ReleaseDelay(scope))
+	if now.Before(rampStart) {
+		q.wakeNoLaterThan(rampStart)
 		return false
 	}
-	step := int(now.Sub(begin) / paceStep)
-	if step >= paceSteps || f.releasedSince < 1<<step {
+	step := int(now.Sub(rampStart) / rampStep)
+	if step >= rampSteps || f.grantedSinceThrottle < 1<<step {
 		return true
 	}
-	q.wakeNoLaterThan(begin.Add(time.Duration(step+1) * paceStep))
+	q.wakeNoLaterThan(rampStart.Add(time.Duration(step+1) * rampStep))
 	return false
 }
 
-// wakeNoLaterThan sets the timer to a moment, unless it is set to a sooner one.
+// wakeNoLaterThan sets the timer to the given time, unless it is set to an earlier one.
 func (q *Queue[G]) wakeNoLaterThan(at time.Time) {
 	now := time.Now()
 	if q.wakeAt.After(now) && !at.Before(q.wakeAt) {
 		return
 	}
 	q.wakeAt = at
-	if q.wake != nil {
-		q.wake.Stop()
+	if q.wakeTimer != nil {
+		q.wakeTimer.Stop()
 	}
-	q.wake = time.AfterFunc(at.Sub(now), q.WakeAll)
+	q.wakeTimer = time.AfterFunc(at.Sub(now), q.WakeAll)
 }
 
-// Depth is how many requests of a tenant wait for a pool, and for how long the oldest has.
+// Depth is how many requests of a tenant are waiting for a pool, and how long the oldest has been waiting.
 type Depth struct {
 	Tenant, Pool, Count int
 	Oldest              time.Duration
 }
 
-// Depths lists the queues that are not empty.
+// Depths returns the depths of all queues that are not empty.
 func (q *Queue[G]) Depths() (depths []Depth) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
