--- a/prefixindex/blocks.go
+++ b/prefixindex/blocks.go
@@ -7,26 +7,26 @@
 	"strings"
 )
 
-// A prompt that is known as text is cut into fine blocks first and coarse ones after them: short prompts are told apart by little, and very
-// long ones need not fill the index. Sizes are in bytes.
+// A prompt given as text is cut into small blocks at its beginning and larger ones after them: short prompts can be told apart by small
+// differences, and very long prompts do not fill the index. Sizes are in bytes.
 const (
 	// FineSize is the size of each of the first blocks, CoarseSize that of those after them.
 	FineSize   = 256
 	CoarseSize = 2048
 	fineBlocks = 64
-	// MaxBlocks is how many blocks a prompt has at most, about 2 MB; what comes after is not looked at.
+	// MaxBlocks is the maximum number of blocks of a prompt, about 2 MB; the rest of a longer prompt is ignored.
 	MaxBlocks = 1024
-	// keyBytes is how much of a hash names a block.
+	// keyBytes is how many bytes of the hash form a block's key.
 	keyBytes = 12
 )
 
-// Covered is how many bytes of a prompt so many blocks stand for.
+// Covered returns how many bytes of a prompt its first blocks cover.
 func Covered(blocks int) int {
 	return min(blocks, fineBlocks)*FineSize + max(0, blocks-fineBlocks)*CoarseSize
 }
 
-// Domain is the cache domain of a request: prompts of different domains share no block. An isolated tenant has domains of its own, for each
-// incarnation of its name.
+// Domain returns the cache domain of a request: prompts of different domains share no blocks. An isolated tenant has its own domains, which
+// change when a tenant is created again under the same name.
 func Domain(tenant string, tenantVersion uint64, isolated bool, weights string) string {
 	if isolated {
 		return "tenant:" + tenant + "." + strconv.FormatUint(tenantVersion, 10) + "@" + weights
@@ -34,10 +34,10 @@
 	return "common@" + weights
 }
 
-// Text joins the texts that a prompt is made of, in order.
+// Text joins the parts of a prompt in order.
 func Text(parts ...string) string { return strings.Join(parts, "\n") }
 
-// Blocks gives the keys of a prompt's complete blocks: each is a hash of all up to its end.
+// Blocks returns the keys of a prompt's complete blocks. Each key is a hash of the domain and the prompt up to the end of the block.
 func Blocks(domain, text string) []string {
 	var chain []string
 	sum := sha256.Sum256([]byte(domain))
@@ -51,7 +51,7 @@
 	return chain
 }
 
-// TextBlocks gives the blocks of a prompt that is known as text.
+// TextBlocks returns the blocks of a prompt given as text.
 func TextBlocks(domain, text string) []Block {
 	keys := Blocks(domain, text)
 	blocks := make([]Block, len(keys))
--- a/prefixindex/index_test.go
+++ b/prefixindex/index_test.go
@@ -8,23 +8,23 @@
 	"github.com/matryer/is"
 )
 
-func TestChainsMeetOnlyWithinADomainAndUpToTheFirstDifference(t *testing.T) {
+func TestPromptsShareBlocksWithinADomainUpToTheFirstDifference(t *testing.T) {
 	is := is.New(t)
-	opening := strings.Repeat("o", 4*FineSize)
-	one := Blocks(Domain("a", 1, false, "w1"), opening+strings.Repeat("x", FineSize))
-	two := Blocks(Domain("b", 1, false, "w1"), opening+strings.Repeat("y", FineSize)+"rest")
-	is.Equal(len(one), 5)
-	is.Equal(one[:4], two[:4]) // the common domain
-	is.True(one[4] != two[4])
+	sharedText := strings.Repeat("o", 4*FineSize)
+	first := Blocks(Domain("a", 1, false, "w1"), sharedText+strings.Repeat("x", FineSize))
+	second := Blocks(Domain("b", 1, false, "w1"), sharedText+strings.Repeat("y", FineSize)+"rest")
+	is.Equal(len(first), 5)
+	is.Equal(first[:4], second[:4]) // the common domain
+	is.True(first[4] != second[4])
 	for _, domain := range []string{Domain("a", 1, true, "w1"), Domain("a", 1, false, "w2"), Domain("b", 1, true, "w1"), Domain("a", 2, true, "w1")} {
-		for i, block := range Blocks(domain, opening) {
-			is.True(block != one[i]) // behind a wall, or under other weights, nothing is shared
+		for i, block := range Blocks(domain, sharedText) {
+			is.True(block != first[i]) // isolated tenants and other weights share no blocks
 		}
 	}
 	is.Equal(len(Blocks("d", "short")), 0)
 	long := strings.Repeat("l", 1<<20)
 	blocks := Blocks("d", long)
-	is.True(len(blocks) < 600) // fine ones, then coarse ones
+	is.True(len(blocks) < 600) // small blocks, then large ones
 	is.True(Covered(len(blocks)) > len(long)-CoarseSize && Covered(len(blocks)) <= len(long))
 	is.Equal(len(Blocks("d", strings.Repeat("l", 9<<20))), MaxBlocks)
 }
@@ -36,33 +36,33 @@
 	return all
 }
 
-// Counts leading blocks, as before; a block now has a size, here 1 each.
+// Each block has size 1 here, so the cached size is the number of leading blocks.
 func TestIndexIsBoundedAndCountsLeadingBlocks(t *testing.T) {
 	is := is.New(t)
 	x := NewIndex(100)
 	chain := blocks("a", "b", "c", "d")
 	x.Add("r1", chain)
 	x.Add("r2", chain[:2])
-	x.Add("r3", blocks("b", "c")) // without the first it is no prefix
+	x.Add("r3", blocks("b", "c")) // without the first block it is not a prefix
 	is.Equal(x.Cached(chain), map[string]int{"r1": 4, "r2": 2})
-	x.Forget("r1", []string{"b"}) // late or lost news: what follows a gap does not count
+	x.Forget("r1", []string{"b"}) // a late or lost report leaves a gap; blocks after it do not count
 	is.Equal(x.Cached(chain), map[string]int{"r1": 1, "r2": 2})
 	x.Forget("r2", nil)
 	is.Equal(x.Cached(chain), map[string]int{"r1": 1})
 	for i := range 1000 {
 		x.Add("r4", blocks(fmt.Sprint(i)))
-		x.Add("r4", blocks("kept")) // renewed again and again
+		x.Add("r4", blocks("kept")) // updated again and again
 	}
 	is.True(x.Len() <= 100)
-	is.Equal(x.Cached(blocks("kept"))["r4"], 1) // what is renewed outlives what is old
+	is.Equal(x.Cached(blocks("kept"))["r4"], 1) // entries that are updated outlive older ones
 	is.Equal(x.Cached(blocks("a"))["r1"], 0)
 	none := NewIndex(0)
 	none.Add("r1", chain)
 	is.Equal(none.Len(), 0)
 }
 
-// A part of which only the beginning is kept counts with that, and what follows it does not count.
-func TestPartsCountBySizeUpToTheFirstThatIsNotWhole(t *testing.T) {
+// A block that is cached in part counts with the part, and the blocks after it do not count.
+func TestCachedSizeEndsAtTheFirstIncompleteBlock(t *testing.T) {
 	is := is.New(t)
 	x := NewIndex(100)
 	chain := []Block{{"s/a", 800}, {"s/b", 410}, {"s/c", 250}}
