--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,10 +1,10 @@
-// Package rendezvous assigns keys to names by highest random weight: every process that knows the same names picks the same one for a key,
-// and a name that comes or goes moves only its own keys.
+// Package rendezvous implements rendezvous hashing (highest random weight): every process that knows the same names picks the same one for a
+// key, and adding or removing a name moves only the keys of that name.
 package rendezvous
 
 import "hash/fnv"
 
-// Weight is the weight of a name for a key. It must stay the same in all builds that run side by side.
+// Weight returns the weight of a name for a key. It must be the same in all builds that run at the same time.
 func Weight(key, name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // a hash never fails
@@ -13,7 +13,7 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads the bits of a hash: FNV alone leaves the high bits of similar names alike.
+// mix is a finalizer that spreads the bits of a hash: FNV alone gives similar names similar high bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -22,7 +22,7 @@
 	return x ^ x>>33
 }
 
-// Pick gives the name with the highest weight for a key; empty if there are no names.
+// Pick returns the name with the highest weight for a key; empty if there are no names.
 func Pick(key string, names []string) string {
 	var best string
 	var highest uint64
