--- a/idempotency/memory.go
+++ b/idempotency/memory.go
@@ -1,9 +1,10 @@
-// Package idempotency remembers, within a register, which operators' orders were applied to it, so that an order that is sent again has no
-// second effect. Callers name their orders by keys of their own choice. The memory is part of the register's content, so it is on the same
-// majority of disks as what the order changed (docs/control.md §2).
+// Package idempotency records, within a register, which operators' orders were applied to it, so that an order that is sent again has no
+// second effect. Callers identify their orders by idempotency keys of their own choice. The record (Memory) is part of the register's content,
+// so it is on the same majority of disks as the changes that the orders made (docs/control.md §2).
 //
-// It is bounded: beyond MaxRemembered orders the oldest is forgotten. A caller that tells which version of the register it knew before it
-// sent the first copy is told when its order may have been forgotten; without that version a forgotten order counts as a new one.
+// It is bounded: beyond MaxRemembered orders the oldest is forgotten. A caller may state a version of the register that it knew before it
+// sent the order for the first time. Then it gets an error if its order may have been applied and forgotten; without that version a forgotten
+// order is applied again as a new one.
 package idempotency
 
 import (
@@ -20,42 +21,42 @@
 )
 
 const (
-	// MaxRemembered is how many orders a register remembers. A stored record has less than 160 bytes, so the memory has less than 40 KB.
+	// MaxRemembered is how many orders a register remembers. A stored record has less than 160 bytes, so all of them have less than 40 KB.
 	MaxRemembered = 256
-	// MaxKeyBytes bounds a caller's key, in bytes.
+	// MaxKeyBytes is the maximum length of a caller's key in bytes.
 	MaxKeyBytes = 128
-	// fieldPrefix begins the fields that hold the memory, one for each remembered order.
+	// fieldPrefix is the prefix of the register fields that hold the memory, one for each remembered order.
 	fieldPrefix = "order/"
-	// hashBytes is how much of a SHA-256 is stored of a key and of an order.
+	// hashBytes is how many bytes of the SHA-256 hashes of a key and of an order are stored.
 	hashBytes = 16
 )
 
-// Key names an order. It is embedded in the messages that carry one.
+// Key identifies an order. It is embedded in the messages that carry an order.
 type Key struct {
-	// IdempotencyKey is of the caller's choice; empty: each copy of the order that arrives may have its effect.
+	// IdempotencyKey is chosen by the caller; empty: each copy of the order that arrives may be applied.
 	IdempotencyKey string `json:"idempotency_key,omitempty"`
-	// KnownVersion is a version of the register that the caller knew before it sent the first copy; 0: none.
+	// KnownVersion is a version of the register that the caller knew before it sent the order for the first time; 0: none.
 	KnownVersion uint64 `json:"known_version,omitempty"`
 }
 
-// HasKey reports whether the caller has named its order.
+// HasKey reports whether the caller has given an idempotency key.
 func (k Key) HasKey() bool { return k.IdempotencyKey != "" }
 
-// Order is an order as the memory tells it from others. The zero Order has no key and is never remembered.
+// Order identifies an order in the memory. The zero Order has no key and is never remembered.
 type Order struct {
-	key          string // the hash of the caller's
-	fingerprint  string // of the content
+	key          string // hash of the caller's key
+	fingerprint  string // hash of the content
 	knownVersion uint64
 }
 
-// Identify makes an Order of a key and the content that is sent under it, which has to encode as JSON and not to contain the key. The error
-// is apierror.OutOfRange if the key is too long.
+// Identify returns the Order for a key and the content that is sent with it, which must encode as JSON and must not contain the key. The error
+// is apierror.OutOfRange if the key is too long, apierror.Malformed if the content cannot be encoded.
 func Identify(key Key, content any) (Order, error) {
 	if !key.HasKey() {
 		return Order{}, nil
 	}
 	if len(key.IdempotencyKey) > MaxKeyBytes {
-		return Order{}, apierror.New(apierror.OutOfRange, "an idempotency key of %d bytes, %d are allowed", len(key.IdempotencyKey), MaxKeyBytes)
+		return Order{}, apierror.New(apierror.OutOfRange, "idempotency key has %d bytes, at most %d are allowed", len(key.IdempotencyKey), MaxKeyBytes)
 	}
 	text, err := json.Marshal(content)
 	if err != nil {
@@ -76,20 +77,20 @@
 type record struct {
 	Key         string `json:"key"`
 	Fingerprint string `json:"content"`
-	// Sequence numbers the register's orders from 0, Version is the register's version that the order made.
+	// Sequence numbers the register's orders from 0. Version is the version of the register that the order created.
 	Sequence uint64 `json:"sequence"`
 	Version  uint64 `json:"version"`
 }
 
-// Memory is what a register remembers of its orders.
+// Memory is the record of the latest orders that were applied to a register.
 type Memory struct {
-	records []record // in the order of their sequence
+	records []record // sorted by Sequence
 }
 
 // IsField reports whether a register's field belongs to the memory.
 func IsField(field string) bool { return strings.HasPrefix(field, fieldPrefix) }
 
-// Split takes a register's content apart into the memory and all others. The error is apierror.Malformed if the memory cannot be read.
+// Split separates a register's content into the memory and the other fields. The error is apierror.Malformed if the memory cannot be decoded.
 func Split(content register.Fields) (m Memory, others register.Fields, err error) {
 	others = make(register.Fields, len(content))
 	for field, raw := range content {
@@ -107,8 +108,8 @@
 	return m, others, nil
 }
 
-// AppliedVersion gives the register's version that an order made; 0 if it was never applied. The errors are apierror.KeyReused if another
-// order was applied under the same key, and apierror.Forgotten if this one may have been applied and forgotten.
+// AppliedVersion returns the version of the register that an order created; 0 if it was never applied. The errors are apierror.KeyReused if
+// another order was applied under the same key, and apierror.Forgotten if this one may have been applied and forgotten.
 func (m Memory) AppliedVersion(order Order) (uint64, error) {
 	if !order.HasKey() {
 		return 0, nil
@@ -122,14 +123,15 @@
 			return r.Version, nil
 		}
 	}
-	// What is forgotten was applied no later than the oldest order that is remembered.
+	// Forgotten orders were applied no later than the oldest order that is remembered.
 	if len(m.records) > 0 && m.records[0].Sequence > 0 && order.knownVersion > 0 && order.knownVersion < m.records[0].Version {
-		return 0, apierror.New(apierror.Forgotten, "the order was first sent at version %d, and orders are remembered from version %d on", order.knownVersion, m.records[0].Version)
+		return 0, apierror.New(apierror.Forgotten, "the order was first sent at version %d, and orders are remembered from version %d on",
+			order.knownVersion, m.records[0].Version)
 	}
 	return 0, nil
 }
 
-// Remember gives the field that is to be written together with the change that an order makes, under the register's version.
+// Remember returns the field to be written together with the change that an order makes, as the given version of the register.
 func (m Memory) Remember(order Order, version uint64) register.Fields {
 	r := record{Key: order.key, Fingerprint: order.fingerprint, Version: version}
 	if len(m.records) > 0 {
--- a/idempotency/memory_test.go
+++ b/idempotency/memory_test.go
@@ -11,7 +11,7 @@
 	"asterridge/register"
 )
 
-// apply plays one order on a register's content, as an owner does, and gives the version that it was applied as.
+// apply applies an order to a register's content, as the register's owner does, and returns the version as which it was applied.
 func apply(is *is.I, content register.Fields, version uint64, key Key, text string) (uint64, error) {
 	is.Helper()
 	order, err := Identify(key, text)
@@ -33,26 +33,27 @@
 	is.Equal(version, uint64(7))
 	version, err = apply(is, content, 9, Key{IdempotencyKey: "k"}, "create a")
 	is.NoErr(err)
-	is.Equal(version, uint64(7)) // the answer is that of the first time
+	is.Equal(version, uint64(7)) // the same answer as for the first copy
 	_, err = apply(is, content, 9, Key{IdempotencyKey: "k"}, "create b")
 	is.True(apierror.Is(err, apierror.KeyReused))
 	version, err = apply(is, content, 9, Key{IdempotencyKey: "l"}, "create b")
 	is.NoErr(err)
 	is.Equal(version, uint64(9))
-	_, rest, err := Split(content)
+	_, others, err := Split(content)
 	is.NoErr(err)
-	is.Equal(len(rest), 1) // what the register is for is not mixed with the memory
+	is.Equal(len(others), 1) // the other fields do not include the memory
 }
 
-// The memory has a bound in bytes, whatever comes. At its edge an order is known or told as forgotten, and never taken for a new one.
-func TestMemoryIsBoundedAndTellsWhatItForgot(t *testing.T) {
+// The size of the memory in bytes is limited. An order that was applied is either remembered or reported as forgotten, and never taken for a
+// new one.
+func TestMemoryIsBoundedAndReportsForgottenOrders(t *testing.T) {
 	is := is.New(t)
 	content := register.Fields{}
 	key := func(n int) Key {
 		return Key{IdempotencyKey: strings.Repeat("k", MaxKeyBytes-8) + fmt.Sprintf("%08d", n), KnownVersion: uint64(n)}
 	}
-	const orders = MaxRemembered + 10
-	for n := 1; n <= orders; n++ { // each knows the version before its own
+	const orderCount = MaxRemembered + 10
+	for n := 1; n <= orderCount; n++ { // each knows the version before the one that it creates
 		version, err := apply(is, content, uint64(n+1), key(n), "order")
 		is.NoErr(err)
 		is.Equal(version, uint64(n+1))
@@ -63,21 +64,21 @@
 		size += len(field) + len(raw)
 	}
 	is.True(size < 160*MaxRemembered)
-	for n := 1; n <= orders; n++ {
+	for n := 1; n <= orderCount; n++ {
 		version, err := apply(is, content, 1000, key(n), "order")
-		if n <= orders-MaxRemembered {
+		if n <= orderCount-MaxRemembered {
 			is.True(apierror.Is(err, apierror.Forgotten))
 			continue
 		}
 		is.NoErr(err)
 		is.Equal(version, uint64(n+1))
 	}
-	fresh := Key{IdempotencyKey: "fresh", KnownVersion: orders - MaxRemembered + 2} // the version of the oldest that is remembered
-	_, err := apply(is, content, 1000, fresh, "order")
+	newKey := Key{IdempotencyKey: "fresh", KnownVersion: orderCount - MaxRemembered + 2} // the version of the oldest remembered order
+	_, err := apply(is, content, 1000, newKey, "order")
 	is.NoErr(err)
 }
 
-func TestKeyIsBounded(t *testing.T) {
+func TestKeyLengthIsLimited(t *testing.T) {
 	is := is.New(t)
 	_, err := Identify(Key{IdempotencyKey: strings.Repeat("k", MaxKeyBytes)}, "x")
 	is.NoErr(err)
@@ -88,7 +89,7 @@
 	is.True(!order.HasKey())
 }
 
-func TestTornMemoryIsAnError(t *testing.T) {
+func TestUndecodableMemoryIsAnError(t *testing.T) {
 	_, _, err := Split(register.Fields{fieldPrefix + "0": []byte(`"`)})
 	is.New(t).True(apierror.Is(err, apierror.Malformed))
 }
