--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// A late duplicate of a released claim is rejected until more than maxReleased other requests have released the key since, and a released record is kept
-// for releasedRetention.
+// A late duplicate of a released claim is rejected until more than maxReleased other requests have released the key since, and
+// a released record is kept for releasedRetention.
 func TestReleasesAreRememberedUpToTheirLimits(t *testing.T) {
 	is := is.New(t)
 	answerToLateClaim := func(releasesSince int) string {
--- a/throttle/throttle_test.go
+++ b/throttle/throttle_test.go
@@ -71,8 +71,8 @@
 	is.Equal(Backoff(rule, 9, random), 5*time.Second)
 }
 
-// Notices arrive in any order, delayed, duplicated and in loops. The not-before time never moves back, and all tables agree on it except for
-// the time that notices travel.
+// Notices arrive in any order, delayed, duplicated and in loops. The not-before time never moves back, each ID
+// counts once, and all tables agree except for the time that notices travel.
 func TestMergeNeverShortensAThrottleInAnyOrder(t *testing.T) {
 	for seed := range uint64(50) {
 		synctest.Test(t, func(t *testing.T) {
@@ -82,11 +82,11 @@
 			var latest time.Time
 			for n := range 40 {
 				at := random.IntN(3)
-				notice := Notice{Scope: "s", ID: fmt.Sprint(n), RemainingMs: random.Int64N(9000)}
-				if until := time.Now().Add(time.Duration(notice.RemainingMs) * time.Millisecond); until.After(latest) {
+				newNotice := Notice{Scope: "s", ID: fmt.Sprint(n), RemainingMs: random.Int64N(9000)}
+				if until := time.Now().Add(time.Duration(newNotice.RemainingMs) * time.Millisecond); until.After(latest) {
 					latest = until
 				}
-				tables[at].Merge(notice, time.Minute)
+				tables[at].Merge(newNotice, time.Minute)
 				for range 6 { // one table's notices are sent to another with a delay, repeatedly
 					from, to := random.IntN(3), random.IntN(3)
 					all := tables[from].All()
