--- a/claim/claim.go
+++ b/claim/claim.go
@@ -77,7 +77,7 @@
 	case request.State != Running, own && r.State == Running:
 		return nil
 	case r.State == Executed:
-		return apierror.New(apierror.KeyExecuted, "an earlier request with this key was executed")
+		return apierror.New(apierror.KeyExecuted, "an earlier request with this key ran")
 	case r.State == Running && isProxyRunning(r.Proxy):
 		return apierror.New(apierror.InProgress, "another request with this key is in progress")
 	}
--- a/lease/grant.go
+++ b/lease/grant.go
@@ -47,7 +47,7 @@
 func (g Grant) Replace(expected Grant) register.Op {
 	return func(present register.Fields, version uint64) (register.Fields, error) {
 		if current := ReadGrant(present, version); current.Version != expected.Version || current.Nonce != expected.Nonce {
-			return nil, apierror.New(apierror.Conflict, "lease changed: expected version %d of holder %q, present is version %d of holder %q",
+			return nil, apierror.New(apierror.Conflict, "expected version %d of %s, present is %d of %s",
 				expected.Version, expected.Holder, version, current.Holder)
 		}
 		holder, err := json.Marshal(g.Holder)
--- a/membership/change.go
+++ b/membership/change.go
@@ -100,7 +100,7 @@
 		return change, nil
 	}
 	if c.Action != Remove && c.Action != Leave {
-		return nil, apierror.New(apierror.OutOfRange, "action %q is not one of admit, retire, leave", c.Action)
+		return nil, apierror.New(apierror.OutOfRange, "%q is none of admit, retire and leave", c.Action)
 	}
 	if !slices.ContainsFunc(list.Members, c.matches) {
 		return nil, apierror.New(apierror.NotFound, "no member named %q with ID %d (0: any ID)", c.Name, c.MemberID)
--- a/membership/view.go
+++ b/membership/view.go
@@ -21,7 +21,7 @@
 	joiner, ok := v.Joiners[name]
 	switch {
 	case !ok || now.Sub(joiner.HeardAt) > JoinerTimeout || incarnation != "" && incarnation != joiner.Incarnation:
-		return config.Member{}, apierror.New(apierror.NotFound, "no core %q is asking to be admitted", name)
+		return config.Member{}, apierror.New(apierror.NotFound, "no core %q calls on us to be admitted", name)
 	case !joiner.CaughtUp:
 		return config.Member{}, apierror.New(apierror.Behind, "core %s has not yet received all keys", name)
 	case len(list.Members) >= maxMembers || list.HighestID == maxID:
