--- a/queue/queue.go
+++ b/queue/queue.go
@@ -27,7 +27,7 @@
 type Options[G any] struct {
 	// Pick takes a free credit for the item and reports whether there was one. It is called with the queue's lock held.
 	Pick func(item *Item) (G, bool)
-	// Return returns a credit that was granted to an item whose context ended at the same time. It is called with the queue's lock held.
+	// Return frees a credit that was granted to an item whose context ended at the same time. It is called with the queue's lock held.
 	Return func(credit G)
 	// NotBefore returns the scope's latest not-before time, passed or not; zero if there was none.
 	NotBefore func(scope string) time.Time
