--- a/controlplane/adapter_state.go
+++ b/controlplane/adapter_state.go
@@ -160,7 +160,7 @@
 		adapter := s.reports[name].Adapters[placement.Key()]
 		switch {
 		case adapter.Build == placement.Build && adapter.State == router.AdapterBad && phase == "":
-			return fmt.Sprintf("a new build: the trial answer of %s was wrong on %s", placement.Build, name)
+			return fmt.Sprintf("another build than %s: its trial answer was wrong on %s", placement.Build, name)
 		case adapter.Build == placement.Build && adapter.State == router.AdapterTried:
 			tried++
 			if adapter.Live > 0 {
