--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -10,22 +10,22 @@
 	"asterridge/rendezvous"
 )
 
-// shardCount is the number of parts of an acceptor's map that are locked apart.
+// shardCount is the number of separately locked parts of an acceptor's map of registers.
 const shardCount = 64
 
-// ChangeFunc is told of each change of a register: its record, the change's fields, and whether these are the full content.
+// ChangeFunc is called with a register's record after a change, the changed fields, and whether these are the full content.
 type ChangeFunc func(key string, record Record, change Fields, full bool)
 
-// AcceptorOptions of an acceptor; both functions are needed.
+// AcceptorOptions configure an Acceptor. Both functions are required.
 type AcceptorOptions struct {
 	Disk disk.Disk
-	// OnChange is called under the register's lock, so that it sees changes in their order; it must not block.
+	// OnChange is called while the register is locked, so that it sees the changes of a register in order. It must not block.
 	OnChange ChangeFunc
-	// OnSkipped is told of files that are left out while loading.
+	// OnSkipped is called for each file that is skipped while loading.
 	OnSkipped func(folder, file string, err error)
 }
 
-// Acceptor is what one disk has promised and accepted, of all registers. It answers a prepare or an accept only when its file is synced.
+// Acceptor stores what one disk has promised and accepted for all registers. It answers a prepare or an accept only once its file is synced.
 type Acceptor struct {
 	disk     disk.Disk
 	onChange ChangeFunc
@@ -37,7 +37,7 @@
 	entries map[string]*entry // by key
 }
 
-// OpenAcceptor loads all registers from the disk.
+// OpenAcceptor returns an Acceptor with all registers loaded from the disk.
 func OpenAcceptor(options AcceptorOptions) (*Acceptor, error) {
 	a := &Acceptor{disk: options.Disk, onChange: options.OnChange}
 	for i := range a.shards {
@@ -70,7 +70,7 @@
 	return &a.shards[rendezvous.Weight(key, "")%shardCount]
 }
 
-// entryOf gives a register's entry, a new one if there is none.
+// entryOf returns the entry of a register, which it creates if there is none.
 func (a *Acceptor) entryOf(key string) *entry {
 	s := a.shardOf(key)
 	s.mu.Lock()
@@ -83,7 +83,7 @@
 	return e
 }
 
-// Read gives a copy of a register's record.
+// Read returns a copy of a register's record.
 func (a *Acceptor) Read(key string) Record {
 	e := a.entryOf(key)
 	e.mu.Lock()
@@ -93,16 +93,16 @@
 	return record
 }
 
-// Revision gives the accepted revision of a register.
+// Revision returns the accepted revision of a register.
 func (a *Acceptor) Revision(key string) Revision { return a.entryOf(key).read().Revision }
 
-// Promised gives the highest epoch promised for a register.
+// Promised returns the highest epoch promised for a register.
 func (a *Acceptor) Promised(key string) uint64 { return a.entryOf(key).read().Promised }
 
 // Uncommitted reports whether a register has content that is not known to be on a majority.
 func (a *Acceptor) Uncommitted(key string) bool { return !a.entryOf(key).read().IsCommitted() }
 
-// Keys lists the registers that were ever asked for, in the order of their keys.
+// Keys returns the sorted keys of all registers that were loaded or requested since the acceptor was opened.
 func (a *Acceptor) Keys() []string {
 	var keys []string
 	for i := range a.shards {
@@ -117,7 +117,7 @@
 	return keys
 }
 
-// IsDamaged reports whether an accepted version of some register is lost to a torn file.
+// IsDamaged reports whether the accepted version of any register is lost because of a torn file.
 func (a *Acceptor) IsDamaged() bool {
 	for _, key := range a.Keys() {
 		if a.entryOf(key).isDamaged() {
@@ -127,8 +127,9 @@
 	return false
 }
 
-// Prepare promises an epoch: nothing is accepted under a lower one from then on. The answer bears the fields only if the asker, which has
-// the revision known, lacks them. The errors are apierror.Superseded if an epoch not below was promised, Torn and DiskFailed.
+// Prepare promises an epoch: from then on nothing is accepted under a lower one. The answer contains the fields only if they are newer than
+// known, the revision that the caller has. The errors are apierror.Superseded if the same or a higher epoch was promised, Torn and
+// DiskFailed.
 func (a *Acceptor) Prepare(key string, epoch uint64, known Revision) (Record, error) {
 	e := a.entryOf(key)
 	if err := e.lockWrites(); err != nil {
@@ -155,8 +156,7 @@
 	return answer, nil
 }
 
-// Confirm has no error if an epoch still stands here: no higher one was promised. Nothing is written. The errors are apierror.Superseded and
-// Torn.
+// Confirm returns nil if no higher epoch than the given one was promised. Nothing is written. The errors are apierror.Superseded and Torn.
 func (a *Acceptor) Confirm(key string, epoch uint64) error {
 	e := a.entryOf(key)
 	if e.isDamaged() {
@@ -169,18 +169,18 @@
 }
 
 func newDamagedError(key string) error {
-	return apierror.New(apierror.Torn, "what was accepted for %s is lost here until it is caught up", key)
+	return apierror.New(apierror.Torn, "the accepted version of %s is lost on this disk; it rejoins after catching up", key)
 }
 
-// newSupersededError tells the asker, in the field At, which epoch it has to exceed.
+// newSupersededError returns an error whose field At holds the epoch that the caller has to exceed.
 func newSupersededError(epoch uint64, record Record) error {
-	err := apierror.New(apierror.Superseded, "epoch %d, promised %d", epoch, record.Promised)
+	err := apierror.New(apierror.Superseded, "epoch %d is superseded: promised epoch %d", epoch, record.Promised)
 	err.At = int(record.Promised)
 	return err
 }
 
-// Accept takes a change if no higher epoch was promised and its base is here, or it is full. The errors are apierror.Superseded, Behind if the
-// full content is needed, and DiskFailed, after which the change may be on the disk all the same.
+// Accept stores a change if no higher epoch was promised, and if the change is full or its base is the accepted revision. The errors are
+// apierror.Superseded, Behind if the full content is needed, and DiskFailed, after which the change may nevertheless be on the disk.
 func (a *Acceptor) Accept(change Change) error {
 	e := a.entryOf(change.Key)
 	if err := e.lockWrites(); err != nil {
@@ -192,17 +192,17 @@
 	case change.Next.Epoch < record.Promised:
 		return newSupersededError(change.Next.Epoch, record)
 	case !record.Revision.Less(change.Next) && record.Revision.Epoch == change.Next.Epoch:
-		return e.syncFolder(a.disk, folderName(change.Key)) // a late copy: what is here is the same, or came later under the same epoch
+		return e.syncFolder(a.disk, folderName(change.Key)) // a late duplicate: the accepted revision is the same, or newer within the epoch
 	case !record.Revision.Less(change.Next):
 		return newSupersededError(change.Next.Epoch, record)
 	case !change.Full && (change.Base != record.Revision || e.isDamaged()):
-		return apierror.New(apierror.Behind, "has %v, base %v", record.Revision, change.Base)
+		return apierror.New(apierror.Behind, "delta based on revision %v, but the accepted one is %v", record.Revision, change.Base)
 	}
 	return a.store(e, change)
 }
 
-// Adopt takes committed content that was learned from another core. It is safe without regard to the promise: the content is on a majority
-// already, so whoever was promised the epoch has met it elsewhere (docs/design.md §2.4).
+// Adopt stores committed content that was learned from another core. It doesn't need to check the promised epoch: the content is already on
+// a majority, so the owner to which the epoch was promised has seen it elsewhere (docs/design.md §2.4).
 func (a *Acceptor) Adopt(key string, revision Revision, fields Fields) error {
 	e := a.entryOf(key)
 	if err := e.lockWrites(); err != nil {
@@ -216,7 +216,7 @@
 	return a.store(e, Change{Key: key, Next: revision, Full: true, Fields: fields, Committed: revision})
 }
 
-// store writes a change and then shows it. The caller has the write lock.
+// store writes a change to disk and then makes it visible to readers. The caller holds the write lock.
 func (a *Acceptor) store(e *entry, change Change) error {
 	if err := e.storeChange(a.disk, folderName(change.Key), change); err != nil {
 		return err
@@ -228,7 +228,7 @@
 	return nil
 }
 
-// Commit notes that a revision is on a majority. It is not written: a note that is lost only costs a question.
+// Commit records that a revision is on a majority. This isn't written to disk: if it is lost, finding out again only takes another request.
 func (a *Acceptor) Commit(key string, revision Revision) {
 	e := a.entryOf(key)
 	e.mu.Lock()
--- a/register/entry.go
+++ b/register/entry.go
@@ -10,44 +10,47 @@
 )
 
 const (
-	// maxDeltaFiles is how many deltas follow a full content before it is written anew; so it is when they outweigh it by deltaSlack bytes.
+	// maxDeltaFiles is the number of version files, the full content and its deltas, after which the full content is written again. That also
+	// happens when the deltas are larger than the content by more than deltaSlack bytes.
 	maxDeltaFiles = 64
 	deltaSlack    = 4096
-	// writeLockTimeout is how long a write waits for the one before it; a disk that stalls for longer rejects those behind.
+	// writeLockTimeout is how long a write waits for an earlier write to the same register. If the disk stalls for longer, the waiting write
+	// fails.
 	writeLockTimeout = time.Second
 )
 
-// entry is one register on the disk. Whoever writes to the disk holds the write lock. mu is held only to read or set the record, never while
-// the disk works.
+// entry is one register of an acceptor. The write lock is held during a write to disk. mu is held only to read or update the record, never
+// during a disk operation.
 type entry struct {
 	writeLock chan struct{}
-	// With the write lock:
-	// files are the newest full content and the deltas on it, oldest first; deltaBytes is the size of these deltas.
+	// The fields up to folderSynced are guarded by writeLock.
+	//
+	// files are the newest full content and the deltas to it, oldest first. deltaBytes is the size of these deltas.
 	files      []string
 	deltaBytes int
-	// promiseFiles are the promises on the disk.
+	// promiseFiles are the files of promises on the disk.
 	promiseFiles []string
-	// obsolete files do not count, and are removed before anything else is written.
+	// obsolete are files without effect on the register's state. They are removed before anything else is written.
 	obsolete []string
-	// folderSynced: the files above survive a loss of power.
+	// folderSynced reports whether the files above survive a power failure.
 	folderSynced bool
 
 	mu     sync.Mutex // guards what follows
 	record Record
-	// lostRevision was accepted here, and its file is torn; it is past once record.Revision is not below it.
+	// lostRevision was accepted here, but its file is torn. It no longer matters once record.Revision is at least as new.
 	lostRevision Revision
 }
 
 func newEntry() *entry { return &entry{writeLock: make(chan struct{}, 1), folderSynced: true} }
 
-// isDamaged reports whether this disk has forgotten what it accepted: until it has caught up it makes no promise for the register.
+// isDamaged reports whether the disk has lost a revision that it accepted. Until it has caught up it makes no promise for the register.
 func (e *entry) isDamaged() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.record.Revision.Less(e.lostRevision)
 }
 
-// read gives the record; its fields must not be altered.
+// read returns the record, whose fields must not be modified.
 func (e *entry) read() Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,13 +64,13 @@
 	case e.writeLock <- struct{}{}:
 		return nil
 	case <-timer.C:
-		return apierror.New(apierror.DiskFailed, "an earlier write stalls")
+		return apierror.New(apierror.DiskFailed, "timed out waiting for an earlier write to the register")
 	}
 }
 
 func (e *entry) unlockWrites() { <-e.writeLock }
 
-// storePromise writes a promise and removes the ones before it. The caller has the write lock.
+// storePromise writes a promise and removes the previous ones. The caller holds the write lock.
 func (e *entry) storePromise(d disk.Disk, folder string, epoch uint64) error {
 	name := promiseFileName(epoch)
 	if err := e.writeFile(d, folder, name, []byte("{}")); err != nil {
@@ -78,8 +81,8 @@
 	return nil
 }
 
-// storeChange writes a change, as a full content where deltas have become too many or too large. The caller has the write lock, so the fields
-// do not move meanwhile.
+// storeChange writes a change, as the full content if the deltas have become too many or too large. The caller holds the write lock, so the
+// fields don't change meanwhile.
 func (e *entry) storeChange(d disk.Disk, folder string, change Change) error {
 	present := e.read().Fields
 	deltaBytes, written := e.deltaBytes+change.Fields.Size(), change
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// apply shows a change that is on the disk. mu is held, or the entry is still being loaded.
+// apply applies a change that is on the disk to the record. The caller holds mu, or is still loading the entry.
 func (e *entry) apply(change Change) {
 	if e.record.Fields == nil || change.Full {
 		e.record.Fields = Fields{}
@@ -116,10 +119,11 @@
 	}
 }
 
-// writeFile writes a file of the register, after obsolete ones are gone: a version that was refused because its write failed may be on the
-// disk, and a promise or a version that is answered later must not be followed by it after a restart. The caller has the write lock.
+// writeFile writes a file of the register after removing the obsolete ones. A version that was rejected because its write failed may be on
+// the disk nevertheless. After a restart it must not take effect on top of a promise or a version that was acknowledged later. The caller
+// holds the write lock.
 func (e *entry) writeFile(d disk.Disk, folder, name string, data []byte) error {
-	// What was loaded outlasts both the files that it outdates and those that are built on it.
+	// The loaded files have to be durable before the files that they replace are removed, and before a file based on them is written.
 	if err := e.syncFolder(d, folder); err != nil {
 		return err
 	}
@@ -133,13 +137,13 @@
 	switch {
 	case err == nil:
 		e.obsolete = nil
-	case !e.isDamaged(): // else the name may be that of the torn file, which has to stay
+	case !e.isDamaged(): // otherwise the name may be that of the torn file, which has to stay
 		e.obsolete = append(e.obsolete, name)
 	}
 	return err
 }
 
-// syncFolder makes sure that what was loaded, or written by a call that failed, survives a loss of power. The caller has the write lock.
+// syncFolder makes sure that files which were loaded, or written by a failed call, survive a power failure. The caller holds the write lock.
 func (e *entry) syncFolder(d disk.Disk, folder string) error {
 	if e.folderSynced {
 		return nil
@@ -149,8 +153,8 @@
 	return err
 }
 
-// removeFiles removes files that something newer on the disk outdates. Those that cannot be removed are tried again with the next write. The
-// caller has the write lock.
+// removeFiles removes files that are superseded by newer ones on the disk. Failed removals are retried with the next write. The caller holds
+// the write lock.
 func (e *entry) removeFiles(d disk.Disk, folder string, names []string) {
 	for _, name := range names {
 		if d.Drop(folder, name) != nil {
--- a/register/files.go
+++ b/register/files.go
@@ -10,8 +10,8 @@
 	"asterridge/disk"
 )
 
-// Each register has a folder on the disk. It holds one file for each accepted version, with a delta or the full content, and one for the
-// promised epoch (docs/design.md §2.5).
+// Each register has a folder on the disk. The folder contains one file for each accepted version, with a delta or the full content, and one
+// file for the promised epoch (docs/design.md §2.5).
 const (
 	folderPrefix      = 'k'
 	versionFileFormat = "v.%016x.%016x" // epoch, version
@@ -34,19 +34,19 @@
 	return epoch, err == nil && name == promiseFileName(epoch)
 }
 
-// skipFunc is told of files that are left out while loading.
+// skipFunc is called for each file that is skipped while loading.
 type skipFunc func(folder, file string, err error)
 
-// folderContent is what the files of one register's folder say.
+// folderContent is the decoded content of one register's folder.
 type folderContent struct {
 	changes map[Revision]Change
-	// torn are the revisions of files that bear a version and cannot be read.
+	// torn are the revisions of version files that can't be read, or whose base is missing.
 	torn     []Revision
 	promises []uint64
 }
 
-// loadEntry takes the highest version that a full content and an unbroken chain of deltas make up. Files that are no part of the chain and lie
-// below it are outdated, came back after a loss of power, or were refused; what lies above it was accepted and is lost.
+// loadEntry loads the highest version that consists of a full content and an unbroken chain of deltas. Lower versions outside the chain are
+// outdated, reappeared after a power failure, or were rejected. A version above the chain was accepted and is lost.
 func loadEntry(d disk.Disk, folder string, onSkipped skipFunc) (*entry, error) {
 	names, err := d.List(folder)
 	if err != nil {
@@ -55,7 +55,7 @@
 	slices.Sort(names)
 	content := readFolder(d, folder, names, onSkipped)
 	e := newEntry()
-	e.folderSynced = false // a process before this one may have died between a rename and the sync of the folder
+	e.folderSynced = false // an earlier process may have ended between a rename and the sync of the folder
 	for _, change := range content.highestChain(folder, onSkipped) {
 		e.load(change)
 	}
@@ -72,7 +72,7 @@
 	return e, nil
 }
 
-// readFolder reads a register's files, and reports those that are torn or foreign.
+// readFolder reads a register's files. It reports those that are torn or whose name it doesn't know.
 func readFolder(d disk.Disk, folder string, names []string, onSkipped skipFunc) folderContent {
 	content := folderContent{changes: map[Revision]Change{}}
 	for _, name := range names {
@@ -102,12 +102,12 @@
 		return change, apierror.Wrap(err, apierror.Torn, "decode change")
 	}
 	if name != versionFileName(change.Next) {
-		return change, apierror.New(apierror.Torn, "name and content differ")
+		return change, apierror.New(apierror.Torn, "file name does not match the revision in the file")
 	}
 	return change, nil
 }
 
-// highestChain gives the changes that make up the highest version that is complete. Versions above it whose base is missing count as torn.
+// highestChain returns the changes that make up the highest complete version. Higher versions whose base is missing are added to torn.
 func (content *folderContent) highestChain(folder string, onSkipped skipFunc) []Change {
 	revisions := make([]Revision, 0, len(content.changes))
 	for revision := range content.changes {
@@ -118,14 +118,14 @@
 		if chain := deltaChain(content.changes, revision); chain != nil {
 			return chain
 		}
-		onSkipped(folder, versionFileName(revision), apierror.New(apierror.Torn, "its base is not there"))
+		onSkipped(folder, versionFileName(revision), apierror.New(apierror.Torn, "the base of the delta is missing"))
 		content.torn = append(content.torn, revision)
 	}
 	return nil
 }
 
-// deltaChain gives the changes that make up a version, the full content first; nil if one of them is missing. A revision has one content
-// only, so it does not matter when or by whom the files were written.
+// deltaChain returns the changes that make up a version, the full content first, or nil if one of them is missing. A revision has only one
+// content, so it doesn't matter when or by which owner the files were written.
 func deltaChain(changes map[Revision]Change, revision Revision) (chain []Change) {
 	for {
 		change, ok := changes[revision]
@@ -150,7 +150,7 @@
 	}
 }
 
-// classifyFiles tells the files that count from the obsolete ones. While the register is damaged all are kept.
+// classifyFiles determines which files are obsolete. While the register is damaged, all files are kept.
 func (e *entry) classifyFiles(content folderContent) {
 	for _, epoch := range content.promises {
 		if epoch == e.record.Promised || e.isDamaged() {
@@ -172,5 +172,5 @@
 			e.obsolete = append(e.obsolete, name)
 		}
 	}
-	slices.Sort(e.obsolete) // a map has another order each time
+	slices.Sort(e.obsolete) // map iteration order is random; the order of file operations has to be reproducible
 }
--- a/register/owner.go
+++ b/register/owner.go
@@ -9,29 +9,31 @@
 )
 
 const (
-	// MemberBits is how many low bits of an epoch are the ID of the member that owns under it. IDs are never given twice, so no two owners
-	// share an epoch.
+	// MemberBits is the number of low bits of an epoch that hold the owner's member ID. Member IDs are never reused, so no two owners share
+	// an epoch.
 	MemberBits = 24
-	// acquireRetries is how often a register is prepared again under a higher epoch after another owner was met.
+	// acquireRetries is the number of times that a register is prepared again, under a higher epoch, after an acceptor rejected the epoch
+	// because of another owner.
 	acquireRetries = 2
 )
 
-// Op reads a working copy of a register's content and gives the change to make, which may be none, or an error that concerns its caller
-// alone. It may be called again on newer content. The fields must not be altered.
+// Op computes a change from a working copy of a register's content. It returns the change, which may be empty, or an error that is returned
+// to its own caller only. It may be called again on newer content, and must not modify the fields.
 type Op func(present Fields, version uint64) (change Fields, err error)
 
-// OwnerOptions of an owner.
+// OwnerOptions configure an Owner.
 type OwnerOptions struct {
-	// MemberID is this core's ID, the low bits of its epochs.
+	// MemberID returns the member ID of this core, which is the low bits of its epochs.
 	MemberID func() uint32
 	Acceptor *Acceptor
-	// Peers are the acceptors of the members in force; an error rejects what is asked.
+	// Peers returns the acceptors of the current members. If it fails, the pending calls fail with its error.
 	Peers func() (Peers, error)
-	// Timeout is how long to wait for a majority.
+	// Timeout is how long one batch of calls waits for a majority.
 	Timeout time.Duration
 }
 
-// Owner changes registers. Which core owns a register is a guess that costs time if it is wrong; that two owners do no harm rests on epochs.
+// Owner changes registers. Which core acts as the owner of a register affects only speed: if two cores do so for the same register, epochs
+// keep it consistent.
 type Owner struct {
 	options OwnerOptions
 
@@ -39,25 +41,26 @@
 	keys map[string]*ownedKey
 }
 
-// ownedKey is one register's state at its owner. All but the queue and busy belongs to the goroutine that works on it while busy is set.
+// ownedKey is the state of one register at its owner. Except for queue and busy, it is accessed only by the goroutine that processes the
+// register while busy is set.
 type ownedKey struct {
 	queue []*pending
 	busy  bool
 
-	// epoch is the one that a majority has promised; zero while the register is not ours.
+	// epoch is the epoch that a majority has promised, or zero while this core doesn't own the register.
 	epoch uint64
-	// highestSeen is the highest epoch met.
+	// highestSeen is the highest epoch that was used or reported by an acceptor.
 	highestSeen uint64
-	// revision, fields and committed are what the register has, as the owner knows it. While the register is ours, fields are on a majority.
+	// revision, fields and committed are the register's state as known to the owner. While the register is owned, fields are on a majority.
 	revision  Revision
 	fields    Fields
 	committed Revision
 }
 
-// pending is a call that waits for its result.
+// pending is a call waiting for its result.
 type pending struct {
-	op Op // nil to commit what there is
-	// rewrite has a majority accept the content anew even if it is committed.
+	op Op // nil for a call that only commits the present content
+	// rewrite has a majority accept the content again even if it is known to be committed.
 	rewrite bool
 	ctx     context.Context // the caller's
 	result  chan result
@@ -68,25 +71,27 @@
 	err      error
 }
 
-// NewOwner makes the owner's side of a core.
+// NewOwner returns an Owner that owns no register yet.
 func NewOwner(options OwnerOptions) *Owner {
 	return &Owner{options: options, keys: map[string]*ownedKey{}}
 }
 
-// Change applies an op to a register; nil means that a majority has the change on disk. The op's own error, and the success of an op without
-// a change, are given only once a majority has confirmed, after the call, that this core owns the register. The other errors are
-// apierror.Undecided if the change may or may not have been made, and, if nothing was done, NoMajority, Superseded, and those of Peers.
+// Change applies an op to a register. A nil error means that a majority has the change on disk. An error of the op itself, and the success of
+// an op without a change, are returned only after a majority has confirmed, since the call began, that this core owns the register. The other
+// errors are apierror.Undecided if the change may or may not have been made, and NoMajority, Superseded and those of OwnerOptions.Peers if
+// nothing was done.
 func (o *Owner) Change(ctx context.Context, key string, op Op) (Revision, error) {
 	return o.submit(ctx, key, &pending{op: op, ctx: ctx, result: make(chan result, 1)})
 }
 
-// Commit makes sure that what a register has is on a majority, and gives its revision: no older one than stood when it was called. With
-// rewrite the members in force accept it anew even if it is known to be committed. The errors are those of Change.
+// Commit makes sure that the content of a register is on a majority, and returns its revision, which is at least as new as the one that was
+// committed when Commit was called. With rewrite, the current members accept the content again even if it is known to be committed. The
+// errors are those of Change.
 func (o *Owner) Commit(ctx context.Context, key string, rewrite bool) (Revision, error) {
 	return o.submit(ctx, key, &pending{rewrite: rewrite, ctx: ctx, result: make(chan result, 1)})
 }
 
-// OwnedKeys lists the registers that are owned and at rest, with their epochs.
+// OwnedKeys returns the registers that this core owns and that have no call in progress, with their epochs.
 func (o *Owner) OwnedKeys() map[string]uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -121,7 +126,7 @@
 	}
 }
 
-// run processes all queued calls of a register as one batch, again and again, until none is queued.
+// run processes the queued calls of a register, all that are queued as one batch, until the queue is empty.
 func (o *Owner) run(key string, k *ownedKey) {
 	for {
 		o.mu.Lock()
@@ -134,13 +139,13 @@
 		}
 		o.mu.Unlock()
 		ctx, cancel := context.WithTimeout(context.Background(), o.options.Timeout)
-		time.AfterFunc(o.options.Timeout, cancel) // not sooner: the slower members are to hear too of what a majority has accepted
+		time.AfterFunc(o.options.Timeout, cancel) // not when the batch ends: requests to slower members must still go through
 		o.process(ctx, key, k, batch)
 	}
 }
 
-// process answers a batch. An answer counts only if a majority has stood by this owner's epoch after all of the batch had arrived: by having
-// promised it, by having accepted a version under it, or by confirming it.
+// process answers a batch. An answer is valid only if a majority has acknowledged this owner's epoch after the whole batch had arrived: by
+// promising it, by accepting a version under it, or by confirming it.
 func (o *Owner) process(ctx context.Context, key string, k *ownedKey, batch []*pending) {
 	peers, err := o.options.Peers()
 	if err != nil {
@@ -155,13 +160,13 @@
 	e := k.evaluate(batch)
 	if !e.needsWrite && !acquired {
 		if e, err = o.confirmEvaluation(ctx, peers, key, k, batch, e); err != nil {
-			rejectAll(batch, apierror.New(apierror.Undecided, "not confirmed for %s: %v", key, err))
+			rejectAll(batch, apierror.New(apierror.Undecided, "ownership of %s not confirmed by a majority: %v", key, err))
 			return
 		}
 	}
 	if e.needsWrite {
 		if err := o.write(ctx, peers, key, k, e.change, e.content); err != nil {
-			rejectAll(batch, err) // those too that change nothing: their answers rest on what was to be written
+			rejectAll(batch, err) // also the calls without a change: their answers depend on the content that was being written
 			return
 		}
 	}
@@ -176,8 +181,9 @@
 	}
 }
 
-// confirmEvaluation has a majority confirm an evaluation that writes nothing. If another owner was met, which may have changed the register,
-// the register is acquired and the batch evaluated again: nothing of the first evaluation was written or answered.
+// confirmEvaluation has a majority confirm the epoch under which a batch without a write was evaluated. If another owner has superseded it,
+// and so may have changed the register, the register is acquired and the batch evaluated again. That is safe: nothing of the first
+// evaluation was written or answered.
 func (o *Owner) confirmEvaluation(ctx context.Context, peers Peers, key string, k *ownedKey, batch []*pending, e evaluation) (evaluation, error) {
 	err := o.confirm(ctx, peers, key, k)
 	if apierror.Is(err, apierror.Superseded) {
@@ -188,17 +194,17 @@
 	return e, err
 }
 
-// evaluation is what a batch comes to on the content that the owner knows.
+// evaluation is the result of applying a batch to the content known to the owner.
 type evaluation struct {
-	// content is what the register will have, change what is new in it.
+	// content is the register's content after the batch, and change is the part of it that the batch changes.
 	content Fields
 	change  Fields
-	// rejections has the error of each call of the batch; nil for a success.
+	// rejections holds the error of each call of the batch, or nil for a success.
 	rejections []error
 	needsWrite bool
 }
 
-// evaluate applies a batch in order to one working copy.
+// evaluate applies the calls of a batch in order to one working copy of the content.
 func (k *ownedKey) evaluate(batch []*pending) evaluation {
 	e := evaluation{content: k.fields.Clone(), change: Fields{}, rejections: make([]error, len(batch))}
 	for i, p := range batch {
@@ -206,8 +212,8 @@
 			e.needsWrite = e.needsWrite || p.rewrite && k.revision.Version > 0
 			continue
 		}
-		if err := p.ctx.Err(); err != nil { // the caller may have gone to another core, and changed the register since
-			e.rejections[i] = apierror.Wrap(err, apierror.Undecided, "the caller has gone")
+		if err := p.ctx.Err(); err != nil { // the caller may have retried at another core, and changed the register since then
+			e.rejections[i] = apierror.Wrap(err, apierror.Undecided, "caller cancelled the change before it was applied")
 			continue
 		}
 		change, err := p.op(e.content, k.revision.Version)
@@ -224,10 +230,10 @@
 	return e
 }
 
-// ensureOwned acquires the register unless it is ours; acquired: a majority has just promised the epoch.
+// ensureOwned acquires the register if this core doesn't own it. The result acquired reports whether a majority has just promised the epoch.
 func (o *Owner) ensureOwned(ctx context.Context, peers Peers, key string, k *ownedKey) (acquired bool, err error) {
 	if k.epoch != 0 && o.options.Acceptor.Promised(key) > k.epoch {
-		k.epoch = 0 // another owner has asked this very disk
+		k.epoch = 0 // this core's own acceptor has promised a higher epoch to another owner
 	}
 	if k.epoch != 0 {
 		return false, nil
--- a/register/peers.go
+++ b/register/peers.go
@@ -5,28 +5,28 @@
 	"sync"
 )
 
-// Peer is a member's acceptor, this core's own or another's. The errors are those of Acceptor, and apierror.Unreachable, NoMember and
+// Peer is the acceptor of a member, either this core or another one. The errors are those of Acceptor, and apierror.Unreachable, NoMember and
 // OtherMembers.
 type Peer interface {
 	Prepare(ctx context.Context, key string, epoch uint64, known Revision) (Record, error)
 	Confirm(ctx context.Context, key string, epoch uint64) error
 	Accept(ctx context.Context, change Change) error
-	// Commit tells that a revision is on a majority; it may be lost.
+	// Commit announces that a revision is on a majority. The announcement may be lost.
 	Commit(ctx context.Context, key string, revision Revision)
 }
 
-// Peers are the acceptors of all members, this core's own among them, as of one version of the list of members.
+// Peers are the acceptors of all members, including this core's own, as of one version of the membership.
 type Peers []Peer
 
 func (p Peers) majority() int { return len(p)/2 + 1 }
 
-// answer is what one peer answered.
+// answer is the result of a call to one peer.
 type answer[T any] struct {
 	value T
 	err   error
 }
 
-// gather calls all peers at once. The channel gives their answers as they come, and closes after the last.
+// gather calls all peers concurrently. The channel delivers their answers as they arrive, and is closed after the last one.
 func gather[T any](peers Peers, call func(Peer) (T, error)) <-chan answer[T] {
 	answers := make(chan answer[T], len(peers))
 	var pending sync.WaitGroup
--- a/register/register.go
+++ b/register/register.go
@@ -1,14 +1,14 @@
-// Package register keeps the control state: a set of registers, each with a key, replicated on a majority of the members' disks. There is no
-// common log; each register is agreed on by itself, as in Paxos with a stable proposer (docs/design.md §2).
+// Package register stores the control state as a set of registers, each identified by a key and replicated on the disks of the members.
+// There is no common log: consensus is reached for each register separately, as in Paxos with a stable proposer (docs/design.md §2).
 //
-// An Acceptor is what one disk has promised and accepted. An Owner changes registers: it first prepares an epoch above all that it has met,
-// which a majority promises and answers with what it has accepted; it adopts the highest accepted revision, and from then on has each
-// change accepted by a majority under its epoch, without preparing again, until somebody else prepares a higher one. The low bits of an
-// epoch are the owner's member ID, so no two owners share an epoch.
+// An Acceptor holds what one disk has promised and accepted. An Owner changes registers. It first prepares an epoch higher than all that it
+// has seen. A majority of acceptors promises the epoch and returns what it has accepted, and the owner adopts the highest accepted revision.
+// From then on it has each change accepted by a majority under this epoch, without preparing again, until another owner prepares a higher
+// one. The low bits of an epoch are the owner's member ID, so no two owners share an epoch.
 //
-// Content is a map of fields, and a change is a set of fields (deltas travel and are stored, with a full content now and then). A change is
-// committed once a majority has accepted it. One that may or may not have reached a majority is in doubt: it is answered
-// apierror.Undecided, never yes and never no, and is settled one way or the other before the next change.
+// The content of a register is a map of fields, and a change is a set of fields. Changes are sent and stored as deltas, and from time to time
+// as the full content. A change is committed once a majority has accepted it. A change that may or may not have reached a majority is in
+// doubt: the caller gets apierror.Undecided, neither a success nor a rejection, and the owner resolves it before the next change.
 package register
 
 import (
@@ -16,18 +16,18 @@
 	"maps"
 )
 
-// Revision orders the changes of one register. Equal revisions mean equal content: one epoch has one owner, and its versions only rise.
+// Revision orders the changes of one register. Equal revisions mean equal content: an epoch has one owner, which only increases the version.
 type Revision struct {
 	Epoch   uint64 `json:"epoch"`
 	Version uint64 `json:"version"`
 }
 
-// Less compares the epoch first, then the version.
+// Less reports whether r is older than other. The epoch is compared first, then the version.
 func (r Revision) Less(other Revision) bool {
 	return r.Epoch < other.Epoch || r.Epoch == other.Epoch && r.Version < other.Version
 }
 
-// compare is Less for sorting.
+// compare is the three-way comparison of revisions that sorting needs.
 func compare(a, b Revision) int {
 	switch {
 	case a.Less(b):
@@ -38,13 +38,13 @@
 	return 0
 }
 
-// Fields are a register's content. In a change a null field deletes.
+// Fields are the content of a register, or of a change to it. In a change, a null value deletes the field.
 type Fields map[string]json.RawMessage
 
-// IsDeleted reports whether a change's value deletes its field.
+// IsDeleted reports whether a value in a change deletes its field.
 func IsDeleted(value json.RawMessage) bool { return len(value) == 0 || string(value) == "null" }
 
-// Apply lays a change over the fields, in place.
+// Apply applies a change to the fields in place.
 func (f Fields) Apply(change Fields) {
 	for name, value := range change {
 		if IsDeleted(value) {
@@ -55,10 +55,10 @@
 	}
 }
 
-// fieldOverhead is the size that each field counts for beside its name and value.
+// fieldOverhead is the number of bytes that Size adds for each field beside its name and value.
 const fieldOverhead = 8
 
-// Size is the size in bytes that the fields count for.
+// Size returns the approximate size of the fields in bytes.
 func (f Fields) Size() (size int) {
 	for name, value := range f {
 		size += len(name) + len(value) + fieldOverhead
@@ -66,7 +66,7 @@
 	return size
 }
 
-// Clone copies the map, not the values, which are never altered.
+// Clone copies the map. The values are shared, because they are never modified. The result is never nil.
 func (f Fields) Clone() Fields {
 	if f == nil {
 		return Fields{}
@@ -74,26 +74,26 @@
 	return maps.Clone(f)
 }
 
-// Change is one accept asked of an acceptor. Its JSON is also what a version's file holds.
+// Change is the content of one accept request. Its JSON encoding is also the content of a version file.
 type Change struct {
 	Key string `json:"key"`
-	// Base is the revision that Fields are a delta to, Next the one that they make.
+	// Base is the revision that Fields are a delta to. Next is the revision after the change.
 	Base Revision `json:"base"`
 	Next Revision `json:"next"`
-	// Full: Fields are the whole content, whatever the base.
+	// Full means that Fields are the full content, regardless of Base.
 	Full   bool   `json:"whole,omitempty"`
 	Fields Fields `json:"fields"`
-	// Committed is the newest revision that the owner knew to be committed.
+	// Committed is the newest revision that the owner knew to be committed when it sent the change.
 	Committed Revision `json:"settled"`
 }
 
-// Record is an acceptor's state of one register.
+// Record is the state of one register at an acceptor.
 type Record struct {
-	// Promised is the highest epoch promised: nothing is accepted under a lower one.
+	// Promised is the highest promised epoch. Nothing is accepted under a lower one.
 	Promised uint64 `json:"promised"`
-	// Revision is the accepted revision, Fields its content.
+	// Revision is the accepted revision, and Fields is its content.
 	Revision Revision `json:"stamp"`
-	// Committed is the newest revision that is known to be on a majority; Revision may be above it.
+	// Committed is the newest revision known to be on a majority. Revision may be newer.
 	Committed Revision `json:"settled"`
 	Fields    Fields   `json:"fields,omitempty"`
 }
@@ -101,9 +101,9 @@
 // IsCommitted reports whether the accepted content is known to be on a majority.
 func (r Record) IsCommitted() bool { return IsCommitted(r.Revision, r.Committed) }
 
-// IsCommitted reports whether a revision is known to be on a majority from the newest that is known to be. A revision that is committed under
-// an earlier epoch with the same version commits it too: whoever wrote under the later epoch had adopted that version, and wrote it again
-// unchanged. One that is committed under a later epoch says nothing of content that lost to it.
+// IsCommitted reports whether a revision is on a majority, given the newest revision known to be committed. A version committed under an
+// earlier epoch also commits the same version under a later epoch: the later owner adopted that version and wrote it again unchanged. A
+// revision committed under a later epoch proves nothing about an earlier one, which may have lost to it.
 func IsCommitted(revision, committed Revision) bool {
 	return revision == Revision{} || committed.Epoch <= revision.Epoch && committed.Version >= revision.Version
 }
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -6,8 +6,8 @@
 	"asterridge/apierror"
 )
 
-// acquire prepares a new epoch and adopts the highest revision that a majority has accepted. If that may not be on a majority, it is written
-// before anything else: each version stands upon a committed one.
+// acquire prepares a new epoch and adopts the highest revision that the acceptors of a majority have accepted. If that revision is not known
+// to be committed, it is written again first, so that every new version is based on a committed one.
 func (o *Owner) acquire(ctx context.Context, peers Peers, key string, k *ownedKey) error {
 	epoch := nextEpoch(max(k.highestSeen, o.options.Acceptor.Promised(key)), o.options.MemberID())
 	k.highestSeen = epoch
@@ -39,7 +39,7 @@
 		if rejection != nil {
 			return rejection
 		}
-		return apierror.New(apierror.NoMajority, "%d of %d promises for %s", promises, peers.majority(), key)
+		return apierror.New(apierror.NoMajority, "%d of %d promises needed for %s", promises, peers.majority(), key)
 	}
 	k.epoch, k.revision, k.fields, k.committed = epoch, newest.Revision, newest.Fields.Clone(), committed
 	if IsCommitted(newest.Revision, committed) {
@@ -48,7 +48,7 @@
 	return o.write(ctx, peers, key, k, nil, k.fields)
 }
 
-// observe notes a higher epoch that an error tells of, and reports whether it does.
+// observe records the higher epoch that an apierror.Superseded reports. It returns false for any other error.
 func (k *ownedKey) observe(err error) bool {
 	if !apierror.Is(err, apierror.Superseded) {
 		return false
@@ -57,7 +57,8 @@
 	return true
 }
 
-// confirm asks a majority whether this owner's epoch still stands; if not, the register has to be acquired anew. No disk is written.
+// confirm asks the peers whether this owner's epoch is still the highest that they have promised. Unless a majority says so, the register has
+// to be acquired again. Nothing is written to disk.
 func (o *Owner) confirm(ctx context.Context, peers Peers, key string, k *ownedKey) error {
 	epoch := k.epoch
 	answers := gather(peers, func(p Peer) (struct{}, error) { return struct{}{}, p.Confirm(ctx, key, epoch) })
@@ -68,7 +69,7 @@
 			k.epoch = 0
 			return rejection
 		}
-		a := <-answers // each peer answers, if only by the context's end
+		a := <-answers // every peer answers, at the latest with an error when the context ends
 		if a.err == nil {
 			confirmed++
 			continue
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// write has one version accepted by a majority, and then tells all peers that it is committed. Without a change the adopted content is
-// written under the new epoch.
+// write has a majority accept one version, and then tells all peers that it is committed. With an empty change it writes the present content
+// under the present epoch, with the version unchanged.
 func (o *Owner) write(ctx context.Context, peers Peers, key string, k *ownedKey, change, content Fields) error {
 	next := Revision{Epoch: k.epoch, Version: k.revision.Version + 1}
 	if len(change) == 0 {
@@ -107,7 +108,7 @@
 	}
 	if accepted < peers.majority() {
 		k.epoch = 0
-		return apierror.New(apierror.Undecided, "%d of %d disks have %s version %d: %v", accepted, peers.majority(), key, next.Version, rejection)
+		return apierror.New(apierror.Undecided, "%d of %d disks needed have %s version %d: %v", accepted, peers.majority(), key, next.Version, rejection)
 	}
 	k.revision, k.fields, k.committed = next, content, next
 	o.options.Acceptor.Commit(key, next)
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// acceptDelta has a peer accept a delta, or the full content if it lacks the base.
+// acceptDelta has a peer accept a delta, or the full content if the peer lacks the base revision.
 func acceptDelta(ctx context.Context, p Peer, delta Change, content Fields) error {
 	err := p.Accept(ctx, delta)
 	if apierror.Is(err, apierror.Behind) {
@@ -126,7 +127,7 @@
 	return err
 }
 
-// broadcastCommit tells all peers that a revision is on a majority; nobody waits for it.
+// broadcastCommit tells all peers, without waiting for them, that a revision is on a majority.
 func (o *Owner) broadcastCommit(peers Peers, key string, revision Revision) {
 	for _, p := range peers {
 		go func() {
@@ -137,7 +138,7 @@
 	}
 }
 
-// nextEpoch is a member's lowest epoch above another one.
+// nextEpoch returns the lowest epoch of a member whose part above the member ID is higher than that of the given epoch.
 func nextEpoch(above uint64, member uint32) uint64 {
 	return (above>>MemberBits+1)<<MemberBits | uint64(member)
 }
