--- a/linearizability/history.go
+++ b/linearizability/history.go
@@ -1,5 +1,5 @@
-// Package linearizability judges what operators were told. It records the declarations of numbered configurations and the reads, with the order
-// of their beginnings and ends, and decides whether one linearizable sequence of versions explains all of them.
+// Package linearizability checks what the callers of the control plane were told. It records the writes of numbered configurations and the
+// reads, with the order in which they began and ended, and decides whether one linearizable sequence of versions explains all of them.
 package linearizability
 
 import (
@@ -15,13 +15,13 @@
 type Outcome int
 
 const (
-	// Unclear calls may have been taken, or may be taken later, or never.
+	// Unclear calls may have taken effect, may take effect later, or may never do so.
 	Unclear Outcome = iota
-	// Acknowledged calls were taken, by this call or by an identical one before.
+	// Acknowledged calls have taken effect, by this call or by an identical earlier one.
 	Acknowledged
-	// Refused calls did not fit what was there: another base, or a number not above the present one.
+	// Refused calls did not fit the content at that time: their base was not the present number, or their number was not higher than it.
 	Refused
-	// Rejected calls were not taken, and say nothing of what was there.
+	// Rejected calls did not take effect, and prove nothing about the content at that time.
 	Rejected
 )
 
@@ -30,7 +30,7 @@
 	Number  uint64
 	Base    uint64
 	Digest  string
-	Full    bool // replaces all items; else changes those named
+	Full    bool // replaces all items; otherwise only Items and Removed change
 	Items   map[string]string
 	Removed []string
 }
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("number %d on %d (%s)", d.Number, d.Base, d.Digest)
 }
 
-// call is one write that was sent. Events are numbered from 1; a call without an answer has no end.
+// call is one write that was sent. Events are numbered from 1. A call without an answer has no end.
 type call struct {
 	Write
 	outcome    Outcome
@@ -71,7 +71,7 @@
 	reads []*read
 }
 
-// Declare records that a write is being sent; the returned function records its outcome. Until that is called the outcome is unclear.
+// Declare records that a write is being sent. The returned function records its outcome, which is Unclear until then.
 func (r *Recorder) Declare(d Write) (done func(Outcome)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// Read records that a read begins; the returned function records what it showed. A failed read is not recorded and has no effect.
+// Read records that a read begins. The returned function records its result. A failed read is not recorded and has no effect.
 func (r *Recorder) Read() (done func(number uint64, items map[string]string)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,56 +113,56 @@
 	return count
 }
 
-// Check returns an error that says why no sequence of versions explains the history so far, or nil if one does.
+// Check returns nil if a sequence of versions explains the history so far, or an error with the reason why none does.
 func (r *Recorder) Check() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return newChecker(r.calls, r.reads).check()
 }
 
-// version is a write that may have taken effect, with all identical calls.
+// version is a write that may have taken effect, with all identical calls of it.
 type version struct {
 	Write
 	calls        []*call
 	acknowledged bool
 }
 
-// maxAttempts bounds the search, which is exponential in the unclear calls.
+// maxAttempts is the maximum number of chains tried, because the search is exponential in the number of unclear calls.
 const maxAttempts = 2000
 
-// checker searches for a chain of versions. Each version names its base, so the chain back from the newest known version is nearly
-// determined: there is a choice only among unclear calls, where none was acknowledged.
+// checker searches for a chain of versions that explains the history. Each version names its base, so the chain back from the newest known
+// version is almost determined. A choice exists only between unclear calls with the same number, none of which was acknowledged.
 type checker struct {
-	reads     []*read
-	refused   []*call
-	byNumber  map[uint64][]*version
-	byBase    map[uint64][]*version
-	needed    []uint64 // numbers that were acknowledged or read, ascending
-	tries     int
-	firstFail error
+	reads        []*read
+	refused      []*call
+	byNumber     map[uint64][]*version
+	byBase       map[uint64][]*version
+	needed       []uint64 // numbers that were acknowledged or read, ascending
+	attempts     int
+	firstFailure error
 }
 
 // newChecker indexes a history for the search.
 func newChecker(calls []*call, reads []*read) *checker {
 	c := &checker{reads: reads, byNumber: map[uint64][]*version{}, byBase: map[uint64][]*version{}}
 	all := map[identity]*version{}
-	for _, made := range calls {
-		switch made.outcome {
+	for _, sent := range calls {
+		switch sent.outcome {
 		case Refused:
-			c.refused = append(c.refused, made)
+			c.refused = append(c.refused, sent)
 			continue
 		case Rejected:
 			continue
 		}
-		v := all[made.identity()]
+		v := all[sent.identity()]
 		if v == nil {
-			v = &version{Write: made.Write}
-			all[made.identity()] = v
-			c.byNumber[made.Number] = append(c.byNumber[made.Number], v)
-			c.byBase[made.Base] = append(c.byBase[made.Base], v)
+			v = &version{Write: sent.Write}
+			all[sent.identity()] = v
+			c.byNumber[sent.Number] = append(c.byNumber[sent.Number], v)
+			c.byBase[sent.Base] = append(c.byBase[sent.Base], v)
 		}
-		v.calls = append(v.calls, made)
-		v.acknowledged = v.acknowledged || made.outcome == Acknowledged
+		v.calls = append(v.calls, sent)
+		v.acknowledged = v.acknowledged || sent.outcome == Acknowledged
 	}
 	needed := map[uint64]bool{}
 	for _, v := range all {
@@ -179,7 +179,7 @@
 	return c
 }
 
-// check tries every newest version that the history allows.
+// check searches for a chain that ends in the newest number that was acknowledged or read, or in unclear versions after it.
 func (c *checker) check() error {
 	for _, number := range c.needed {
 		var acknowledged []string
@@ -189,35 +189,35 @@
 			}
 		}
 		if len(acknowledged) > 1 {
-			return fmt.Errorf("one number with two contents was acknowledged: %s", strings.Join(acknowledged, "; "))
+			return fmt.Errorf("one number was acknowledged with two contents: %s", strings.Join(acknowledged, "; "))
 		}
 	}
 	newest := uint64(0)
 	if len(c.needed) > 0 {
 		newest = c.needed[len(c.needed)-1]
 	}
-	if c.isExplainedBack(newest, nil) {
+	if c.extendBackward(newest, nil) {
 		return nil
 	}
-	if c.firstFail == nil {
-		return fmt.Errorf("no chain of versions from number %d back to the beginning was found", newest)
+	if c.firstFailure == nil {
+		return fmt.Errorf("no chain of versions leads from number %d back to the beginning", newest)
 	}
-	return c.firstFail
+	return c.firstFailure
 }
 
-// fail records the reason for which the most complete chain so far was rejected.
+// fail records the first reason for which a chain was rejected, and returns false.
 func (c *checker) fail(format string, args ...any) bool {
-	if c.firstFail == nil {
-		c.firstFail = fmt.Errorf(format, args...)
+	if c.firstFailure == nil {
+		c.firstFailure = fmt.Errorf(format, args...)
 	}
 	return false
 }
 
-// isExplainedBack looks for the version under a number and for all versions before it. The argument later is the chain from there on,
+// extendBackward searches for the version with a number and for all versions before it. The argument later is the chain after that number,
 // oldest first.
-func (c *checker) isExplainedBack(number uint64, later []*version) bool {
+func (c *checker) extendBackward(number uint64, later []*version) bool {
 	if number == 0 {
-		return c.isExplainedOn(append([]*version{{}}, later...))
+		return c.extendForward(append([]*version{{}}, later...))
 	}
 	candidates := c.byNumber[number]
 	for _, v := range candidates {
@@ -226,25 +226,25 @@
 		}
 	}
 	if len(candidates) == 0 {
-		return c.fail("number %d is there, or is the base of what is, and nobody declared it, or it was refused", number)
+		return c.fail("number %d was read, or is the base of a version, but no write of it can have taken effect", number)
 	}
 	for _, v := range candidates {
 		if v.Base >= v.Number {
-			c.fail("%s was taken", v)
+			c.fail("%s took effect, although its number is not higher than its base", v)
 			continue
 		}
 		if between, lost := c.neededBetween(v.Base, v.Number); lost {
-			c.fail("%s was taken, and number %d between the two was acknowledged or read", v, between)
+			c.fail("%s took effect, but number %d, between it and its base, was acknowledged or read", v, between)
 			continue
 		}
-		if c.isExplainedBack(v.Base, append([]*version{v}, later...)) {
+		if c.extendBackward(v.Base, append([]*version{v}, later...)) {
 			return true
 		}
 	}
 	return false
 }
 
-// neededBetween returns what the calls require between two versions.
+// neededBetween returns the lowest number between two numbers that was acknowledged or read.
 func (c *checker) neededBetween(above, below uint64) (number uint64, ok bool) {
 	for _, number := range c.needed {
 		if above < number && number < below {
@@ -254,97 +254,98 @@
 	return 0, false
 }
 
-// isExplainedOn tries a chain as it is, and then with unclear versions after its newest: nobody has read them, but calls may have been
-// refused because of them.
-func (c *checker) isExplainedOn(chain []*version) bool {
-	c.tries++
-	if c.tries > maxAttempts {
-		return c.fail("gave up after %d chains", maxAttempts)
+// extendForward tries a chain as it is, and then with unclear versions after its newest one. Nobody has read those versions, but calls may
+// have been refused because of them.
+func (c *checker) extendForward(chain []*version) bool {
+	c.attempts++
+	if c.attempts > maxAttempts {
+		return c.fail("search stopped after %d chains", maxAttempts)
 	}
-	if c.isTimely(chain) {
+	if c.hasConsistentTiming(chain) {
 		return true
 	}
 	tip := chain[len(chain)-1]
 	for _, v := range c.byBase[tip.Number] {
-		if !v.acknowledged && v.Number > tip.Number && c.isExplainedOn(append(slices.Clone(chain), v)) {
+		if !v.acknowledged && v.Number > tip.Number && c.extendForward(append(slices.Clone(chain), v)) {
 			return true
 		}
 	}
 	return false
 }
 
-// timing bounds the moment at which each version of a chain took effect, given as the last event before it.
+// timing bounds the moment at which each version of a chain took effect, as the number of the last event before it.
 type timing struct {
-	least, most []int
-	why         []string // of most
+	earliest, latest []int
+	latestReason     []string // the reason for each latest bound
 }
 
-// either is the choice that a refusal leaves: its base came after the call began, or was replaced before the call ended.
-type either struct {
-	base       int // place in the chain
+// refusalChoice is a pair of alternatives that a refusal leaves: its base took effect after the call began, or was replaced before the call
+// ended.
+type refusalChoice struct {
+	base       int // index in the chain
 	begin, end int
 }
 
-// isTimely reports whether the versions of a chain can be given moments, in the chain's order, that agree with all calls and reads. Lower
-// bounds rise to their least fixed point. A refusal's base must come later only once it is certain that it cannot have been replaced
-// earlier.
-func (c *checker) isTimely(chain []*version) bool {
-	t, position := begin(chain)
+// hasConsistentTiming reports whether moments can be assigned to the versions of a chain, in the chain's order, that agree with all calls
+// and reads. The lower bounds are raised to their least fixed point. The base of a refused call is moved after the call's beginning only
+// when it can't have been replaced before the call's end.
+func (c *checker) hasConsistentTiming(chain []*version) bool {
+	t, position := initialTiming(chain)
 	if !c.boundByReads(chain, position, &t) {
 		return false
 	}
 	choices := c.boundByRefusals(chain, position, &t)
-	for moving := true; moving; {
-		moving = false
+	for changed := true; changed; {
+		changed = false
 		raise := func(i, to int) {
-			if t.least[i] < to {
-				t.least[i], moving = to, true
+			if t.earliest[i] < to {
+				t.earliest[i], changed = to, true
 			}
 		}
 		for i := 1; i < len(chain); i++ {
-			raise(i, t.least[i-1])
+			raise(i, t.earliest[i-1])
 		}
 		for _, e := range choices {
-			replaced := e.base+1 < len(chain) && t.least[e.base+1] < e.end
+			replaced := e.base+1 < len(chain) && t.earliest[e.base+1] < e.end
 			if !replaced {
 				raise(e.base, e.begin)
 			}
 		}
 	}
 	for i := range chain {
-		if t.least[i] > t.most[i] {
-			return c.fail("%s took effect after event %d at the earliest, but %s", chain[i], t.least[i], t.why[i])
+		if t.earliest[i] > t.latest[i] {
+			return c.fail("%s took effect after event %d at the earliest, but %s", chain[i], t.earliest[i], t.latestReason[i])
 		}
 	}
 	return true
 }
 
-// begin bounds each version by its own calls. The first version of a chain is the empty one, which was always there.
-func begin(chain []*version) (t timing, position map[uint64]int) {
+// initialTiming bounds each version by its own calls. The first version of a chain is the empty one, which exists from the beginning.
+func initialTiming(chain []*version) (t timing, position map[uint64]int) {
 	t = timing{make([]int, len(chain)), make([]int, len(chain)), make([]string, len(chain))}
 	position = map[uint64]int{}
-	t.why[0] = "it was there from the beginning"
+	t.latestReason[0] = "it existed from the beginning"
 	for i, v := range chain {
 		position[v.Number] = i
 		if i == 0 {
 			continue
 		}
-		t.least[i], t.most[i] = math.MaxInt, math.MaxInt
-		for _, made := range v.calls {
-			t.least[i] = min(t.least[i], made.begin)
-			if made.outcome == Acknowledged {
-				t.bound(i, made.end, "its acknowledgement")
+		t.earliest[i], t.latest[i] = math.MaxInt, math.MaxInt
+		for _, sent := range v.calls {
+			t.earliest[i] = min(t.earliest[i], sent.begin)
+			if sent.outcome == Acknowledged {
+				t.boundLatest(i, sent.end, "its acknowledgement")
 			}
 		}
 	}
 	return t, position
 }
 
-// bound requires a version to take effect before an event.
-func (t *timing) bound(i, event int, what string) {
-	if t.most[i] > event-1 {
-		t.most[i] = event - 1
-		t.why[i] = fmt.Sprintf("%s is event %d", what, event)
+// boundLatest requires a version to take effect before an event.
+func (t *timing) boundLatest(i, event int, what string) {
+	if t.latest[i] > event-1 {
+		t.latest[i] = event - 1
+		t.latestReason[i] = fmt.Sprintf("%s is event %d", what, event)
 	}
 }
 
@@ -362,32 +363,32 @@
 		maps.Copy(contents[i], v.Items)
 	}
 	for _, r := range c.reads {
-		i := position[r.number] // all numbers read are in the chain
+		i := position[r.number] // all numbers that were read are in the chain
 		if !maps.Equal(contents[i], r.items) {
-			return c.fail("a read shows %v under number %d, which is %v", r.items, r.number, contents[i])
+			return c.fail("a read returned %v for number %d, which has %v", r.items, r.number, contents[i])
 		}
 		if i > 0 {
-			t.bound(i, r.end, "a read that shows it")
+			t.boundLatest(i, r.end, "a read that returned it")
 		}
 		if i+1 < len(chain) {
-			t.least[i+1] = max(t.least[i+1], r.begin)
+			t.earliest[i+1] = max(t.earliest[i+1], r.begin)
 		}
 	}
 	return true
 }
 
 // boundByRefusals applies the bounds that follow from the refused calls.
-func (c *checker) boundByRefusals(chain []*version, position map[uint64]int, t *timing) (choices []either) {
-	for _, made := range c.refused {
-		i, ok := position[made.Base]
-		taken := ok && i+1 < len(chain) && chain[i+1].identity() == made.identity()
+func (c *checker) boundByRefusals(chain []*version, position map[uint64]int, t *timing) (choices []refusalChoice) {
+	for _, refused := range c.refused {
+		i, ok := position[refused.Base]
+		applied := ok && i+1 < len(chain) && chain[i+1].identity() == refused.identity()
 		switch {
-		case !ok || made.Number <= made.Base:
-			// never fitted
-		case taken:
-			t.least[i] = max(t.least[i], made.begin) // refused before its base came; afterwards it either fits or is known
+		case !ok || refused.Number <= refused.Base:
+			// it can't have fitted at any time
+		case applied:
+			t.earliest[i] = max(t.earliest[i], refused.begin) // refused before its base took effect; afterwards it fits or is applied
 		default:
-			choices = append(choices, either{i, made.begin, made.end})
+			choices = append(choices, refusalChoice{i, refused.begin, refused.end})
 		}
 	}
 	return choices
--- a/linearizability/recorder.go
+++ b/linearizability/recorder.go
@@ -7,7 +7,7 @@
 	"asterridge/config"
 )
 
-// Of returns a write in the checker's form; its items are the texts that a read shows.
+// Of converts a numbered configuration into the checker's form. Its items are the texts that a read returns.
 func Of(d config.NumberedConfig) Write {
 	items := map[string]string{}
 	for _, name := range d.Order {
@@ -16,7 +16,7 @@
 	return Write{Number: d.Number, Base: d.BasedOn, Digest: d.Digest, Full: d.Full, Items: items, Removed: d.Removed}
 }
 
-// Items returns the content shown by a read in the checker's form.
+// Items converts the content that a read returned into the checker's form.
 func Items(texts []config.Text) map[string]string {
 	items := map[string]string{}
 	for _, t := range texts {
@@ -25,7 +25,7 @@
 	return items
 }
 
-// OutcomeOf returns what an answer to a well-formed write means to its caller.
+// OutcomeOf returns the outcome that the error of a well-formed write means to its caller.
 func OutcomeOf(err error) Outcome {
 	switch {
 	case err == nil:
--- a/linearizability/sequential.go
+++ b/linearizability/sequential.go
@@ -5,18 +5,19 @@
 // Never is the End of a step that may take effect at any time after its beginning, or not at all.
 const Never = math.MaxInt
 
-// maxSteps is how many steps one subject may have: a set of them is one word.
+// maxSteps is the maximum number of steps on one subject, because a set of steps is stored as the bits of one word.
 const maxSteps = 64
 
-// Step is one logical call on one subject: all copies of it that were sent. It takes effect at one moment between the events Begin and End.
+// Step is one logical call on one subject, including all copies of it that were sent. It takes effect at one moment between the events Begin
+// and End.
 type Step[State comparable] struct {
 	Begin, End int
-	// Apply gives the state after the step, and whether the state before it explains what the caller was told.
+	// Apply returns the state after the step, and whether the answer to the caller is consistent with the state before it.
 	Apply func(State) (State, bool)
 }
 
-// Explain reports whether the steps on one subject can be put into one sequence that respects the order of their events and explains every
-// answer, beginning in a state. Steps without an end may be left out. It panics if there are more than 64 steps.
+// Explain reports whether the steps on one subject can be ordered into one sequence that starts in the initial state, respects the order of
+// events, and explains every answer. Steps without an end may be left out. It panics if there are more than 64 steps.
 func Explain[State comparable](initial State, steps []Step[State]) bool {
 	if len(steps) > maxSteps {
 		panic("too many steps on one subject")
@@ -31,13 +32,13 @@
 	state State
 }
 
-// search remembers the positions that lead nowhere.
+// search is a depth-first search that memoizes the positions from which no sequence was found.
 type search[State comparable] struct {
 	steps  []Step[State]
 	failed map[position[State]]bool
 }
 
-// isExplained tries each step that may come next: one that began before every step that is left has ended.
+// isExplained tries each step that may come next: one that began before any of the remaining steps has ended.
 func (s *search[State]) isExplained(at position[State]) bool {
 	if s.failed[at] {
 		return false
