--- a/register/confirm_test.go
+++ b/register/confirm_test.go
@@ -17,17 +17,17 @@
 	"asterridge/sim"
 )
 
-// cluster is some cores' registers joined by links that can be cut one way.
+// cluster is the acceptors and owners of several cores, joined by links that can be cut in one direction.
 type cluster struct {
-	mu        sync.Mutex
-	cuts      map[[2]int]bool // what goes from one core to another is lost
-	disks     []*sim.Disk
-	acceptors []*register.Acceptor
-	owners    []*register.Owner
-	confirms  atomic.Int64 // questions whether an epoch stands
+	mu              sync.Mutex
+	cuts            map[[2]int]bool // cut links, as pairs of sender and receiver
+	disks           []*sim.Disk
+	acceptors       []*register.Acceptor
+	owners          []*register.Owner
+	confirmRequests atomic.Int64 // number of Confirm requests
 }
 
-const clusterWait = 300 * time.Millisecond
+const majorityTimeout = 300 * time.Millisecond
 
 func newCluster(t *testing.T, count int) *cluster {
 	c := &cluster{cuts: map[[2]int]bool{}}
@@ -40,11 +40,11 @@
 		}
 		c.disks, c.acceptors = append(c.disks, d), append(c.acceptors, acceptor)
 		c.owners = append(c.owners, register.NewOwner(register.OwnerOptions{
-			MemberID: func() uint32 { return uint32(i + 1) }, Acceptor: acceptor, Timeout: clusterWait,
+			MemberID: func() uint32 { return uint32(i + 1) }, Acceptor: acceptor, Timeout: majorityTimeout,
 			Peers: func() (register.Peers, error) {
 				var all register.Peers
 				for j := range count {
-					all = append(all, connection{c, i, j})
+					all = append(all, clusterPeer{c, i, j})
 				}
 				return all, nil
 			},
@@ -53,14 +53,14 @@
 	return c
 }
 
-// cut loses what goes from one core to another, or lets it through again.
+// cut cuts or restores the link from one core to another.
 func (c *cluster) cut(from, to int, isCut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cuts[[2]int{from, to}] = isCut
 }
 
-// isolate cuts a core off from all others: what it sends, what is sent to it, or both.
+// isolate cuts or restores all links of a core: those for sending, those for receiving, or both.
 func (c *cluster) isolate(core int, sendingCut, receivingCut bool) {
 	for other := range c.acceptors {
 		if other != core {
@@ -77,15 +77,15 @@
 	return sum
 }
 
-// connection is the way from one core's owner to a core's acceptor.
-type connection struct {
+// clusterPeer is a core's acceptor as seen by the owner of a core.
+type clusterPeer struct {
 	cluster  *cluster
 	from, to int
 }
 
-func carry[T any](ctx context.Context, l connection, do func(*register.Acceptor) (T, error)) (T, error) {
-	var none T
-	pass := func(from, to int) error {
+func callPeer[T any](ctx context.Context, l clusterPeer, call func(*register.Acceptor) (T, error)) (T, error) {
+	var zero T
+	cross := func(from, to int) error {
 		l.cluster.mu.Lock()
 		cut := l.cluster.cuts[[2]int{from, to}]
 		l.cluster.mu.Unlock()
@@ -96,76 +96,77 @@
 		time.Sleep(time.Millisecond)
 		return nil
 	}
-	if err := pass(l.from, l.to); err != nil {
-		return none, err
+	if err := cross(l.from, l.to); err != nil {
+		return zero, err
 	}
-	answer, err := do(l.cluster.acceptors[l.to])
-	if lost := pass(l.to, l.from); lost != nil {
-		return none, lost
+	answer, err := call(l.cluster.acceptors[l.to])
+	if lost := cross(l.to, l.from); lost != nil {
+		return zero, lost
 	}
 	return answer, err
 }
 
-func (l connection) Prepare(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	return carry(ctx, l, func(k *register.Acceptor) (register.Record, error) { return k.Prepare(key, epoch, has) })
+func (l clusterPeer) Prepare(ctx context.Context, key string, epoch uint64, known register.Revision) (register.Record, error) {
+	return callPeer(ctx, l, func(a *register.Acceptor) (register.Record, error) { return a.Prepare(key, epoch, known) })
 }
 
-func (l connection) Confirm(ctx context.Context, key string, epoch uint64) error {
-	l.cluster.confirms.Add(1)
-	_, err := carry(ctx, l, func(k *register.Acceptor) (struct{}, error) { return struct{}{}, k.Confirm(key, epoch) })
+func (l clusterPeer) Confirm(ctx context.Context, key string, epoch uint64) error {
+	l.cluster.confirmRequests.Add(1)
+	_, err := callPeer(ctx, l, func(a *register.Acceptor) (struct{}, error) { return struct{}{}, a.Confirm(key, epoch) })
 	return err
 }
 
-func (l connection) Accept(ctx context.Context, change register.Change) error {
-	_, err := carry(ctx, l, func(k *register.Acceptor) (struct{}, error) { return struct{}{}, k.Accept(change) })
+func (l clusterPeer) Accept(ctx context.Context, change register.Change) error {
+	_, err := callPeer(ctx, l, func(a *register.Acceptor) (struct{}, error) { return struct{}{}, a.Accept(change) })
 	return err
 }
 
-func (l connection) Commit(ctx context.Context, key string, revision register.Revision) {
-	_, _ = carry(ctx, l, func(k *register.Acceptor) (struct{}, error) { k.Commit(key, revision); return struct{}{}, nil })
+func (l clusterPeer) Commit(ctx context.Context, key string, revision register.Revision) {
+	_, _ = callPeer(ctx, l, func(a *register.Acceptor) (struct{}, error) { a.Commit(key, revision); return struct{}{}, nil })
 }
 
-// raise sets the number that the key has; built on another number it is refused, and the same again is a yes without a change.
-func raise(basedOn, number int) register.Op {
-	return func(now register.Fields, _ uint64) (register.Fields, error) {
+// setNumber returns an op that replaces the number basedOn by number. It returns Conflict if the key has another number, and succeeds
+// without a change if the key already has the new one.
+func setNumber(basedOn, number int) register.Op {
+	return func(current register.Fields, _ uint64) (register.Fields, error) {
 		present := 0
-		_ = json.Unmarshal(now["number"], &present)
+		_ = json.Unmarshal(current["number"], &present)
 		switch {
 		case present == number:
 			return nil, nil
 		case present != basedOn:
-			return nil, apierror.New(apierror.Conflict, "built on %d, present is %d", basedOn, present)
+			return nil, apierror.New(apierror.Conflict, "based on %d, but the present number is %d", basedOn, present)
 		}
 		return register.Fields{"number": json.RawMessage(fmt.Sprint(number))}, nil
 	}
 }
 
-// An owner that lost the key without hearing of it answers nothing out of its memory: no refusal, no yes without a write, no read.
-// Once it hears the others again, it answers by what stands then.
-func TestDeposedOwnerAnswersNothingFromMemory(t *testing.T) {
-	for _, empty := range []bool{false, true} { // whether the key had nothing when the owner was cut off
+// Guards against answers from outdated memory: an owner that was cut off while another one took over must return no conflict, no
+// success without a write, and no read. Once it is reachable again, it answers according to the committed content.
+func TestSupersededOwnerAnswersNothingFromMemory(t *testing.T) {
+	for _, empty := range []bool{false, true} { // whether the key had no content when the owner was cut off
 		for _, cut := range [][2]bool{{true, true}, {true, false}, {false, true}} {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				defer time.Sleep(time.Minute) // all that is under way ends
+				defer time.Sleep(time.Minute) // lets everything in progress end
 				c := newCluster(t, 4)
 				ctx := context.Background()
 				number := 0
 				if !empty {
-					_, err := c.owners[0].Change(ctx, "k", raise(0, 1))
+					_, err := c.owners[0].Change(ctx, "k", setNumber(0, 1))
 					is.NoErr(err)
 					number = 1
 				} else {
-					_, err := c.owners[0].Change(ctx, "k", raise(7, 8)) // it takes the key, and refuses this one
+					_, err := c.owners[0].Change(ctx, "k", setNumber(7, 8)) // acquires the key, and refuses the change
 					is.True(apierror.Is(err, apierror.Conflict))
 				}
 				c.isolate(0, cut[0], cut[1])
-				_, err := c.owners[1].Change(ctx, "k", raise(number, 5))
+				_, err := c.owners[1].Change(ctx, "k", setNumber(number, 5))
 				is.NoErr(err)
 				for since := time.Now(); time.Since(since) < 20*time.Second; time.Sleep(time.Second) {
-					_, err = c.owners[0].Change(ctx, "k", raise(5, 6)) // built on what stands
+					_, err = c.owners[0].Change(ctx, "k", setNumber(5, 6)) // based on the committed number
 					is.True(!apierror.Is(err, apierror.Conflict) && err != nil)
-					_, err = c.owners[0].Change(ctx, "k", raise(0, number)) // a yes without a write, if it were asked of memory
+					_, err = c.owners[0].Change(ctx, "k", setNumber(0, number)) // from memory, this would succeed without a write
 					is.True(!apierror.Is(err, apierror.Conflict) && err != nil)
 					_, err = c.owners[0].Commit(ctx, "k", false)
 					is.True(err != nil)
@@ -173,11 +174,11 @@
 					is.True(err != nil)
 				}
 				c.isolate(0, false, false)
-				_, err = c.owners[0].Change(ctx, "k", raise(number, 9))
-				is.True(apierror.Is(err, apierror.Conflict)) // another one stands
-				_, err = c.owners[0].Change(ctx, "k", raise(number, 5))
-				is.NoErr(err) // this one does
-				_, err = c.owners[0].Change(ctx, "k", raise(5, 6))
+				_, err = c.owners[0].Change(ctx, "k", setNumber(number, 9))
+				is.True(apierror.Is(err, apierror.Conflict)) // another number is committed
+				_, err = c.owners[0].Change(ctx, "k", setNumber(number, 5))
+				is.NoErr(err) // this number is already committed
+				_, err = c.owners[0].Change(ctx, "k", setNumber(5, 6))
 				is.NoErr(err)
 				revision, err := c.owners[2].Commit(ctx, "k", false)
 				is.NoErr(err)
@@ -187,47 +188,47 @@
 	}
 }
 
-// An owner that was cut off, and hears the others again, learns of the other owner by the question that its first answer needs, takes the
-// key back and answers that very order by what stands now.
-func TestDeposedOwnerIsToldByTheFirstAnswer(t *testing.T) {
+// Checks that an owner that was cut off learns of the new owner from the confirmation that its first answer needs, acquires the key again,
+// and answers the same call according to the committed content.
+func TestSupersededOwnerReacquiresWithinTheFirstCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		defer time.Sleep(time.Minute)
 		c := newCluster(t, 4)
 		ctx := context.Background()
-		_, err := c.owners[0].Change(ctx, "k", raise(0, 1))
+		_, err := c.owners[0].Change(ctx, "k", setNumber(0, 1))
 		is.NoErr(err)
 		c.isolate(0, true, true)
-		_, err = c.owners[1].Change(ctx, "k", raise(1, 5))
+		_, err = c.owners[1].Change(ctx, "k", setNumber(1, 5))
 		is.NoErr(err)
 		time.Sleep(20 * time.Second)
 		c.isolate(0, false, false)
-		_, err = c.owners[0].Change(ctx, "k", raise(5, 6)) // refused by what it remembers
+		_, err = c.owners[0].Change(ctx, "k", setNumber(5, 6)) // a conflict according to its outdated memory
 		is.NoErr(err)
 	})
 }
 
-// A refusal that rests on an order of the same batch is worth no more than that order's write.
-func TestRefusalIsWorthNoMoreThanTheWriteItRestsOn(t *testing.T) {
+// Guards against a conflict that is reported although it was caused by a change in the same batch whose write has failed.
+func TestRejectionFailsWithTheWriteItDependsOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		defer time.Sleep(time.Minute)
 		c := newCluster(t, 4)
 		ctx := context.Background()
-		_, err := c.owners[0].Change(ctx, "k", raise(0, 1))
+		_, err := c.owners[0].Change(ctx, "k", setNumber(0, 1))
 		is.NoErr(err)
 		c.isolate(0, true, true)
 		errs := make([]error, 3)
 		var all sync.WaitGroup
-		all.Go(func() { _, errs[0] = c.owners[0].Commit(ctx, "k", true) }) // keeps the owner busy, so that the others wait together
+		all.Go(func() { _, errs[0] = c.owners[0].Commit(ctx, "k", true) }) // keeps the owner busy, so that the next calls form one batch
 		time.Sleep(time.Millisecond)
 		c.isolate(0, false, false)
-		all.Go(func() { _, errs[1] = c.owners[0].Change(ctx, "k", raise(1, 2)) })
+		all.Go(func() { _, errs[1] = c.owners[0].Change(ctx, "k", setNumber(1, 2)) })
 		time.Sleep(time.Millisecond)
-		all.Go(func() { _, errs[2] = c.owners[0].Change(ctx, "k", raise(1, 3)) })
-		time.Sleep(clusterWait - 3*time.Millisecond) // the next batch begins to take the key …
+		all.Go(func() { _, errs[2] = c.owners[0].Change(ctx, "k", setNumber(1, 3)) })
+		time.Sleep(majorityTimeout - 3*time.Millisecond) // the next batch starts to acquire the key …
 		time.Sleep(3 * time.Millisecond)
-		c.isolate(0, false, true) // … and its answers are lost from the moment when it writes
+		c.isolate(0, false, true) // … and its answers are lost from its write on
 		all.Wait()
 		is.True(errs[1] != nil)
 		is.True(errs[2] != nil)
@@ -235,25 +236,25 @@
 	})
 }
 
-// What needs no write costs one question to each member, whatever waits together, and no disk is written.
+// Checks that calls without a write cost one confirm request per member for all waiting calls together, and no write to disk.
 func TestConfirmationIsOneRoundWithoutAWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		defer time.Sleep(time.Minute)
 		c := newCluster(t, 4)
 		ctx := context.Background()
-		_, err := c.owners[0].Change(ctx, "k", raise(0, 1))
+		_, err := c.owners[0].Change(ctx, "k", setNumber(0, 1))
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		before := c.writes()
-		const rounds = 4 // the first, the changes behind it, the reads that were there when those were answered, and the other reads
+		const rounds = 4 // the first call, the changes queued behind it, the reads queued when those were answered, and the remaining reads
 		var all sync.WaitGroup
 		began := time.Now()
-		all.Go(func() { _, _ = c.owners[0].Change(ctx, "k", raise(0, 9)) })
-		time.Sleep(100 * time.Microsecond) // the first is on its way, the others wait behind it
+		all.Go(func() { _, _ = c.owners[0].Change(ctx, "k", setNumber(0, 9)) })
+		time.Sleep(100 * time.Microsecond) // the first call is in progress, so the others are queued behind it
 		for range 50 {
 			all.Go(func() {
-				_, err := c.owners[0].Change(ctx, "k", raise(0, 9))
+				_, err := c.owners[0].Change(ctx, "k", setNumber(0, 9))
 				is.True(apierror.Is(err, apierror.Conflict))
 				_, err = c.owners[0].Commit(ctx, "k", false)
 				is.NoErr(err)
@@ -261,35 +262,35 @@
 		}
 		all.Wait()
 		is.Equal(c.writes(), before)
-		is.True(c.confirms.Load() > 0 && c.confirms.Load() <= rounds*4)
+		is.True(c.confirmRequests.Load() > 0 && c.confirmRequests.Load() <= rounds*4)
 		is.True(time.Since(began) <= rounds*2*time.Millisecond)
-		_, err = c.owners[0].Change(ctx, "k", raise(1, 2)) // what writes needs nothing more
+		_, err = c.owners[0].Change(ctx, "k", setNumber(1, 2)) // a write needs no confirmation
 		is.NoErr(err)
-		is.True(c.confirms.Load() <= rounds*4)
+		is.True(c.confirmRequests.Load() <= rounds*4)
 	})
 }
 
-// A change is written only upon a version that is on a majority. Else a disk that has the change alone would take the version below it for
-// settled, which nobody else has as such.
-func TestChangeIsWrittenUponASettledVersion(t *testing.T) {
+// Guards against a change that is based on an uncommitted version. A disk that received only this change would record the version before it
+// as committed, although no majority has it.
+func TestChangeIsBasedOnACommittedVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		defer time.Sleep(time.Minute)
 		c := newCluster(t, 3)
 		ctx := context.Background()
-		_, err := c.owners[0].Change(ctx, "k", raise(0, 1))
+		_, err := c.owners[0].Change(ctx, "k", setNumber(0, 1))
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		c.isolate(0, true, true)
-		_, err = c.owners[0].Change(ctx, "k", raise(1, 2))
-		is.True(apierror.Is(err, apierror.Undecided)) // one disk has version 2
+		_, err = c.owners[0].Change(ctx, "k", setNumber(1, 2))
+		is.True(apierror.Is(err, apierror.Undecided)) // only one disk has version 2
 		c.isolate(0, false, false)
-		c.cut(2, 1, true) // the next owner hears disk 0 and its own
+		c.cut(2, 1, true) // the next owner hears only from disk 0 and its own
 		var all sync.WaitGroup
-		all.Go(func() { _, err = c.owners[1].Change(ctx, "k", raise(2, 3)) })
+		all.Go(func() { _, err = c.owners[1].Change(ctx, "k", setNumber(2, 3)) })
 		time.Sleep(1500 * time.Microsecond)
 		c.cut(2, 1, false)
-		c.cut(1, 0, true) // what it writes comes to disk 2 alone
+		c.cut(1, 0, true) // what it writes reaches only disk 2
 		c.cut(1, 1, true)
 		all.Wait()
 		is.True(apierror.Is(err, apierror.Undecided))
--- a/register/entry.go
+++ b/register/entry.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxDeltaFiles is the number of version files, the full content and its deltas, after which the full content is written again. That also
-	// happens when the deltas are larger than the content by more than deltaSlack bytes.
+	// maxDeltaFiles is the number of version files, the full content and its deltas, after which the full content is written again. That
+	// also happens when the deltas are larger than the content by more than deltaSlack bytes.
 	maxDeltaFiles = 64
 	deltaSlack    = 4096
 	// writeLockTimeout is how long a write waits for an earlier write to the same register. If the disk stalls for longer, the waiting write
--- a/register/explore_test.go
+++ b/register/explore_test.go
@@ -7,47 +7,48 @@
 	"testing"
 )
 
-var mostSchedules = flag.Int("schedules", 600, "how many schedules the model explores for each scenario; 0: all of them")
+var maxSchedules = flag.Int("schedules", 600, "maximum number of schedules explored per scenario; 0 for all")
 
-const deepest = 60
+const maxDepth = 60
 
-// exploration is what a search over the schedules of a scenario came to.
+// exploration is the result of exploring the schedules of a scenario.
 type exploration struct {
 	schedules, states, steps int
-	full                     bool // no schedule was left out or cut short
+	complete                 bool // no schedule was skipped or cut short
 	path                     []string
 	fault                    error
 }
 
-// explore plays the schedules of a scenario, in the order of how often they leave the plain one: where messages arrive in the order of their
-// sending and nothing fails. A state that was met before is not gone into again. Each schedule is replayed from the beginning: the code under test is the real one and cannot be set to a state.
-func explore(t *testing.T, s scenario, most int) (e exploration) {
+// explore runs the schedules of a scenario breadth-first, by the number of deviations from the default schedule, in which messages arrive
+// in the order of sending and nothing fails. States that were visited before are not explored again. Each schedule is replayed from the
+// beginning, because the code under test can't be set to a given state.
+func explore(t *testing.T, s scenario, limit int) (e exploration) {
 	t.Helper()
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // a bubble's goroutines take turns; on several processors that costs three times as much
-	met := map[uint64]bool{}
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // a bubble's goroutines run in turn; several processors make that three times as slow
+	visited := map[uint64]bool{}
 	queue := [][]int{nil}
-	e.full = true
+	e.complete = true
 	for len(queue) > 0 && e.fault == nil {
-		if most > 0 && e.schedules >= most {
-			e.full = false
+		if limit > 0 && e.schedules >= limit {
+			e.complete = false
 			break
 		}
 		prefix := queue[0]
 		queue = queue[1:]
 		var path []int
 		e.schedules++
-		e.path, e.fault = play(t, s, len(prefix), func(c *model, open []choice) int {
+		e.path, e.fault = runSchedule(t, s, len(prefix), func(c *model, open []choice) int {
 			if at := len(path); at < len(prefix) {
 				path = append(path, prefix[at])
 				return prefix[at]
 			}
 			state := c.fingerprint()
-			if met[state] {
+			if visited[state] {
 				return -1
 			}
-			met[state] = true
-			if len(path) >= deepest {
-				e.full = false
+			visited[state] = true
+			if len(path) >= maxDepth {
+				e.complete = false
 				return -1
 			}
 			for i := 1; i < len(open); i++ {
@@ -58,49 +59,49 @@
 			return 0
 		})
 	}
-	e.states = len(met)
-	e.full = e.full && e.fault == nil
+	e.states = len(visited)
+	e.complete = e.complete && e.fault == nil
 	return e
 }
 
 func (e exploration) String() string {
-	return fmt.Sprintf("%d schedules, %d states, at most %d steps; all of them: %v", e.schedules, e.states, e.steps, e.full)
+	return fmt.Sprintf("%d schedules, %d states, at most %d steps; complete: %v", e.schedules, e.states, e.steps, e.complete)
 }
 
-// race has two owners take the first number for two contents.
-var race = []call{declare(0, 1, 0, "a"), declare(1, 1, 0, "b")}
+// concurrentWrites has two owners write different configurations under the first number.
+var concurrentWrites = []request{writeRequest(0, 1, 0, "a"), writeRequest(1, 1, 0, "b")}
 
-// handover has a key go from one owner to another and back, one declaration on top of the other.
-var handover = []call{declare(0, 1, 0, "a"), declare(1, 2, 1, "a"), declare(0, 3, 2, "a")}
+// handover moves a key from one owner to another and back, with each write based on the previous one.
+var handover = []request{writeRequest(0, 1, 0, "a"), writeRequest(1, 2, 1, "a"), writeRequest(0, 3, 2, "a")}
 
-var explored = []struct {
+var exploredScenarios = []struct {
 	name string
 	scenario
 }{
-	{"race", scenario{size: 3, orders: race, notes: prompt}},
-	{"race, nobody is told what is settled", scenario{size: 3, orders: race, notes: lost}},
-	{"race, a message is lost", scenario{size: 3, orders: race, notes: prompt, faults: budget{losses: 1}}},
-	{"race, an answer is late and a message comes twice", scenario{size: 3, orders: race, notes: lost, faults: budget{delays: 1, doubles: 1}}},
-	{"race, a node restarts", scenario{size: 3, orders: race, notes: lost, faults: budget{restarts: 1}}},
-	{"race and a read", scenario{size: 3, orders: append(race[:2:2], read(0)), notes: prompt}},
-	{"handover", scenario{size: 3, orders: handover, inTurn: true, notes: prompt}},
-	{"handover, a message is lost", scenario{size: 3, orders: handover, inTurn: true, notes: lost, faults: budget{losses: 1}}},
-	{"handover, a node restarts", scenario{size: 3, orders: handover, inTurn: true, notes: prompt, faults: budget{restarts: 1}}},
-	{"a read by the owner before", scenario{size: 3, orders: []call{declare(0, 1, 0, "a"), declare(1, 2, 1, "a"), read(0)}, inTurn: true, notes: prompt}},
-	{"a read by one that only refused", scenario{size: 3, orders: []call{declare(0, 2, 1, "a"), declare(1, 1, 0, "a"), read(0)}, inTurn: true, notes: prompt}},
-	{"the same one again", scenario{size: 3, orders: []call{declare(0, 1, 0, "a"), declare(1, 2, 1, "a"), declare(0, 1, 0, "a")}, inTurn: true, notes: lost}},
-	{"four acceptors", scenario{size: 4, orders: race, notes: prompt, faults: budget{losses: 1}}},
+	{"concurrent writes", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsImmediate}},
+	{"concurrent writes, commit announcements are lost", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost}},
+	{"concurrent writes, a message is lost", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsImmediate, faults: faultBudget{losses: 1}}},
+	{"concurrent writes, an answer is delayed and a message is duplicated", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost, faults: faultBudget{delays: 1, duplicates: 1}}},
+	{"concurrent writes, a node restarts", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost, faults: faultBudget{restarts: 1}}},
+	{"concurrent writes and a read", scenario{size: 3, requests: append(concurrentWrites[:2:2], readRequest(0)), commitDelivery: commitsImmediate}},
+	{"handover", scenario{size: 3, requests: handover, sequential: true, commitDelivery: commitsImmediate}},
+	{"handover, a message is lost", scenario{size: 3, requests: handover, sequential: true, commitDelivery: commitsLost, faults: faultBudget{losses: 1}}},
+	{"handover, a node restarts", scenario{size: 3, requests: handover, sequential: true, commitDelivery: commitsImmediate, faults: faultBudget{restarts: 1}}},
+	{"a read at the previous owner", scenario{size: 3, requests: []request{writeRequest(0, 1, 0, "a"), writeRequest(1, 2, 1, "a"), readRequest(0)}, sequential: true, commitDelivery: commitsImmediate}},
+	{"a read at an owner that has only refused a write", scenario{size: 3, requests: []request{writeRequest(0, 2, 1, "a"), writeRequest(1, 1, 0, "a"), readRequest(0)}, sequential: true, commitDelivery: commitsImmediate}},
+	{"an identical write is sent again", scenario{size: 3, requests: []request{writeRequest(0, 1, 0, "a"), writeRequest(1, 2, 1, "a"), writeRequest(0, 1, 0, "a")}, sequential: true, commitDelivery: commitsLost}},
+	{"four acceptors", scenario{size: 4, requests: concurrentWrites, commitDelivery: commitsImmediate, faults: faultBudget{losses: 1}}},
 }
 
-// Every order of messages, up to a bound, with few faults: no state breaks a rule of the register, and one sequence of versions explains what
-// operators were told.
+// Explores, up to a bound, every order of messages in small scenarios with few faults. No state may violate an invariant of the register,
+// and one linear sequence of versions must explain what the operators were told.
 func TestModelExploresAllSchedulesOfSmallScenarios(t *testing.T) {
-	for _, s := range explored {
+	for _, s := range exploredScenarios {
 		t.Run(s.name, func(t *testing.T) {
-			e := explore(t, s.scenario, *mostSchedules)
+			e := explore(t, s.scenario, *maxSchedules)
 			t.Log(e)
 			if e.fault != nil {
-				t.Errorf("%v, after %s", e.fault, schedule(e.path))
+				t.Errorf("%v, after %s", e.fault, formatSteps(e.path))
 			}
 		})
 	}
--- a/register/fuzz_test.go
+++ b/register/fuzz_test.go
@@ -12,7 +12,7 @@
 	return register.OpenAcceptor(register.AcceptorOptions{Disk: d.Open(), OnChange: func(string, register.Record, register.Fields, bool) {}, OnSkipped: func(string, string, error) {}})
 }
 
-// Whatever stands in a key's files, the acceptor loads, promises above what it tells, and takes a whole change or says why not.
+// FuzzAcceptorLoad loads arbitrary files of a key. The acceptor must load, never promise an epoch twice, and accept a full change.
 func FuzzAcceptorLoad(f *testing.F) {
 	full := `{"key":"k","next":{"epoch":257,"version":1},"whole":true,"fields":{"a":1}}`
 	f.Add("v.0000000000000101.0000000000000001", []byte(full), "p.0000000000000201", []byte(`{}`))
@@ -24,37 +24,37 @@
 		opened := d.Open()
 		for name, text := range map[string][]byte{firstName: first, secondName: second} {
 			if err := opened.Put("kk", name, text); err != nil {
-				return // no name for a file
+				return // not a valid file name
 			}
 		}
-		k, err := openFuzzed(d)
+		a, err := openFuzzed(d)
 		if err != nil {
 			return
 		}
-		now := k.Read("k")
-		if now.Promised < now.Revision.Epoch {
-			t.Errorf("promised %d, and accepted %v", now.Promised, now.Revision)
+		record := a.Read("k")
+		if record.Promised < record.Revision.Epoch {
+			t.Errorf("promised epoch %d is lower than that of the accepted revision %v", record.Promised, record.Revision)
 		}
-		if _, err := k.Prepare("k", now.Promised, register.Revision{}); err == nil {
-			t.Errorf("epoch %d is promised twice", now.Promised)
+		if _, err := a.Prepare("k", record.Promised, register.Revision{}); err == nil {
+			t.Errorf("epoch %d is promised twice", record.Promised)
 		}
-		next := register.Revision{Epoch: now.Promised + 1, Version: 1}
+		next := register.Revision{Epoch: record.Promised + 1, Version: 1}
 		if next.Epoch == 0 {
-			return // no epoch is above the highest
+			return // no epoch is higher than the maximum
 		}
-		if err := k.Accept(register.Change{Key: "k", Next: next, Full: true, Fields: register.Fields{"z": json.RawMessage(`1`)}}); err != nil {
-			t.Errorf("a whole change is not taken: %v", err)
+		if err := a.Accept(register.Change{Key: "k", Next: next, Full: true, Fields: register.Fields{"z": json.RawMessage(`1`)}}); err != nil {
+			t.Errorf("full change is not accepted: %v", err)
 		}
 	})
 }
 
-// Whatever change a message brings, the acceptor takes it or says why not; what it took is there after a restart.
+// FuzzAcceptorAccept sends arbitrary changes. The acceptor must accept or reject them, and must still have what it accepted after a restart.
 func FuzzAcceptorAccept(f *testing.F) {
 	f.Add([]byte(`{"key":"k","next":{"epoch":257,"version":1},"fields":{"a":1}}`), []byte(`{"key":"k","base":{"epoch":257,"version":1},"next":{"epoch":257,"version":2},"fields":{"a":null}}`))
 	f.Add([]byte(`{"key":"k","next":{"epoch":257,"version":1},"whole":true}`), []byte(`{"key":"k","next":{"epoch":256,"version":9},"whole":true,"fields":{"":null}}`))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		d := sim.NewDisk()
-		k, err := openFuzzed(d)
+		a, err := openFuzzed(d)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,10 +63,10 @@
 			if json.Unmarshal(text, &change) != nil || change.Key == "" {
 				return
 			}
-			if k.Accept(change) != nil {
+			if a.Accept(change) != nil {
 				continue
 			}
-			before := k.Read(change.Key)
+			before := a.Read(change.Key)
 			again, err := openFuzzed(d)
 			if err != nil {
 				t.Fatal(err)
@@ -75,9 +75,9 @@
 			was, _ := json.Marshal(before.Fields)
 			is, _ := json.Marshal(after.Fields)
 			if before.Revision != after.Revision || string(was) != string(is) {
-				t.Errorf("%v %s is %v %s after a restart", before.Revision, was, after.Revision, is)
+				t.Errorf("revision %v with content %s became %v with %s after a restart", before.Revision, was, after.Revision, is)
 			}
-			k = again
+			a = again
 		}
 	})
 }
--- a/register/lease_test.go
+++ b/register/lease_test.go
@@ -22,7 +22,7 @@
 	leaseMargin = leaseLength / 8
 )
 
-// leaseStore writes terms in a register: reads from a node's own disk, takes by whichever owner is asked.
+// leaseStore stores leases in a register. It reads from the node's own disk, and acquires through the owner at any node.
 type leaseStore struct {
 	cluster   *cluster
 	candidate *candidate
@@ -33,27 +33,27 @@
 	return lease.ReadGrant(record.Fields, record.Revision.Version)
 }
 
-func (b leaseStore) Acquire(ctx context.Context, _ string, made, met lease.Grant) (uint64, error) {
-	return b.write(ctx, made.Replace(met))
+func (b leaseStore) Acquire(ctx context.Context, _ string, next, seen lease.Grant) (uint64, error) {
+	return b.write(ctx, next.Replace(seen))
 }
 
 func (b leaseStore) write(ctx context.Context, op register.Op) (uint64, error) {
-	revision, err := b.cluster.owners[b.candidate.asked.Load()].Change(ctx, leaseKey, op)
+	revision, err := b.cluster.owners[b.candidate.owner.Load()].Change(ctx, leaseKey, op)
 	return revision.Version, err
 }
 
-// candidate is a process with a candidate. While it is frozen it neither steps nor acts.
+// candidate is a process that campaigns for a lease. While it is frozen it neither campaigns nor acts.
 type candidate struct {
-	candidate *lease.Candidate
-	store     lease.Store
-	node      int
-	life      int
-	frozen    bool
-	asked     atomic.Int64 // the node whose owner takes its next change
-	stepping  sync.Mutex
+	candidate   *lease.Candidate
+	store       lease.Store
+	node        int
+	incarnation int
+	frozen      bool
+	owner       atomic.Int64 // the node whose owner executes its next change
+	stepping    sync.Mutex
 }
 
-// step has a candidate renew or take the duty, unless it is still at it.
+// step has a candidate renew or acquire the lease, unless the previous attempt is still in progress.
 func (c *candidate) step(ctx context.Context) {
 	candidate := c.candidate
 	if !c.stepping.TryLock() {
@@ -65,11 +65,12 @@
 	}()
 }
 
-// fences are the term numbers under which something was done, by holder.
-type fences map[uint64]string
+// usedFences maps each fencing token that was used for an action to its holder.
+type usedFences map[uint64]string
 
-// act has everybody that believes to hold the duty do something under its number.
-func (f fences) act(all []*candidate) error {
+// useAll has every process that believes it holds the lease act with its fencing token. It returns an error if a token is used by two
+// holders or after a higher one, or if several processes hold the lease at the same time.
+func (f usedFences) useAll(all []*candidate) error {
 	var holders []string
 	for _, c := range all {
 		number, own := c.candidate.Held()
@@ -81,35 +82,35 @@
 			continue
 		}
 		if before, isUsed := f[number]; isUsed && before != c.candidate.Holder() {
-			return fmt.Errorf("fence %d was used by %s and by %s", number, before, c.candidate.Holder())
+			return fmt.Errorf("fencing token %d was used by %s and by %s", number, before, c.candidate.Holder())
 		}
 		for used, by := range f {
 			if used > number && by != c.candidate.Holder() {
-				return fmt.Errorf("%s acts under fence %d after %s under %d", c.candidate.Holder(), number, by, used)
+				return fmt.Errorf("%s acts with fencing token %d after %s with %d", c.candidate.Holder(), number, by, used)
 			}
 		}
 		f[number] = c.candidate.Holder()
 	}
 	if len(holders) > 1 {
-		return fmt.Errorf("several hold the duty at once: %v", holders)
+		return fmt.Errorf("several processes hold the lease at once: %v", holders)
 	}
 	return nil
 }
 
-// leases are the planted faults: nil functions for the real code alone.
-type leases struct {
-	length func(node int) time.Duration                 // that a candidate counts with
-	store  func(node int, real lease.Store) lease.Store // that it reads and writes
+// leaseFaults are injected faults. Functions that are nil change nothing.
+type leaseFaults struct {
+	length func(node int) time.Duration                 // the lease length that a candidate assumes
+	store  func(node int, real lease.Store) lease.Store // wraps the store of a candidate
 }
 
-// randomLeases plays candidates on one register under cuts, freezes and restarts of the candidates.
-func randomLeases(t *testing.T, seed uint64, planted leases) (terms int, fault error) {
+// runRandomLeases runs candidates on one register with random link cuts, and freezes and restarts of the candidates.
+func runRandomLeases(t *testing.T, seed uint64, planted leaseFaults) (terms int, fault error) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(seed, 11))
 		c := newCluster(t, 3+random.IntN(2))
 		var all []*candidate
-		sit := func(one *candidate) {
-			one.life++
+		restart := func(one *candidate) {
+			one.incarnation++
 			length := leaseLength
 			if planted.length != nil {
 				length = planted.length(one.node)
@@ -118,17 +119,17 @@
 			if planted.store != nil {
 				one.store = planted.store(one.node, one.store)
 			}
-			one.candidate = lease.New(lease.Options{Role: "d", Holder: fmt.Sprintf("%d.%d", one.node, one.life), Length: length, Margin: leaseMargin, Store: one.store, Log: zerolog.Nop()})
+			one.candidate = lease.New(lease.Options{Role: "d", Holder: fmt.Sprintf("%d.%d", one.node, one.incarnation), Length: length, Margin: leaseMargin, Store: one.store, Log: zerolog.Nop()})
 		}
 		for node := range c.owners {
 			one := &candidate{node: node}
-			sit(one)
+			restart(one)
 			all = append(all, one)
 		}
-		used := fences{}
+		used := usedFences{}
 		for tick := range 1200 {
 			time.Sleep(20 * time.Millisecond)
-			if fault = used.act(all); fault != nil {
+			if fault = used.useAll(all); fault != nil {
 				fault = fmt.Errorf("at %v: %w", time.Duration(tick)*20*time.Millisecond, fault)
 				break
 			}
@@ -139,7 +140,7 @@
 			case 1:
 				one.frozen = true
 			case 2:
-				sit(one)
+				restart(one)
 			case 3, 4:
 				for _, other := range all {
 					other.frozen = false
@@ -148,9 +149,9 @@
 			}
 			for _, stepping := range all {
 				if !stepping.frozen && random.IntN(20) == 0 {
-					stepping.asked.Store(int64(stepping.node))
+					stepping.owner.Store(int64(stepping.node))
 					if random.IntN(3) == 0 {
-						stepping.asked.Store(int64(random.IntN(len(all))))
+						stepping.owner.Store(int64(random.IntN(len(all))))
 					}
 					stepping.step(t.Context())
 				}
@@ -162,59 +163,60 @@
 	return terms, fault
 }
 
-// At no moment do two hold a duty, and no term's number is used by two, whatever is cut off, frozen, woken or started anew.
+// Guards against two processes that hold a lease at the same time, or use the same fencing token, while links are cut and processes are
+// frozen, resumed or restarted.
 func TestLeasesOnTheRegisterUnderRandomFaults(t *testing.T) {
 	sum := 0
 	for n := range uint64(*modelSeeds) {
 		seed := *modelFirst + n
-		terms, fault := randomLeases(t, seed, leases{})
+		terms, fault := runRandomLeases(t, seed, leaseFaults{})
 		sum += terms
 		if fault != nil {
 			t.Fatalf("seed %d (-seeds 1 -first %d): %v", seed, seed, fault)
 		}
 	}
-	t.Logf("%d terms in all", sum)
+	t.Logf("%d terms in total", sum)
 	if sum < *modelSeeds {
-		t.Errorf("only %d terms: too rough to show anything", sum)
+		t.Errorf("only %d terms: too many faults for the test to be meaningful", sum)
 	}
 }
 
-// overAnything takes the duty whatever stands there by now.
-type overAnything struct{ leaseStore }
+// ignoresCurrentGrant acquires the lease whatever grant the register has now.
+type ignoresCurrentGrant struct{ leaseStore }
 
-func (b overAnything) Acquire(ctx context.Context, _ string, made, _ lease.Grant) (uint64, error) {
+func (b ignoresCurrentGrant) Acquire(ctx context.Context, _ string, made, _ lease.Grant) (uint64, error) {
 	return b.write(ctx, func(now register.Fields, version uint64) (register.Fields, error) {
 		return made.Replace(lease.ReadGrant(now, version))(now, version)
 	})
 }
 
-// fromMemory grants the duty without asking anybody.
-type fromMemory struct{ leaseStore }
+// grantsWithoutMajority grants the lease without asking any acceptor.
+type grantsWithoutMajority struct{ leaseStore }
 
-func (b fromMemory) Acquire(_ context.Context, _ string, _, met lease.Grant) (uint64, error) {
+func (b grantsWithoutMajority) Acquire(_ context.Context, _ string, _, met lease.Grant) (uint64, error) {
 	return met.Version + 1, nil
 }
 
-// The test of the test: leases that are not waited out, or that were granted by no majority, are found.
-func TestLeaseModelFindsPlantedFaults(t *testing.T) {
-	for name, planted := range map[string]leases{
+// Checks that the test detects leases that aren't waited out, are taken from another holder, or were granted without a majority.
+func TestLeaseModelFindsInjectedFaults(t *testing.T) {
+	for name, planted := range map[string]leaseFaults{
 		"a lease is not waited out": {length: func(node int) time.Duration {
 			if node == 0 {
 				return leaseLength / 2
 			}
 			return leaseLength
 		}},
-		"a lease is taken over another's": {store: func(_ int, real lease.Store) lease.Store { return overAnything{real.(leaseStore)} }},
-		"a lease from no majority":        {store: func(_ int, real lease.Store) lease.Store { return fromMemory{real.(leaseStore)} }},
+		"a lease replaces the current one of another holder": {store: func(_ int, real lease.Store) lease.Store { return ignoresCurrentGrant{real.(leaseStore)} }},
+		"a lease is granted without a majority":              {store: func(_ int, real lease.Store) lease.Store { return grantsWithoutMajority{real.(leaseStore)} }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(100) {
-				if _, fault := randomLeases(t, seed, planted); fault != nil {
+				if _, fault := runRandomLeases(t, seed, planted); fault != nil {
 					t.Logf("seed %d: %v", seed, fault)
 					return
 				}
 			}
-			t.Error("not found in 100 seeds")
+			t.Error("not detected in 100 seeds")
 		})
 	}
 }
--- a/register/model_test.go
+++ b/register/model_test.go
@@ -20,14 +20,14 @@
 	"asterridge/sim"
 )
 
-// call is one request of an operator at one node; a read if it has no declaration.
-type call struct {
-	node        int
-	declaration *config.NumberedConfig
+// request is one request of an operator at one node: a write of a configuration, or a read if write is nil.
+type request struct {
+	node  int
+	write *config.NumberedConfig
 }
 
-// declare is an order that adds one path, named by its number and label, on top of a base.
-func declare(node int, number, base uint64, label string) call {
+// writeRequest returns a request that adds one path, named after the configuration's number and a label, on top of a base.
+func writeRequest(node int, number, base uint64, label string) request {
 	name := fmt.Sprintf("p%d%s", number, label)
 	b := config.Empty()
 	b.Pools["web"] = config.Pool{Name: "web", Kind: "web"}
@@ -35,312 +35,314 @@
 	d := &config.NumberedConfig{Number: number, BasedOn: base, Digest: fmt.Sprint(number, base, label), Items: b.Fields(),
 		Texts: register.Fields{"path/" + name: json.RawMessage(`{}`)}, Order: []string{"path/" + name}}
 	delete(d.Items, "hold")
-	return call{node, d}
+	return request{node, d}
 }
 
-func read(node int) call { return call{node: node} }
+func readRequest(node int) request { return request{node: node} }
 
-// budget is how often each kind of fault may come about in one schedule.
-type budget struct {
-	losses, delays, doubles, restarts int
+// faultBudget limits how often each kind of fault occurs in one schedule.
+type faultBudget struct {
+	losses, delays, duplicates, restarts int
 }
 
-// notes says how messages go that tell acceptors what is settled. Only time is lost with them, so that small scenarios fix it.
-type notes int
+// commitDelivery is how commit announcements reach the acceptors. They affect only speed, so small scenarios fix it to keep the number of
+// schedules low.
+type commitDelivery int
 
 const (
-	scheduled notes = iota // as all others
-	prompt                 // they arrive at once
-	lost                   // they never arrive
+	commitsScheduled commitDelivery = iota // delivered in any order, like all other messages
+	commitsImmediate                       // delivered at once
+	commitsLost                            // never delivered
 )
 
-// scenario is a small cluster with what is asked of it.
+// scenario is a small cluster with the requests sent to it.
 type scenario struct {
-	size   int
-	orders []call
-	inTurn bool // an order begins only once those before have ended
-	faults budget
-	notes  notes
-	plant  *plant // nil: the real code alone
+	size           int
+	requests       []request
+	sequential     bool // a request begins only after the previous ones have ended
+	faults         faultBudget
+	commitDelivery commitDelivery
+	injected       *injectedFault // nil: no injected fault
 }
 
-// plant wraps the real code with a fault that the model has to find.
-type plant struct {
-	acceptor func(to int, real register.Peer) register.Peer // as an owner meets it
-	quorum   func(i int, all register.Peers) register.Peers // of an owner
-	restart  func(d *sim.Disk)                              // between a node's end and its start
-	number   func(i int) uint32                             // of a node, the low byte of its epochs
+// injectedFault wraps the code under test with a fault that the model has to detect. Functions that are nil change nothing.
+type injectedFault struct {
+	wrapPeer    func(to int, real register.Peer) register.Peer // wraps an acceptor as seen by the owners
+	selectPeers func(i int, all register.Peers) register.Peers // replaces the peers of node i's owner
+	onRestart   func(d *sim.Disk)                              // called between the stop and the start of a node
+	memberID    func(i int) uint32                             // replaces the member ID of node i
 }
 
-// message is one request of an owner to an acceptor, on its way there or, with an answer, on its way back.
+// message is one request of an owner to an acceptor, in transit to it or, if response is set, on the way back.
 type message struct {
-	from, life, to int
-	name           string // what it asks, in full
-	sentAt         int    // the number of steps before it
-	putOff         bool   // a step was taken in its stead
-	do             func() (any, error)
-	answer         *answered
-	back           chan answered // nil: nobody waits for the answer
+	from, incarnation, to int
+	name                  string // complete description of the request
+	sentAt                int    // number of steps taken before it was sent
+	deferred              bool   // a later message was delivered first
+	do                    func() (any, error)
+	response              *response
+	reply                 chan response // nil: nobody waits for the response
 }
 
-type answered struct {
+type response struct {
 	value any
 	err   error
 }
 
-func (a answered) String() string {
+func (a response) String() string {
 	if a.err != nil {
 		return fmt.Sprint(apierror.Of(a.err).Code.Name, apierror.Of(a.err).At)
 	}
-	if record, isRecord := a.value.(register.Record); isRecord {
-		return fmt.Sprint(describe(record), len(record.Fields))
+	if record, ok := a.value.(register.Record); ok {
+		return fmt.Sprint(describeRecord(record), len(record.Fields))
 	}
 	return "yes"
 }
 
-// member is one node: an acceptor on a disk, and an owner.
+// member is one node: an acceptor with its disk, and an owner.
 type member struct {
-	disk     *sim.Disk
-	acceptor *register.Acceptor
-	owner    *register.Owner
-	life     int
-	checked  register.Revision // by check
-	sent     int               // requests of its owner
-	met      [][]string        // what its owner has met since it started, in groups between two steps of its own
+	disk            *sim.Disk
+	acceptor        *register.Acceptor
+	owner           *register.Owner
+	incarnation     int
+	checkedRevision register.Revision // last revision that check has verified
+	requestsSent    int               // requests that its owner has sent since the last observation group
+	observations    [][]string        // what its owner has received since it started, in groups between two of its own steps
 }
 
-// model runs real acceptors and owners; every message waits until the schedule lets it go on.
+// model runs real acceptors and owners. Every message waits until the schedule delivers it.
 type model struct {
-	t        *testing.T
-	scenario scenario
-	left     budget
-	members  []*member
-	history  *linearizability.Recorder
-	steps    int
-
-	mu       sync.Mutex
-	flying   []*message
-	orphans  []chan answered // of owners whose life is over
-	closed   bool
-	log      []string                     // what operators met, in order
-	contents map[register.Revision]string // whatever disk had it
-	yes      []string                     // fields that were acknowledged
-	started  int                          // of the orders
-	running  map[*call]int                // those under way, with the life of their node
-	cuts     map[route]bool
-	fault    error // the first that was found
+	t          *testing.T
+	scenario   scenario
+	faultsLeft faultBudget
+	members    []*member
+	history    *linearizability.Recorder
+	steps      int
+
+	mu                 sync.Mutex
+	inFlight           []*message
+	abandoned          []chan response // reply channels of owners that were stopped by a restart
+	closed             bool
+	operatorLog        []string                     // what operators have seen, in order
+	contents           map[register.Revision]string // JSON content of each revision, from whichever disk it was seen on first
+	acknowledgedFields []string                     // fields of acknowledged writes
+	requestsStarted    int                          // number of requests started
+	running            map[*request]int             // requests in progress, with the incarnation of their node
+	cuts               map[link]bool
+	violation          error // the first violation found
 }
 
 const modelKey = config.Key
 
 func newModel(t *testing.T, s scenario) *model {
-	c := &model{t: t, scenario: s, left: s.faults, history: &linearizability.Recorder{}, contents: map[register.Revision]string{}, running: map[*call]int{}, cuts: map[route]bool{}}
+	c := &model{t: t, scenario: s, faultsLeft: s.faults, history: &linearizability.Recorder{}, contents: map[register.Revision]string{}, running: map[*request]int{}, cuts: map[link]bool{}}
 	for i := range s.size {
 		c.members = append(c.members, &member{disk: sim.NewDisk()})
-		c.start(i)
+		c.startNode(i)
 	}
 	return c
 }
 
-// start opens a node on its disk; the owner of the life before is gone, and nobody waits for its answers.
-func (c *model) start(i int) {
+// startNode starts a node from its disk. The owner of the previous incarnation is discarded, and nobody waits for its answers.
+func (c *model) startNode(i int) {
 	m := c.members[i]
-	m.life++
-	m.met, m.sent = nil, 0
-	if c.scenario.plant != nil && c.scenario.plant.restart != nil && m.life > 1 {
-		c.scenario.plant.restart(m.disk)
+	m.incarnation++
+	m.observations, m.requestsSent = nil, 0
+	if c.scenario.injected != nil && c.scenario.injected.onRestart != nil && m.incarnation > 1 {
+		c.scenario.injected.onRestart(m.disk)
 	}
 	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: m.disk.Open(), OnChange: func(string, register.Record, register.Fields, bool) {},
-		OnSkipped: func(_, file string, err error) { c.found(fmt.Errorf("file %s: %w", file, err)) }})
+		OnSkipped: func(_, file string, err error) { c.reportViolation(fmt.Errorf("file %s: %w", file, err)) }})
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	m.acceptor = acceptor
-	life := m.life
+	incarnation := m.incarnation
 	m.owner = register.NewOwner(register.OwnerOptions{
 		MemberID: func() uint32 {
-			if c.scenario.plant != nil && c.scenario.plant.number != nil {
-				return c.scenario.plant.number(i)
+			if c.scenario.injected != nil && c.scenario.injected.memberID != nil {
+				return c.scenario.injected.memberID(i)
 			}
 			return uint32(i + 1)
 		}, Acceptor: acceptor, Timeout: time.Hour,
 		Peers: func() (register.Peers, error) {
 			var all register.Peers
 			for to := range c.members {
-				var p register.Peer = remote{c, i, life, to}
-				if c.scenario.plant != nil && c.scenario.plant.acceptor != nil {
-					p = c.scenario.plant.acceptor(to, p)
+				var p register.Peer = modelPeer{c, i, incarnation, to}
+				if c.scenario.injected != nil && c.scenario.injected.wrapPeer != nil {
+					p = c.scenario.injected.wrapPeer(to, p)
 				}
 				all = append(all, p)
 			}
-			if c.scenario.plant != nil && c.scenario.plant.quorum != nil {
-				all = c.scenario.plant.quorum(i, all)
+			if c.scenario.injected != nil && c.scenario.injected.selectPeers != nil {
+				all = c.scenario.injected.selectPeers(i, all)
 			}
 			return all, nil
 		},
 	})
 }
 
-// remote is an acceptor as an owner of one life meets it.
-type remote struct {
-	c              *model
-	from, life, to int
+// modelPeer is an acceptor as seen by the owner of one incarnation of a node.
+type modelPeer struct {
+	c                     *model
+	from, incarnation, to int
 }
 
-func (r remote) send(name string, do func(*register.Acceptor) (any, error)) (any, error) {
-	back := make(chan answered, 1)
+func (r modelPeer) send(name string, call func(*register.Acceptor) (any, error)) (any, error) {
+	reply := make(chan response, 1)
 	r.c.mu.Lock()
 	if r.c.closed {
 		r.c.mu.Unlock()
 		return nil, errLost
 	}
-	if from := r.c.members[r.from]; from.life == r.life {
-		from.sent++
+	if from := r.c.members[r.from]; from.incarnation == r.incarnation {
+		from.requestsSent++
 	}
-	r.c.flying = append(r.c.flying, &message{from: r.from, life: r.life, to: r.to, name: name, back: back, sentAt: r.c.steps,
-		do: func() (any, error) { return do(r.c.members[r.to].acceptor) }})
+	r.c.inFlight = append(r.c.inFlight, &message{from: r.from, incarnation: r.incarnation, to: r.to, name: name, reply: reply, sentAt: r.c.steps,
+		do: func() (any, error) { return call(r.c.members[r.to].acceptor) }})
 	r.c.mu.Unlock()
-	a := <-back
+	a := <-reply
 	return a.value, a.err
 }
 
-func (r remote) Prepare(_ context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	value, err := r.send(fmt.Sprint("promise ", epoch, has), func(k *register.Acceptor) (any, error) { return k.Prepare(key, epoch, has) })
+func (r modelPeer) Prepare(_ context.Context, key string, epoch uint64, known register.Revision) (register.Record, error) {
+	value, err := r.send(fmt.Sprint("prepare ", epoch, known), func(a *register.Acceptor) (any, error) { return a.Prepare(key, epoch, known) })
 	record, _ := value.(register.Record)
 	return record, err
 }
 
-func (r remote) Confirm(_ context.Context, key string, epoch uint64) error {
-	_, err := r.send(fmt.Sprint("confirm ", epoch), func(k *register.Acceptor) (any, error) { return nil, k.Confirm(key, epoch) })
+func (r modelPeer) Confirm(_ context.Context, key string, epoch uint64) error {
+	_, err := r.send(fmt.Sprint("confirm ", epoch), func(a *register.Acceptor) (any, error) { return nil, a.Confirm(key, epoch) })
 	return err
 }
 
-func (r remote) Accept(_ context.Context, change register.Change) error {
+func (r modelPeer) Accept(_ context.Context, change register.Change) error {
 	name := fmt.Sprint("accept ", change.Base, change.Next, change.Full, len(change.Fields)) // within one epoch a revision has one content
-	_, err := r.send(name, func(k *register.Acceptor) (any, error) { return nil, k.Accept(change) })
+	_, err := r.send(name, func(a *register.Acceptor) (any, error) { return nil, a.Accept(change) })
 	return err
 }
 
-func (r remote) Commit(_ context.Context, key string, revision register.Revision) {
-	switch r.c.scenario.notes {
-	case prompt:
+func (r modelPeer) Commit(_ context.Context, key string, revision register.Revision) {
+	switch r.c.scenario.commitDelivery {
+	case commitsImmediate:
 		r.c.members[r.to].acceptor.Commit(key, revision)
 		return
-	case lost:
+	case commitsLost:
 		return
 	}
-	_, _ = r.send(fmt.Sprint("settle ", revision), func(k *register.Acceptor) (any, error) { k.Commit(key, revision); return nil, nil })
+	_, _ = r.send(fmt.Sprint("record commit ", revision), func(a *register.Acceptor) (any, error) { a.Commit(key, revision); return nil, nil })
 }
 
-// kind of a step.
-type kind int
+// stepKind is the kind of a step in a schedule.
+type stepKind int
 
 const (
-	plain      kind = iota // a message goes on, or an order begins
-	mending                // all cuts are mended
-	disturbing             // a message is lost, late or doubled
-	restarting             // a node restarts
+	messageStep   stepKind = iota // a message is delivered, or a request begins
+	linkRestoring                 // all links are restored
+	messageFault                  // a message is lost, delayed or duplicated
+	nodeRestart                   // a node restarts
 )
 
 // choice is one step that a schedule may take.
 type choice struct {
 	name    string
-	message *message // that it lets go on; nil for faults and orders
-	kind    kind
-	do      func()
+	message *message // the message that is delivered; nil for faults and requests
+	kind    stepKind
+	run     func()
 }
 
-// choices lists the steps that are open now, in an order that depends on nothing but the steps before: messages by age, the next order,
-// messages that were put off, faults.
+// choices returns the steps that are possible now, in an order that depends only on the previous steps: messages by age, the next request,
+// deferred messages, faults.
 func (c *model) choices() (all []choice) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	slices.SortStableFunc(c.flying, func(a, b *message) int {
-		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.from, b.from), cmp.Compare(a.life, b.life), cmp.Compare(a.name, b.name), cmp.Compare(a.to, b.to))
+	slices.SortStableFunc(c.inFlight, func(a, b *message) int {
+		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.from, b.from), cmp.Compare(a.incarnation, b.incarnation), cmp.Compare(a.name, b.name), cmp.Compare(a.to, b.to))
 	})
-	var later []choice
-	for _, m := range c.flying {
-		made := choice{m.String(), m, plain, func() { c.exchange(m) }}
-		if m.answer != nil {
-			made = choice{"the late answer to " + m.String(), m, plain, func() { c.remove(m); c.bring(m, *m.answer) }}
+	var deferred []choice
+	for _, m := range c.inFlight {
+		step := choice{m.String(), m, messageStep, func() { c.deliver(m) }}
+		if m.response != nil {
+			step = choice{"the delayed answer to " + m.String(), m, messageStep, func() { c.remove(m); c.deliverResponse(m, *m.response) }}
 		}
-		if c.isCut(m) {
+		if c.isBlocked(m) {
 			continue
 		}
-		if m.putOff {
-			later = append(later, made)
+		if m.deferred {
+			deferred = append(deferred, step)
 		} else {
-			all = append(all, made)
+			all = append(all, step)
 		}
 	}
-	if c.started < len(c.scenario.orders) && !(c.scenario.inTurn && c.isAnyRunning()) {
-		o := &c.scenario.orders[c.started]
-		all = append(all, choice{o.String(), nil, plain, func() { c.ask(o) }})
+	if c.requestsStarted < len(c.scenario.requests) && !(c.scenario.sequential && c.isAnyRunning()) {
+		o := &c.scenario.requests[c.requestsStarted]
+		all = append(all, choice{o.String(), nil, messageStep, func() { c.startRequest(o) }})
 	}
 	if len(c.cuts) > 0 {
-		later = append(later, choice{"the cuts are mended", nil, mending, func() { clear(c.cuts) }})
+		deferred = append(deferred, choice{"all links are restored", nil, linkRestoring, func() { clear(c.cuts) }})
 	}
-	return slices.Concat(all, later, c.faultsOpen())
+	return slices.Concat(all, deferred, c.faultChoices())
 }
 
-// route is one direction between two nodes.
-type route struct{ from, to int }
+// link is one direction between two nodes.
+type link struct{ from, to int }
 
-// isCut says whether a message cannot go on now.
-func (c *model) isCut(m *message) bool {
-	if m.answer != nil {
-		return c.cuts[route{m.to, m.from}]
+// isBlocked reports whether a cut link blocks the next delivery of a message.
+func (c *model) isBlocked(m *message) bool {
+	if m.response != nil {
+		return c.cuts[link{m.to, m.from}]
 	}
-	return c.cuts[route{m.from, m.to}]
+	return c.cuts[link{m.from, m.to}]
 }
 
-// exchange has a message arrive, and its answer too if the way back is open.
-func (c *model) exchange(m *message) {
-	a := c.run(m)
-	if c.cuts[route{m.to, m.from}] {
-		m.answer = &a
+// deliver delivers a message to its acceptor, and also the response unless the link back is cut.
+func (c *model) deliver(m *message) {
+	a := c.execute(m)
+	if c.cuts[link{m.to, m.from}] {
+		m.response = &a
 		return
 	}
 	c.remove(m)
-	c.bring(m, a)
+	c.deliverResponse(m, a)
 }
 
-// take makes one of the open choices; the messages before it are put off, so that whoever follows the order of choices comes to them last.
+// take takes one of the possible steps. Messages listed before it are deferred, so that schedules that follow the order of choices deliver
+// them last.
 func (c *model) take(open []choice, pick int) {
 	for _, passed := range open[:pick] {
 		if passed.message != nil && open[pick].message != nil {
-			passed.message.putOff = true
+			passed.message.deferred = true
 		}
 	}
 	c.steps++
-	open[pick].do()
+	open[pick].run()
 }
 
-func (c *model) faultsOpen() (all []choice) {
-	for _, m := range c.flying {
-		if m.answer != nil || m.back == nil || c.isCut(m) {
+func (c *model) faultChoices() (all []choice) {
+	for _, m := range c.inFlight {
+		if m.response != nil || m.reply == nil || c.isBlocked(m) {
 			continue
 		}
-		if c.left.losses > 0 {
+		if c.faultsLeft.losses > 0 {
 			all = append(all,
-				choice{"loss of " + m.String(), nil, disturbing, func() { c.left.losses--; c.remove(m); c.bring(m, answered{err: errLost}) }},
-				choice{"loss of the answer to " + m.String(), nil, disturbing, func() { c.left.losses--; c.remove(m); c.run(m); c.bring(m, answered{err: errLost}) }})
+				choice{"loss of " + m.String(), nil, messageFault, func() { c.faultsLeft.losses--; c.remove(m); c.deliverResponse(m, response{err: errLost}) }},
+				choice{"loss of the answer to " + m.String(), nil, messageFault, func() { c.faultsLeft.losses--; c.remove(m); c.execute(m); c.deliverResponse(m, response{err: errLost}) }})
 		}
-		if c.left.delays > 0 {
-			all = append(all, choice{"delay of the answer to " + m.String(), nil, disturbing, func() { c.left.delays--; a := c.run(m); m.answer = &a }})
+		if c.faultsLeft.delays > 0 {
+			all = append(all, choice{"delay of the answer to " + m.String(), nil, messageFault, func() { c.faultsLeft.delays--; a := c.execute(m); m.response = &a }})
 		}
-		if c.left.doubles > 0 {
-			all = append(all, choice{"a copy left over of " + m.String(), nil, disturbing, func() {
-				c.left.doubles--
+		if c.faultsLeft.duplicates > 0 {
+			all = append(all, choice{"duplicate of " + m.String(), nil, messageFault, func() {
+				c.faultsLeft.duplicates--
 				c.remove(m)
-				c.bring(m, c.run(m))
-				c.fly(&message{from: m.from, life: m.life, to: m.to, name: m.name, do: m.do, sentAt: c.steps})
+				c.deliverResponse(m, c.execute(m))
+				c.addInFlight(&message{from: m.from, incarnation: m.incarnation, to: m.to, name: m.name, do: m.do, sentAt: c.steps})
 			}})
 		}
 	}
-	if c.left.restarts > 0 {
+	if c.faultsLeft.restarts > 0 {
 		for i := range c.members {
-			all = append(all, choice{fmt.Sprint("restart of ", i), nil, restarting, func() { c.left.restarts--; c.restart(i) }})
+			all = append(all, choice{fmt.Sprint("restart of ", i), nil, nodeRestart, func() { c.faultsLeft.restarts--; c.restart(i) }})
 		}
 	}
 	return all
@@ -348,67 +350,66 @@
 
 func (m *message) String() string { return fmt.Sprintf("%d→%d %s", m.from, m.to, m.name) }
 
-func (o *call) String() string {
-	if o.declaration == nil {
+func (o *request) String() string {
+	if o.write == nil {
 		return fmt.Sprintf("read at %d", o.node)
 	}
-	return fmt.Sprintf("declaration %s at %d", o.declaration.Digest, o.node)
+	return fmt.Sprintf("write %s at %d", o.write.Digest, o.node)
 }
 
-func (c *model) fly(m *message) {
+func (c *model) addInFlight(m *message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.flying = append(c.flying, m)
+	c.inFlight = append(c.inFlight, m)
 }
 
 func (c *model) remove(m *message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.flying = slices.DeleteFunc(c.flying, func(other *message) bool { return other == m })
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(other *message) bool { return other == m })
 }
 
-// run has the acceptor do what a message asks.
-func (c *model) run(m *message) answered {
+// execute has the acceptor execute the request of a message.
+func (c *model) execute(m *message) response {
 	value, err := m.do()
-	return answered{value, err}
+	return response{value, err}
 }
 
-// bring gives an answer to the owner that waits for it, if it still lives.
-func (c *model) bring(m *message, a answered) {
+// deliverResponse passes a response to the waiting owner, unless the owner's node has restarted.
+func (c *model) deliverResponse(m *message, a response) {
 	from := c.members[m.from]
-	if m.back == nil || m.life != from.life {
+	if m.reply == nil || m.incarnation != from.incarnation {
 		return
 	}
-	c.meet(m.from, fmt.Sprint(m.to, m.name, a))
-	m.back <- a
+	c.recordObservation(m.from, fmt.Sprint(m.to, m.name, a))
+	m.reply <- a
 }
 
-// meet notes what a node's owner learns. The order of what it learns between two steps of its own does not matter to it.
-func (c *model) meet(i int, what string) {
+// recordObservation records what a node's owner receives. The order of what it receives between two of its own steps doesn't matter to it.
+func (c *model) recordObservation(i int, what string) {
 	m := c.members[i]
-	if len(m.met) == 0 {
-		m.met = [][]string{nil}
+	if len(m.observations) == 0 {
+		m.observations = [][]string{nil}
 	}
-	m.met[len(m.met)-1] = append(m.met[len(m.met)-1], what)
+	m.observations[len(m.observations)-1] = append(m.observations[len(m.observations)-1], what)
 }
 
-// group begins a new group for each owner that has taken a step since the last call, with what it has on its own disk: owners read that at
-// their own steps alone.
-func (c *model) group() {
+// startObservationGroups starts a new group for each owner that has sent requests since the last call. The group begins with the state of
+// the owner's own disk, which owners read only at their own steps.
+func (c *model) startObservationGroups() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, m := range c.members {
-		if m.sent > 0 {
-			m.sent = 0
-			m.met = append(m.met, []string{describe(m.acceptor.Read(modelKey))})
+		if m.requestsSent > 0 {
+			m.requestsSent = 0
+			m.observations = append(m.observations, []string{describeRecord(m.acceptor.Read(modelKey))})
 		}
 	}
 }
 
-// describe tells records apart; one revision has one content, which check looks after.
 func numberOf(m *member) uint64 { return numberIn(m.acceptor.Read(modelKey).Fields) }
 
-// numberIn reads the number of a configuration that this test has written; one that cannot be read ends the test.
+// numberIn returns the number of a configuration that this test has written. It panics if the fields can't be decoded.
 func numberIn(fields register.Fields) uint64 {
 	number, err := config.Number(fields)
 	if err != nil {
@@ -417,106 +418,107 @@
 	return number
 }
 
-func describe(r register.Record) string { return fmt.Sprint(r.Promised, r.Revision, r.Committed) }
+// describeRecord distinguishes records. The fields are left out, because check verifies that a revision has only one content.
+func describeRecord(r register.Record) string { return fmt.Sprint(r.Promised, r.Revision, r.Committed) }
 
-// restart ends a node with all that only its memory had, and starts it on its disk. Its owner's requests are still on their way.
+// restart stops a node, which loses its memory, and starts it again from its disk. Requests of its previous owner remain in transit.
 func (c *model) restart(i int) {
 	c.mu.Lock()
-	for _, m := range c.flying {
-		if m.from == i && m.back != nil {
-			c.orphans = append(c.orphans, m.back)
-			m.back = nil
+	for _, m := range c.inFlight {
+		if m.from == i && m.reply != nil {
+			c.abandoned = append(c.abandoned, m.reply)
+			m.reply = nil
 		}
 	}
-	c.flying = slices.DeleteFunc(c.flying, func(m *message) bool { return m.from == i && m.answer != nil })
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(m *message) bool { return m.from == i && m.response != nil })
 	c.mu.Unlock()
-	c.start(i)
+	c.startNode(i)
 }
 
-// ask begins the next order.
-func (c *model) ask(o *call) {
-	c.started++
+// startRequest starts the next request.
+func (c *model) startRequest(o *request) {
+	c.requestsStarted++
 	c.mu.Lock()
-	c.running[o] = c.members[o.node].life
+	c.running[o] = c.members[o.node].incarnation
 	c.mu.Unlock()
-	owner, acceptor, life := c.members[o.node].owner, c.members[o.node].acceptor, c.members[o.node].life
-	c.meet(o.node, o.String())
-	c.note("begins: " + o.String())
-	if o.declaration == nil {
+	owner, acceptor, incarnation := c.members[o.node].owner, c.members[o.node].acceptor, c.members[o.node].incarnation
+	c.recordObservation(o.node, o.String())
+	c.logOperator("started: " + o.String())
+	if o.write == nil {
 		done := c.history.Read()
 		go func() {
 			revision, err := owner.Commit(context.Background(), modelKey, false)
 			now := acceptor.Read(modelKey)
-			shown := now.Revision == revision || revision.Less(now.Revision) && now.IsCommitted() // as a core's read does; it would wait for the rest
-			if c.ends(o, life) && err == nil && shown {
+			shown := now.Revision == revision || revision.Less(now.Revision) && now.IsCommitted() // as in a core's read, which would wait if this were false
+			if c.finish(o, incarnation) && err == nil && shown {
 				done(numberIn(now.Fields), linearizability.Items(config.Texts(now.Fields)))
-				c.note(fmt.Sprint("shows ", numberIn(now.Fields), ": ", o))
+				c.logOperator(fmt.Sprint("read ", numberIn(now.Fields), ": ", o))
 			}
 		}()
 		return
 	}
-	done := c.history.Declare(linearizability.Of(*o.declaration))
+	done := c.history.Declare(linearizability.Of(*o.write))
 	go func() {
 		_, err := owner.Change(context.Background(), modelKey, func(now register.Fields, version uint64) (register.Fields, error) {
-			return config.ApplyNumbered(now, version, *o.declaration)
+			return config.ApplyNumbered(now, version, *o.write)
 		})
-		if !c.ends(o, life) {
+		if !c.finish(o, incarnation) {
 			return
 		}
 		outcome := linearizability.OutcomeOf(err)
 		if outcome == linearizability.Acknowledged {
 			c.mu.Lock()
-			c.yes = append(c.yes, o.declaration.Order[0])
+			c.acknowledgedFields = append(c.acknowledgedFields, o.write.Order[0])
 			c.mu.Unlock()
 		}
 		done(outcome)
-		c.note(fmt.Sprint("ends with ", outcome, ": ", o))
+		c.logOperator(fmt.Sprint("ended with ", outcome, ": ", o))
 	}()
 }
 
-// ends says whether an order's node still lives to answer it, and takes it off those under way.
-func (c *model) ends(o *call, life int) bool {
+// finish removes a request from those in progress, and reports whether its node has not restarted since and can still answer it.
+func (c *model) finish(o *request, incarnation int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running, o)
-	return !c.closed && c.members[o.node].life == life
+	return !c.closed && c.members[o.node].incarnation == incarnation
 }
 
 func (c *model) isAnyRunning() bool {
-	for o, life := range c.running {
-		if c.members[o.node].life == life {
+	for o, incarnation := range c.running {
+		if c.members[o.node].incarnation == incarnation {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *model) note(line string) {
+func (c *model) logOperator(line string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.log = append(c.log, line)
+	c.operatorLog = append(c.operatorLog, line)
 }
 
-func (c *model) found(err error) {
-	if c.fault == nil {
-		c.fault = err
+func (c *model) reportViolation(err error) {
+	if c.violation == nil {
+		c.violation = err
 	}
 }
 
-// check holds the state against the register's rules.
+// check verifies the invariants of the register in the present state, and the history seen by the operators.
 func (c *model) check() error {
 	var records []register.Record
 	for i, m := range c.members {
 		r := m.acceptor.Read(modelKey)
 		records = append(records, r)
 		at := r.Revision
-		if c.members[i].checked == at {
+		if c.members[i].checkedRevision == at {
 			continue
 		}
-		c.members[i].checked = at
-		raw, _ := json.Marshal(r.Fields) // maps encode in the order of their names
+		c.members[i].checkedRevision = at
+		raw, _ := json.Marshal(r.Fields) // maps are encoded with sorted keys
 		if was, met := c.contents[at]; met && was != string(raw) {
-			c.found(fmt.Errorf("stamp %v has two contents; the other one is at node %d", at, i))
+			c.reportViolation(fmt.Errorf("revision %v has two contents; the second one is at node %d", at, i))
 		}
 		c.contents[at] = string(raw)
 	}
@@ -527,19 +529,19 @@
 				best = records[i]
 			}
 		}
-		for _, field := range c.yes {
+		for _, field := range c.acknowledgedFields {
 			if best.Fields[field] == nil {
-				c.found(fmt.Errorf("%s was acknowledged, and the majority %v knows nothing of it", field, quorum))
+				c.reportViolation(fmt.Errorf("%s was acknowledged, but is missing in majority %v", field, quorum))
 			}
 		}
 	}
 	if err := c.history.Check(); err != nil {
-		c.found(err)
+		c.reportViolation(err)
 	}
-	return c.fault
+	return c.violation
 }
 
-// majorities lists the smallest ones of so many nodes.
+// majorities returns all minimal majorities of a number of nodes.
 func majorities(size int) (all [][]int) {
 	for bits := range 1 << size {
 		var quorum []int
@@ -555,51 +557,52 @@
 	return all
 }
 
-// fingerprint is equal for states with the same future: disks, messages under way, what each owner has met, and what operators have met.
+// fingerprint is equal for states with the same possible continuations. It covers the disks, the messages in transit, what each owner has
+// received, and what operators have seen.
 func (c *model) fingerprint() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := fnv.New64a()
 	put := func(parts ...any) { _, _ = fmt.Fprintln(h, parts...) }
-	put(c.left, c.started)
+	put(c.faultsLeft, c.requestsStarted)
 	for _, m := range c.members {
-		put(describe(m.acceptor.Read(modelKey)), len(m.met))
-		for _, group := range m.met {
+		put(describeRecord(m.acceptor.Read(modelKey)), len(m.observations))
+		for _, group := range m.observations {
 			put(slices.Sorted(slices.Values(group)))
 		}
 	}
-	for _, m := range c.flying {
-		put(m.from, m.life, m.to, m.name, m.back == nil, m.answer)
+	for _, m := range c.inFlight {
+		put(m.from, m.incarnation, m.to, m.name, m.reply == nil, m.response)
 	}
-	put(c.log)
+	put(c.operatorLog)
 	return h.Sum64()
 }
 
-// close lets all goroutines end.
+// close makes all goroutines end.
 func (c *model) close() {
 	c.mu.Lock()
 	c.closed = true
-	waiting := c.orphans
-	for _, m := range c.flying {
-		if m.back != nil {
-			waiting = append(waiting, m.back)
+	waiting := c.abandoned
+	for _, m := range c.inFlight {
+		if m.reply != nil {
+			waiting = append(waiting, m.reply)
 		}
 	}
 	c.mu.Unlock()
-	for _, back := range waiting {
-		back <- answered{err: errLost}
+	for _, reply := range waiting {
+		reply <- response{err: errLost}
 	}
 }
 
-// play runs one schedule in a bubble: next picks a step among those that are open, or none to end it. The first steps are not checked, for
-// those that replay them.
-func play(t *testing.T, s scenario, checked int, next func(c *model, open []choice) int) (steps []string, fault error) {
+// runSchedule runs one schedule in a synctest bubble. The function next picks one of the possible steps, or returns a negative number to
+// end the schedule. States before step number checked are not checked, for schedules that replay a known prefix.
+func runSchedule(t *testing.T, s scenario, checked int, next func(c *model, open []choice) int) (steps []string, fault error) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newModel(t, s)
 		defer c.close()
 		for {
 			synctest.Wait()
-			c.group()
+			c.startObservationGroups()
 			if len(steps) >= checked {
 				if fault = c.check(); fault != nil {
 					return
@@ -620,4 +623,4 @@
 	return steps, fault
 }
 
-func schedule(steps []string) string { return "\n  " + strings.Join(steps, "\n  ") }
+func formatSteps(steps []string) string { return "\n  " + strings.Join(steps, "\n  ") }
--- a/register/orders_test.go
+++ b/register/orders_test.go
@@ -20,87 +20,88 @@
 )
 
 var (
-	orderSeeds = flag.Int("orderseeds", 300, "schedules of operators' orders to play")
-	orderFirst = flag.Uint64("orderfirst", 0, "the first one's seed")
+	orderSeeds = flag.Int("orderseeds", 300, "number of random schedules of configuration submissions to run")
+	orderFirst = flag.Uint64("orderfirst", 0, "seed of the first schedule")
 )
 
-// order is a configuration as one of the operators sends it, as often as it takes.
-type order struct {
+// submission is a configuration that an operator sends, possibly several times.
+type submission struct {
 	config.NumberedConfig
-	verdicts []string // in order of their coming, also of copies that came late
+	outcomes []string // in order of arrival, including the outcomes of late duplicates
 }
 
-func (o *order) String() string {
-	return fmt.Sprintf("%d on %d %s: %v", o.Number, o.BasedOn, o.Digest, o.verdicts)
+func (o *submission) String() string {
+	return fmt.Sprintf("%d on %d %s: %v", o.Number, o.BasedOn, o.Digest, o.outcomes)
 }
 
-// send has a core take an order, and notes the verdict if the answer is not lost on its way.
-func (w *world) send(core int, o *order) string {
-	_, err := w.at(core).owner.Change(context.Background(), config.Key, func(now register.Fields, version uint64) (register.Fields, error) {
-		return config.ApplyNumbered(now, version, o.NumberedConfig)
+// submit sends a submission to a core, and records the outcome unless the answer is lost.
+func (w *lossyCluster) submit(core int, o *submission) string {
+	_, err := w.node(core).owner.Change(context.Background(), config.Key, func(current register.Fields, version uint64) (register.Fields, error) {
+		return config.ApplyNumbered(current, version, o.NumberedConfig)
 	})
-	verdict := "unclear"
+	outcome := "unclear"
 	switch {
 	case err == nil:
-		verdict = "accepted"
+		outcome = "accepted"
 	case apierror.Is(err, apierror.Conflict), apierror.Is(err, apierror.OutOfRange):
-		verdict = "refused"
+		outcome = "refused"
 	}
-	if w.isLost() {
+	if w.dropsMessage() {
 		return "unclear"
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	o.verdicts = append(o.verdicts, verdict)
-	return verdict
+	o.outcomes = append(o.outcomes, outcome)
+	return outcome
 }
 
-// read gives the present number as a confirmed owner knows it.
-func (w *world) read(core int) (number uint64, isRead bool) {
-	_, err := w.at(core).owner.Change(context.Background(), config.Key, func(now register.Fields, _ uint64) (_ register.Fields, err error) {
-		number, err = config.Number(now)
+// read returns the number of the present configuration, as confirmed by a majority.
+func (w *lossyCluster) read(core int) (number uint64, ok bool) {
+	_, err := w.node(core).owner.Change(context.Background(), config.Key, func(current register.Fields, _ uint64) (_ register.Fields, err error) {
+		number, err = config.Number(current)
 		return nil, err
 	})
 	return number, err == nil
 }
 
-func someOrder(number, basedOn uint64, digest string) *order {
-	b := config.Empty()
+func newSubmission(number, basedOn uint64, digest string) *submission {
+	content := config.Empty()
 	if basedOn == 0 {
-		b.Pools["web"] = config.Pool{Name: "web", Kind: "web"}
+		content.Pools["web"] = config.Pool{Name: "web", Kind: "web"}
 	}
-	items := b.Fields()
+	items := content.Fields()
 	delete(items, "hold")
-	return &order{NumberedConfig: config.NumberedConfig{Number: number, BasedOn: basedOn, Full: basedOn == 0, Digest: digest, Items: items}}
+	return &submission{NumberedConfig: config.NumberedConfig{Number: number, BasedOn: basedOn, Full: basedOn == 0, Digest: digest, Items: items}}
 }
 
-// Two to eight operators send configurations to any core, again while the first is under way, and again much later; messages and answers
-// are lost, late or doubled, and cores crash. No order gets both verdicts, no number two contents, and no read goes back.
-func TestOperatorsOrdersGetOneVerdictUnderRandomSchedules(t *testing.T) {
-	sums := map[string]int{}
+// Guards against contradictory answers. Two to eight operators send configurations to random cores, concurrently and again much later,
+// while messages and answers are lost, delayed or duplicated, and cores crash. No submission may be both accepted and refused, no number
+// may get two contents, and no read may return an older number than an earlier one.
+func TestSubmissionsGetOneOutcomeUnderRandomSchedules(t *testing.T) {
+	outcomeCounts := map[string]int{}
 	for seed := *orderFirst; seed < *orderFirst+uint64(*orderSeeds); seed++ {
-		synctest.Test(t, func(t *testing.T) { playOrders(t, seed, sums) })
+		synctest.Test(t, func(t *testing.T) { runOperators(t, seed, outcomeCounts) })
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 	}
-	t.Logf("verdicts: %v", sums)
-	if sums["accepted"] < 2**orderSeeds || sums["refused"] < 2**orderSeeds {
-		t.Error("the schedules are too rough to show anything")
+	t.Logf("outcomes: %v", outcomeCounts)
+	if outcomeCounts["accepted"] < 2**orderSeeds || outcomeCounts["refused"] < 2**orderSeeds {
+		t.Error("too many faults for the test to be meaningful")
 	}
 }
 
-func playOrders(t *testing.T, seed uint64, sums map[string]int) {
+func runOperators(t *testing.T, seed uint64, outcomeCounts map[string]int) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(seed, 3))
 	cores := 3 + random.IntN(3)
-	w := &world{t: t, random: random, loss: 0.02 + 0.12*random.Float64(), nodes: make([]*node, cores), settled: map[register.Revision]int{}}
-	defer time.Sleep(time.Minute) // all that is under way ends
+	w := &lossyCluster{t: t, random: random, lossRate: 0.02 + 0.12*random.Float64(), nodes: make([]*node, cores), committedSizes: map[register.Revision]int{}}
+	defer time.Sleep(time.Minute) // lets everything in progress end
 	for range cores {
 		w.disks = append(w.disks, sim.NewDisk())
 	}
 	for i := range cores {
-		w.start(i)
+		w.startNode(i)
 	}
 	pick := func(n int) int {
 		w.mu.Lock()
@@ -108,9 +109,9 @@
 		return random.IntN(n)
 	}
 	var mu sync.Mutex
-	var all []*order
-	highest := uint64(0) // that was read or acknowledged so far
-	met := func(number uint64) {
+	var submissions []*submission
+	highest := uint64(0) // highest number read or acknowledged so far
+	observe := func(number uint64) {
 		mu.Lock()
 		defer mu.Unlock()
 		highest = max(highest, number)
@@ -119,115 +120,116 @@
 	for operator := range 2 + pick(7) {
 		operators.Go(func() {
 			var known uint64
-			var own []*order
+			var ownSubmissions []*submission
 			for n := range 6 {
 				time.Sleep(w.delay() * 2)
 				mu.Lock()
-				least := highest
+				minimum := highest
 				mu.Unlock()
-				if number, read := w.read(pick(cores)); read {
-					if number < least {
-						t.Errorf("read %d after %d", number, least)
+				if number, ok := w.read(pick(cores)); ok {
+					if number < minimum {
+						t.Errorf("read %d after %d", number, minimum)
 					}
 					known = number
-					met(number)
+					observe(number)
 				}
-				o := someOrder(known+1+uint64(pick(3)), known, fmt.Sprint(operator, ".", n))
-				own = append(own, o)
+				o := newSubmission(known+1+uint64(pick(3)), known, fmt.Sprint(operator, ".", n))
+				ownSubmissions = append(ownSubmissions, o)
 				mu.Lock()
-				all = append(all, o)
+				submissions = append(submissions, o)
 				mu.Unlock()
-				if pick(3) == 0 { // a copy that is under way at the same time
+				if pick(3) == 0 { // a concurrent duplicate
 					core := pick(cores)
-					operators.Go(func() { w.send(core, o) })
+					operators.Go(func() { w.submit(core, o) })
 				}
 				for range 4 {
-					verdict := w.send(pick(cores), o)
-					if verdict == "accepted" {
-						met(o.Number)
+					outcome := w.submit(pick(cores), o)
+					if outcome == "accepted" {
+						observe(o.Number)
 					}
-					if verdict != "unclear" {
+					if outcome != "unclear" {
 						break
 					}
 				}
-				w.send(pick(cores), own[pick(len(own))]) // an older one again
+				w.submit(pick(cores), ownSubmissions[pick(len(ownSubmissions))]) // resends an earlier submission
 			}
 		})
 	}
-	crashing, stop := context.WithCancel(t.Context())
-	var crashes sync.WaitGroup
-	crashes.Go(func() {
-		for crashing.Err() == nil {
+	restarting, stop := context.WithCancel(t.Context())
+	var restarts sync.WaitGroup
+	restarts.Go(func() {
+		for restarting.Err() == nil {
 			time.Sleep(w.delay() * 30)
-			w.start(pick(cores))
+			w.startNode(pick(cores))
 		}
 	})
 	operators.Wait()
 	stop()
-	crashes.Wait()
+	restarts.Wait()
 	w.mu.Lock()
-	w.loss = 0
+	w.lossRate = 0
 	w.mu.Unlock()
 	time.Sleep(5 * time.Second)
-	for _, o := range all { // all is well again: each has a verdict now
-		if verdict := w.send(pick(cores), o); verdict == "unclear" {
-			verdict = w.send(pick(cores), o)
-			is.True(verdict != "unclear")
+	for _, o := range submissions { // the faults are over: every submission must get an outcome now
+		if outcome := w.submit(pick(cores), o); outcome == "unclear" {
+			outcome = w.submit(pick(cores), o)
+			is.True(outcome != "unclear")
 		}
 	}
 	accepted := map[uint64]string{}
-	for _, o := range all {
-		last := o.verdicts[len(o.verdicts)-1]
-		for _, verdict := range o.verdicts {
-			if verdict != "unclear" && verdict != last {
+	for _, o := range submissions {
+		last := o.outcomes[len(o.outcomes)-1]
+		for _, outcome := range o.outcomes {
+			if outcome != "unclear" && outcome != last {
 				t.Errorf("%v", o)
 			}
 		}
 		if last == "accepted" {
-			is.Equal(accepted[o.Number], "") // one content a number
+			is.Equal(accepted[o.Number], "") // each number has one content
 			accepted[o.Number] = o.Digest
 		}
-		sums[last]++
+		outcomeCounts[last]++
 	}
-	number, isRead := w.read(0)
-	is.True(isRead)
-	for taken := range accepted {
-		is.True(taken <= number)
+	number, ok := w.read(0)
+	is.True(ok)
+	for acceptedNumber := range accepted {
+		is.True(acceptedNumber <= number)
 	}
 	is.True(number == 0 || accepted[number] != "")
 	is.True(number >= highest)
 }
 
-// The orders of a long day, each sent again at the end: to any core, whatever else runs there.
-func TestThousandOrdersSentAgainAreAcknowledged(t *testing.T) {
+// Guards against losing the record of accepted submissions. After 1000 submissions and a restart of all cores, each one is sent again to
+// some core and must be acknowledged without a write. The register must stay below 40 bytes per submission.
+func TestResentSubmissionsAreAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := &world{t: t, random: rand.New(rand.NewPCG(7, 7)), nodes: make([]*node, 4), settled: map[register.Revision]int{}}
+		w := &lossyCluster{t: t, random: rand.New(rand.NewPCG(7, 7)), nodes: make([]*node, 4), committedSizes: map[register.Revision]int{}}
 		defer time.Sleep(time.Minute)
 		for i := range 4 {
 			w.disks = append(w.disks, sim.NewDisk())
-			w.start(i)
+			w.startNode(i)
 		}
-		var all []*order
+		var submissions []*submission
 		for n := uint64(1); n <= 1000; n++ {
-			o := someOrder(n, n-1, fmt.Sprint("text ", n))
-			is.Equal(w.send(int(n/50%4), o), "accepted")
-			all = append(all, o)
+			o := newSubmission(n, n-1, fmt.Sprint("text ", n))
+			is.Equal(w.submit(int(n/50%4), o), "accepted")
+			submissions = append(submissions, o)
 		}
-		raw, err := json.Marshal(w.at(3).acceptor.Read(config.Key).Fields)
+		raw, err := json.Marshal(w.node(3).acceptor.Read(config.Key).Fields)
 		is.NoErr(err)
 		t.Logf("the register has %d bytes after 1000 changes", len(raw))
 		is.True(len(raw) < 40*1000)
 		for i := range 4 {
-			w.start(i) // all lose power
+			w.startNode(i) // all cores restart from their disks
 		}
 		w.mu.Lock()
-		w.random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+		w.random.Shuffle(len(submissions), func(i, j int) { submissions[i], submissions[j] = submissions[j], submissions[i] })
 		w.mu.Unlock()
-		for i, o := range all {
-			is.Equal(w.send(i/9%4, o), "accepted")
+		for i, o := range submissions {
+			is.Equal(w.submit(i/9%4, o), "accepted")
 		}
-		revision, err := w.at(0).owner.Commit(context.Background(), config.Key, false)
+		revision, err := w.node(0).owner.Commit(context.Background(), config.Key, false)
 		is.NoErr(err)
 		is.Equal(revision.Version, uint64(1000)) // nothing was written
 	})
--- a/register/owner.go
+++ b/register/owner.go
@@ -76,10 +76,10 @@
 	return &Owner{options: options, keys: map[string]*ownedKey{}}
 }
 
-// Change applies an op to a register. A nil error means that a majority has the change on disk. An error of the op itself, and the success of
-// an op without a change, are returned only after a majority has confirmed, since the call began, that this core owns the register. The other
-// errors are apierror.Undecided if the change may or may not have been made, and NoMajority, Superseded and those of OwnerOptions.Peers if
-// nothing was done.
+// Change applies an op to a register. A nil error means that a majority has the change on disk. An error of the op itself, and the success
+// of an op without a change, are returned only after a majority has confirmed, since the call began, that this core owns the register. The
+// other errors are apierror.Undecided if the change may or may not have been made, and NoMajority, Superseded and those of
+// OwnerOptions.Peers if nothing was done.
 func (o *Owner) Change(ctx context.Context, key string, op Op) (Revision, error) {
 	return o.submit(ctx, key, &pending{op: op, ctx: ctx, result: make(chan result, 1)})
 }
--- a/register/peers.go
+++ b/register/peers.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Peer is the acceptor of a member, either this core or another one. The errors are those of Acceptor, and apierror.Unreachable, NoMember and
-// OtherMembers.
+// Peer is the acceptor of a member, either this core or another one. The errors are those of Acceptor, and apierror.Unreachable, NoMember
+// and OtherMembers.
 type Peer interface {
 	Prepare(ctx context.Context, key string, epoch uint64, known Revision) (Record, error)
 	Confirm(ctx context.Context, key string, epoch uint64) error
--- a/register/planted_test.go
+++ b/register/planted_test.go
@@ -10,34 +10,34 @@
 	"asterridge/sim"
 )
 
-// hidesAccepted promises truthfully, and tells of older content than it has accepted: its asker adopts not the highest.
+// hidesAccepted promises correctly, but hides what it has accepted, so that the new owner doesn't adopt the highest accepted content.
 type hidesAccepted struct{ register.Peer }
 
-func (h hidesAccepted) Prepare(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	record, err := h.Peer.Prepare(ctx, key, epoch, has)
+func (h hidesAccepted) Prepare(ctx context.Context, key string, epoch uint64, known register.Revision) (register.Record, error) {
+	record, err := h.Peer.Prepare(ctx, key, epoch, known)
 	record.Revision, record.Committed, record.Fields = register.Revision{}, register.Revision{}, nil
 	return record, err
 }
 
-// acceptsNothing says yes to changes that it never writes.
+// acceptsNothing acknowledges changes that it never stores.
 type acceptsNothing struct{ register.Peer }
 
 func (acceptsNothing) Accept(context.Context, register.Change) error { return nil }
 
-// confirmsAll stands by every epoch without a look: its askers answer out of old copies.
+// confirmsAll confirms every epoch without checking it, so that superseded owners answer from outdated copies.
 type confirmsAll struct{ register.Peer }
 
 func (confirmsAll) Confirm(context.Context, string, uint64) error { return nil }
 
-// promisesAll promises each epoch without keeping to it: it asks its acceptor for nothing.
+// promisesAll promises every epoch without passing the prepare to its acceptor, so that it doesn't keep its promises.
 type promisesAll struct{ register.Peer }
 
 func (promisesAll) Prepare(_ context.Context, _ string, epoch uint64, _ register.Revision) (register.Record, error) {
 	return register.Record{Promised: epoch}, nil
 }
 
-// forget drops files of a kind while a node is down: p for promises, v for versions.
-func forget(kind string) func(d *sim.Disk) {
+// dropFilesOnRestart removes the files with a name prefix while a node is down: p for promises, v for versions.
+func dropFilesOnRestart(kind string) func(d *sim.Disk) {
 	return func(d *sim.Disk) {
 		opened := d.Open()
 		for _, folder := range list(opened, "") {
@@ -51,57 +51,57 @@
 }
 
 func list(d disk.Disk, folder string) []string {
-	names, _ := d.List(folder) // a disk in memory
+	names, _ := d.List(folder) // an in-memory disk doesn't fail
 	return names
 }
 
-// alone gives an owner itself for a majority.
-func alone(i int, all register.Peers) register.Peers { return all[i : i+1] }
+// onlySelf makes an owner its own majority.
+func onlySelf(i int, all register.Peers) register.Peers { return all[i : i+1] }
 
-// onlyFirstAlone does so at node 0 alone.
-func onlyFirstAlone(i int, all register.Peers) register.Peers {
+// firstNodeOnlySelf makes only node 0 its own majority.
+func firstNodeOnlySelf(i int, all register.Peers) register.Peers {
 	if i == 0 {
-		return alone(i, all)
+		return onlySelf(i, all)
 	}
 	return all
 }
 
-var plants = []struct {
-	name  string
-	wants string // part of the finding
+var injectedFaults = []struct {
+	name     string
+	expected string // part of the reported violation
 	scenario
 }{
-	{"an acceptor forgets its promises at a restart", "", scenario{size: 3, orders: race, notes: lost, faults: budget{restarts: 2},
-		plant: &plant{restart: forget("p")}}},
-	{"a disk loses synced versions", "knows nothing of it", scenario{size: 3, orders: race, notes: lost, faults: budget{restarts: 1},
-		plant: &plant{restart: forget("v")}}},
-	{"an owner says yes with a minority", "knows nothing of it", scenario{size: 3, orders: race, notes: lost, plant: &plant{quorum: alone}}},
-	{"a read from a minority", "at the earliest", scenario{size: 3, orders: []call{declare(1, 1, 0, "a"), read(0)}, inTurn: true, notes: prompt,
-		plant: &plant{quorum: onlyFirstAlone}}},
-	{"an acceptor says yes without writing", "knows nothing of it", scenario{size: 3, orders: race[:1], notes: lost,
-		plant: &plant{acceptor: func(to int, real register.Peer) register.Peer { return acceptsNothing{real} }}}},
-	{"the highest accepted content is not adopted", "", scenario{size: 3, orders: race, notes: lost,
-		plant: &plant{acceptor: func(to int, real register.Peer) register.Peer { return hidesAccepted{real} }}}},
-	{"an acceptor gives promises that it does not keep", "", scenario{size: 3, orders: race, notes: lost,
-		plant: &plant{acceptor: func(to int, real register.Peer) register.Peer { return promisesAll{real} }}}},
-	{"a refusal out of an old copy", "at the earliest", scenario{size: 3, orders: handover, inTurn: true, notes: prompt,
-		plant: &plant{acceptor: func(to int, real register.Peer) register.Peer { return confirmsAll{real} }}}},
-	{"a read out of an old copy", "at the earliest", scenario{size: 3, orders: []call{declare(0, 1, 0, "a"), declare(1, 2, 1, "a"), read(0)}, inTurn: true, notes: prompt,
-		plant: &plant{acceptor: func(to int, real register.Peer) register.Peer { return confirmsAll{real} }}}},
-	{"a yes to what stood already, out of an old copy", "", scenario{size: 3, orders: []call{declare(0, 2, 1, "a"), declare(1, 1, 0, "a"), read(0)}, inTurn: true, notes: prompt,
-		plant: &plant{acceptor: func(to int, real register.Peer) register.Peer { return confirmsAll{real} }}}},
-	{"two owners under one epoch", "two contents", scenario{size: 3, orders: race, notes: lost,
-		plant: &plant{number: func(int) uint32 { return 1 }, acceptor: func(to int, real register.Peer) register.Peer { return promisesAll{real} }}}},
+	{"an acceptor forgets its promises at a restart", "", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost, faults: faultBudget{restarts: 2},
+		injected: &injectedFault{onRestart: dropFilesOnRestart("p")}}},
+	{"a disk loses synced versions", "is missing in majority", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost, faults: faultBudget{restarts: 1},
+		injected: &injectedFault{onRestart: dropFilesOnRestart("v")}}},
+	{"an owner acknowledges with a minority", "is missing in majority", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost, injected: &injectedFault{selectPeers: onlySelf}}},
+	{"a read from a minority", "at the earliest", scenario{size: 3, requests: []request{writeRequest(1, 1, 0, "a"), readRequest(0)}, sequential: true, commitDelivery: commitsImmediate,
+		injected: &injectedFault{selectPeers: firstNodeOnlySelf}}},
+	{"an acceptor acknowledges without storing", "is missing in majority", scenario{size: 3, requests: concurrentWrites[:1], commitDelivery: commitsLost,
+		injected: &injectedFault{wrapPeer: func(to int, real register.Peer) register.Peer { return acceptsNothing{real} }}}},
+	{"the highest accepted content is not adopted", "", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost,
+		injected: &injectedFault{wrapPeer: func(to int, real register.Peer) register.Peer { return hidesAccepted{real} }}}},
+	{"an acceptor does not keep its promises", "", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost,
+		injected: &injectedFault{wrapPeer: func(to int, real register.Peer) register.Peer { return promisesAll{real} }}}},
+	{"a refusal from an outdated copy", "at the earliest", scenario{size: 3, requests: handover, sequential: true, commitDelivery: commitsImmediate,
+		injected: &injectedFault{wrapPeer: func(to int, real register.Peer) register.Peer { return confirmsAll{real} }}}},
+	{"a read from an outdated copy", "at the earliest", scenario{size: 3, requests: []request{writeRequest(0, 1, 0, "a"), writeRequest(1, 2, 1, "a"), readRequest(0)}, sequential: true, commitDelivery: commitsImmediate,
+		injected: &injectedFault{wrapPeer: func(to int, real register.Peer) register.Peer { return confirmsAll{real} }}}},
+	{"an acknowledgement of present content from an outdated copy", "", scenario{size: 3, requests: []request{writeRequest(0, 2, 1, "a"), writeRequest(1, 1, 0, "a"), readRequest(0)}, sequential: true, commitDelivery: commitsImmediate,
+		injected: &injectedFault{wrapPeer: func(to int, real register.Peer) register.Peer { return confirmsAll{real} }}}},
+	{"two owners under one epoch", "two contents", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost,
+		injected: &injectedFault{memberID: func(int) uint32 { return 1 }, wrapPeer: func(to int, real register.Peer) register.Peer { return promisesAll{real} }}}},
 }
 
-// The test of the test: each fault that is wrapped round the real code is found, by exploration.
-func TestModelFindsPlantedFaults(t *testing.T) {
-	for _, p := range plants {
+// Checks that exploration detects each fault that is injected around the code under test.
+func TestModelFindsInjectedFaults(t *testing.T) {
+	for _, p := range injectedFaults {
 		t.Run(p.name, func(t *testing.T) {
 			e := explore(t, p.scenario, 20000)
-			t.Log(e, e.fault, schedule(e.path))
-			if e.fault == nil || !strings.Contains(e.fault.Error(), p.wants) {
-				t.Errorf("found %v, wants %q", e.fault, p.wants)
+			t.Log(e, e.fault, formatSteps(e.path))
+			if e.fault == nil || !strings.Contains(e.fault.Error(), p.expected) {
+				t.Errorf("violation %v, expected %q", e.fault, p.expected)
 			}
 		})
 	}
--- a/register/power_test.go
+++ b/register/power_test.go
@@ -16,46 +16,46 @@
 	"asterridge/sim"
 )
 
-// trial runs one acceptor on a file system that fails, and remembers what the acceptor has answered. It stands for all owners too.
-type trial struct {
+// harness runs one acceptor on a failing file system, and records what the acceptor has answered. It also plays the owners of all keys.
+type harness struct {
 	files    *sim.Files
 	acceptor *register.Acceptor
-	keys     map[string]*keyTrial
-	contents map[string]register.Fields // by key and revision: what was ever offered
+	keys     map[string]*keyState
+	contents map[string]register.Fields // by key and revision: all content ever sent to the acceptor or to other ones
 	random   *rand.Rand
 }
 
-// keyTrial is what an acceptor has said of one key, and what the owners of the key have.
-type keyTrial struct {
-	promised uint64            // the highest epoch that it promised
-	known    register.Revision // what it last said that it has
-	offered  register.Revision // what was last asked of it; it may have it without having said so
-	epoch    uint64            // of the present owner
-	revision register.Revision // what the present owner has
-	fields   register.Fields
-	changes  int
+// keyState is what the acceptor has answered for one key, and the state of the key's owners.
+type keyState struct {
+	promised     uint64            // the highest epoch that the acceptor promised
+	acknowledged register.Revision // the last revision that the acceptor reported or acknowledged
+	lastOffered  register.Revision // the last revision sent to the acceptor, which may have stored it without acknowledging it
+	epoch        uint64            // the present owner's epoch
+	revision     register.Revision // the present owner's revision
+	fields       register.Fields
+	changes      int
 }
 
 const dataFolder = "/var/data"
 
-func newTrial(seed uint64) *trial {
+func newHarness(seed uint64) *harness {
 	files := sim.NewFiles()
-	_ = files.MkdirAll("/var") // nothing fails yet
+	_ = files.MkdirAll("/var") // no failures are injected yet
 	_ = files.SyncDir("/")
-	return &trial{files: files, keys: map[string]*keyTrial{}, contents: map[string]register.Fields{}, random: rand.New(rand.NewPCG(seed, 16))}
+	return &harness{files: files, keys: map[string]*keyState{}, contents: map[string]register.Fields{}, random: rand.New(rand.NewPCG(seed, 16))}
 }
 
-func (r *trial) key(key string) *keyTrial {
+func (r *harness) key(key string) *keyState {
 	if r.keys[key] == nil {
-		r.keys[key] = &keyTrial{fields: register.Fields{}}
+		r.keys[key] = &keyState{fields: register.Fields{}}
 	}
 	return r.keys[key]
 }
 
 func contentOf(key string, revision register.Revision) string { return fmt.Sprint(key, revision) }
 
-// open begins a process; it fails only if the process is ended or the disk fails meanwhile.
-func (r *trial) open() error {
+// open starts a process. It fails only if the process is stopped or the disk fails meanwhile.
+func (r *harness) open() error {
 	r.acceptor = nil
 	folder, err := disk.NewFolderOn(r.files, dataFolder)
 	if err != nil {
@@ -69,126 +69,128 @@
 	return err
 }
 
-// check compares what the acceptor has with what it has ever answered.
-func (r *trial) check() error {
-	for key, said := range r.keys {
+// check compares the acceptor's state with everything that it has answered.
+func (r *harness) check() error {
+	for key, state := range r.keys {
 		record := r.acceptor.Read(key)
 		switch {
-		case record.Promised < said.promised:
-			return fmt.Errorf("%s: promised %d and knows of %d", key, said.promised, record.Promised)
-		case record.Revision.Less(said.known):
-			return fmt.Errorf("%s: accepted %v and has %v", key, said.known, record.Revision)
-		case record.Revision != said.known && record.Revision != said.offered && record.Revision.Epoch < said.promised:
-			return fmt.Errorf("%s: said %v with its promise of %d and has %v", key, said.known, said.promised, record.Revision)
+		case record.Promised < state.promised:
+			return fmt.Errorf("%s: promised epoch %d, but now reports %d", key, state.promised, record.Promised)
+		case record.Revision.Less(state.acknowledged):
+			return fmt.Errorf("%s: accepted revision %v, but now has %v", key, state.acknowledged, record.Revision)
+		case record.Revision != state.acknowledged && record.Revision != state.lastOffered && record.Revision.Epoch < state.promised:
+			return fmt.Errorf("%s: reported revision %v with its promise of epoch %d, but now has %v", key, state.acknowledged, state.promised, record.Revision)
 		}
 		if content, offered := r.contents[contentOf(key, record.Revision)]; !offered && record.Revision != (register.Revision{}) {
-			return fmt.Errorf("%s: has %v, which was never offered", key, record.Revision)
+			return fmt.Errorf("%s: has revision %v, which was never sent to it", key, record.Revision)
 		} else if !maps.EqualFunc(content, record.Fields, func(a, b json.RawMessage) bool { return bytes.Equal(a, b) }) {
-			return fmt.Errorf("%s: has another content of %v", key, record.Revision)
+			return fmt.Errorf("%s: content of revision %v differs from what was sent", key, record.Revision)
 		}
 	}
 	if r.acceptor.IsDamaged() {
-		return fmt.Errorf("a key is called damaged")
+		return fmt.Errorf("a key is reported as damaged")
 	}
 	return nil
 }
 
-// promise has the next owner ask for the key. If this acceptor refuses, the owner has its majority elsewhere.
-func (r *trial) promise(key string) {
-	said := r.key(key)
-	said.epoch = max(said.epoch, r.acceptor.Promised(key)) + 256
-	record, err := r.acceptor.Prepare(key, said.epoch, register.Revision{})
+// prepareNextOwner has a new owner prepare the key. If this acceptor rejects the epoch, the owner gets its majority from other ones.
+func (r *harness) prepareNextOwner(key string) {
+	state := r.key(key)
+	state.epoch = max(state.epoch, r.acceptor.Promised(key)) + 256
+	record, err := r.acceptor.Prepare(key, state.epoch, register.Revision{})
 	if err == nil {
-		said.promised, said.known = said.epoch, record.Revision
-		said.revision, said.fields = record.Revision, r.contents[contentOf(key, record.Revision)].Clone()
+		state.promised, state.acknowledged = state.epoch, record.Revision
+		state.revision, state.fields = record.Revision, r.contents[contentOf(key, record.Revision)].Clone()
 	}
 }
 
-// next is the owner's next change: a field of 1,800 bytes, of three that take turns.
-func (r *trial) next(key string) register.Change {
-	said := r.key(key)
-	said.changes++
-	value, _ := json.Marshal(strings.Repeat(fmt.Sprint(said.changes%10), 1800))
-	change := register.Change{Key: key, Base: said.revision, Next: register.Revision{Epoch: said.epoch, Version: said.revision.Version + 1},
-		Fields: register.Fields{fmt.Sprint("field", said.changes%3): value}}
-	said.fields.Apply(change.Fields)
-	said.revision = change.Next
-	r.contents[contentOf(key, change.Next)] = said.fields.Clone()
+// nextChange returns the owner's next change, which sets one of three fields in turn to a value of 1,800 bytes.
+func (r *harness) nextChange(key string) register.Change {
+	state := r.key(key)
+	state.changes++
+	value, _ := json.Marshal(strings.Repeat(fmt.Sprint(state.changes%10), 1800))
+	change := register.Change{Key: key, Base: state.revision, Next: register.Revision{Epoch: state.epoch, Version: state.revision.Version + 1},
+		Fields: register.Fields{fmt.Sprint("field", state.changes%3): value}}
+	state.fields.Apply(change.Fields)
+	state.revision = change.Next
+	r.contents[contentOf(key, change.Next)] = state.fields.Clone()
 	return change
 }
 
-// accept asks for the owner's next change, whole if need be. Without a yes it may be on other disks, or the next owner takes up what is here.
-func (r *trial) accept(key string, full bool) error {
-	said := r.key(key)
-	before, fields := said.revision, said.fields.Clone()
-	change := r.next(key)
+// accept sends the owner's next change to the acceptor, as the full content if needed. If the acceptor fails, the change may still be on
+// other disks, or a new owner adopts what is on this one; the harness chooses at random.
+func (r *harness) accept(key string, full bool) error {
+	state := r.key(key)
+	before, fields := state.revision, state.fields.Clone()
+	change := r.nextChange(key)
 	if full {
-		change.Full, change.Fields = true, said.fields.Clone()
+		change.Full, change.Fields = true, state.fields.Clone()
 	}
-	said.offered = change.Next
+	state.lastOffered = change.Next
 	err := r.acceptor.Accept(change)
 	if apierror.Is(err, apierror.Behind) {
-		change.Full, change.Fields = true, said.fields.Clone()
+		change.Full, change.Fields = true, state.fields.Clone()
 		err = r.acceptor.Accept(change)
 	}
 	if err == nil {
-		said.known = change.Next
+		state.acknowledged = change.Next
 		return nil
 	}
 	if !r.files.IsStopped() && r.random.IntN(2) == 0 {
-		said.revision, said.fields = before, fields
-		r.promise(key)
+		state.revision, state.fields = before, fields
+		r.prepareNextOwner(key)
 	}
 	return err
 }
 
-// again has a copy of the last change arrive late.
-func (r *trial) again(key string) {
-	said := r.key(key)
-	if said.offered.Epoch == 0 || said.offered.Less(said.known) {
+// resendLast delivers a late duplicate of the last change.
+func (r *harness) resendLast(key string) {
+	state := r.key(key)
+	if state.lastOffered.Epoch == 0 || state.lastOffered.Less(state.acknowledged) {
 		return
 	}
-	if r.acceptor.Accept(register.Change{Key: key, Base: said.offered, Next: said.offered, Full: true, Fields: r.contents[contentOf(key, said.offered)].Clone()}) == nil {
-		said.known = said.offered
+	if r.acceptor.Accept(register.Change{Key: key, Base: state.lastOffered, Next: state.lastOffered, Full: true, Fields: r.contents[contentOf(key, state.lastOffered)].Clone()}) == nil {
+		state.acknowledged = state.lastOffered
 	}
 }
 
-// adopt has the owner change the key twice without this acceptor, which then learns of it from another core.
-func (r *trial) adopt(key string) {
-	said := r.key(key)
-	r.next(key)
-	r.next(key)
-	said.offered = said.revision
-	if r.acceptor.Adopt(key, said.revision, said.fields.Clone()) == nil {
-		said.known = said.revision
+// adopt has the owner change the key twice without this acceptor, which then adopts the result from another core.
+func (r *harness) adopt(key string) {
+	state := r.key(key)
+	r.nextChange(key)
+	r.nextChange(key)
+	state.lastOffered = state.revision
+	if r.acceptor.Adopt(key, state.revision, state.fields.Clone()) == nil {
+		state.acknowledged = state.revision
 	}
 }
 
-// steps are some life of two keys: first files, chains of deltas, compactions, wholes, owners that change, content learned from others.
-func steps() []func(r *trial) {
-	accept := func(r *trial, key string) { _ = r.accept(key, false) }
-	var all []func(r *trial)
+// workload returns operations on two keys: first files, chains of deltas, compactions, full contents, changes of owner, and content adopted
+// from other cores.
+func workload() []func(r *harness) {
+	accept := func(r *harness, key string) { _ = r.accept(key, false) }
+	var all []func(r *harness)
 	for _, word := range strings.Fields("pa a a pb b a a a a r b pa a a b w a pa n a a a b b pa pb b a n pa w w a r a a") {
-		all = append(all, func(r *trial) {
+		all = append(all, func(r *harness) {
 			switch word {
 			case "a", "b":
 				accept(r, word)
 			case "pa", "pb":
-				r.promise(word[1:])
+				r.prepareNextOwner(word[1:])
 			case "w":
 				_ = r.accept("a", true)
 			case "n":
 				r.adopt("a")
 			case "r":
-				r.again("a")
+				r.resendLast("a")
 			}
 		})
 	}
 	return all
 }
 
-// run goes through the steps until the process ends, and gives how many were begun.
-func (r *trial) run(steps []func(r *trial)) int {
+// run runs the steps until the process stops, and returns how many were started.
+func (r *harness) run(steps []func(r *harness)) int {
 	for i, step := range steps {
 		step(r)
 		if r.files.IsStopped() {
@@ -198,24 +200,25 @@
 	return len(steps)
 }
 
-// stepsAfter are taken by each process after the first.
-const stepsAfter = 8
+// stepsPerRestart is the number of steps that each process after the first runs.
+const stepsPerRestart = 8
 
-// keptChances are those of the seeds, in turn.
-var keptChances = []float64{0.5, 0.8, 0, 1, 0.5, 0.2}
+// survivalChances are the probabilities that an unsynced operation survives a power failure. The seeds use them in turn.
+var survivalChances = []float64{0.5, 0.8, 0, 1, 0.5, 0.2}
 
-var powerSeeds = flag.Uint64("powerseeds", 2, "how many seeds the losses of power and failing operations are played with")
+var powerSeeds = flag.Uint64("powerseeds", 2, "number of seeds for the tests of power failures and failing operations")
 
-// interrupt ends the process, by a loss of power or a kill, and begins another that ends too, late in its opening or soon after; then power is
-// lost and a third process has to know all that the first two have answered. first and second count operations; 0: not ended.
-func interrupt(seed uint64, first, second int, kill bool) error {
-	r := newTrial(seed)
-	r.random = rand.New(rand.NewPCG(seed, uint64(first)<<16|uint64(second))) // else all runs of a seed would draw alike
-	kept := keptChances[int(seed)%len(keptChances)]
+// runInterrupted stops the process by a power failure or a kill, and starts a second one, which is stopped while it opens the files or soon
+// after. After another power failure a third process must know everything that the first two have answered. The process stops at the
+// operation numbers first and second, where 0 means that it isn't stopped.
+func runInterrupted(seed uint64, first, second int, kill bool) error {
+	r := newHarness(seed)
+	r.random = rand.New(rand.NewPCG(seed, uint64(first)<<16|uint64(second))) // otherwise all runs of a seed would make the same random choices
+	kept := survivalChances[int(seed)%len(survivalChances)]
 	r.files.StopAt(first)
-	begun := 0
+	started := 0
 	if r.open() == nil {
-		begun = r.run(steps())
+		started = r.run(workload())
 	}
 	for _, stop := range []int{second, 0} {
 		if kill {
@@ -229,7 +232,7 @@
 		}
 		err := r.open()
 		if r.files.IsStopped() {
-			continue // it met its end while it read its files
+			continue // it was stopped while it read its files
 		}
 		if err != nil {
 			return err
@@ -238,13 +241,13 @@
 			return err
 		}
 		if r.random.IntN(2) == 0 {
-			r.again("a")
+			r.resendLast("a")
 		}
-		begun = min(begun, len(steps())-stepsAfter)
-		begun += r.run(steps()[begun:][:stepsAfter])
+		started = min(started, len(workload())-stepsPerRestart)
+		started += r.run(workload()[started:][:stepsPerRestart])
 		if !r.files.IsStopped() {
 			if err := r.check(); err != nil {
-				return fmt.Errorf("gone on: %w", err)
+				return fmt.Errorf("after further steps: %w", err)
 			}
 		}
 	}
@@ -255,24 +258,25 @@
 	return r.check()
 }
 
-// Power is lost, or the process is killed, before any operation on files, and again soon after: what was answered is there, no key is called
-// damaged, and no content appears under a revision that it does not belong to.
-func TestAcceptorBearsPowerLostBetweenAnyTwoOperations(t *testing.T) {
+// Guards against state that is lost or resurrected by a power failure or a kill before any file operation, followed by another one soon
+// after. Everything that was answered must be present, no key may be reported as damaged, and no revision may have the content of another
+// one.
+func TestAcceptorSurvivesPowerLossBetweenAnyTwoOperations(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, *powerSeeds, func(seed uint64, operations int, judge func(error)) {
 		for first := 1; first <= operations+1; first++ {
 			for _, kill := range []bool{false, true} {
 				seconds := []int{0, 1 + (first+int(seed))%20, 11 + (first*7+int(seed))%20, 21 + (first+int(seed))%29}
-				if kill && leavesUnanswered(first) { // what the next process finds is not sure to last: it is ended everywhere
+				if kill && leavesUnacknowledgedWrite(first) { // what the next process finds may not be durable, so it is stopped at every operation
 					seconds = nil
 					for second := range 30 {
 						seconds = append(seconds, second)
 					}
 				}
 				for _, second := range seconds {
-					err := interrupt(seed, first, second, kill)
+					err := runInterrupted(seed, first, second, kill)
 					if err != nil {
-						err = fmt.Errorf("ended at %d and %d, first by a kill %v: %w", first, second, kill, err)
+						err = fmt.Errorf("stopped at operations %d and %d, killed first %v: %w", first, second, kill, err)
 					}
 					judge(err)
 				}
@@ -281,79 +285,80 @@
 	})
 }
 
-// leavesUnanswered says whether a process that is killed before the operation leaves a promise or a version that it has not answered.
-func leavesUnanswered(operation int) bool {
-	r := newTrial(0)
+// leavesUnacknowledgedWrite reports whether a process that is killed before the operation leaves a promise or a version that it hasn't
+// acknowledged.
+func leavesUnacknowledgedWrite(operation int) bool {
+	r := newHarness(0)
 	r.files.StopAt(operation)
 	if r.open() != nil {
 		return false
 	}
-	r.run(steps())
+	r.run(workload())
 	r.files.Restart()
 	if r.open() != nil {
 		return false
 	}
-	for key, said := range r.keys {
-		if r.acceptor.Promised(key) != said.promised || r.acceptor.Revision(key) != said.known {
+	for key, state := range r.keys {
+		if r.acceptor.Promised(key) != state.promised || r.acceptor.Revision(key) != state.acknowledged {
 			return true
 		}
 	}
 	return false
 }
 
-// eachSeed plays the seeds beside each other. Each run of theirs is judged; the first few that fail are told.
-func eachSeed(t *testing.T, seeds uint64, play func(seed uint64, operations int, judge func(error))) {
+// eachSeed runs the seeds in parallel subtests. The function judge counts each run, and reports the first few failures of a seed.
+func eachSeed(t *testing.T, seeds uint64, run func(seed uint64, operations int, judge func(error))) {
 	t.Helper()
-	undisturbed := newTrial(0)
-	if err := undisturbed.open(); err != nil {
+	faultless := newHarness(0)
+	if err := faultless.open(); err != nil {
 		t.Fatal(err)
 	}
-	undisturbed.run(steps())
-	operations := undisturbed.files.Operations()
+	faultless.run(workload())
+	operations := faultless.files.Operations()
 	for seed := range seeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runs, broken := 0, 0
-			play(seed, operations, func(err error) {
+			runs, failures := 0, 0
+			run(seed, operations, func(err error) {
 				runs++
 				if err == nil {
 					return
 				}
-				if broken++; broken <= 3 {
+				if failures++; failures <= 3 {
 					t.Error(err)
 				}
 			})
-			t.Logf("%d operations, %d runs, %d broken", operations, runs, broken)
+			t.Logf("%d operations, %d runs, %d failed", operations, runs, failures)
 		})
 	}
 }
 
-// failing has some operations fail in the midst of the steps, then goes on, and loses power.
-func failing(seed uint64, fault sim.Fault) error {
-	r := newTrial(seed)
+// runWithFailures has some operations fail while the workload runs, then continues, and has a power failure at the end.
+func runWithFailures(seed uint64, fault sim.Fault) error {
+	r := newHarness(seed)
 	r.random = rand.New(rand.NewPCG(seed, uint64(fault.From)<<16|uint64(fault.To)))
 	r.files.Fail(fault)
 	for r.open() != nil {
 		if r.files.Operations() > fault.To {
-			return fmt.Errorf("does not open")
+			return fmt.Errorf("acceptor does not open after the fault has ended")
 		}
 	}
-	r.run(steps())
+	r.run(workload())
 	if err := r.check(); err != nil {
 		return fmt.Errorf("in the same process: %w", err)
 	}
-	r.files.PowerLoss(r.random, keptChances[int(seed)%len(keptChances)])
+	r.files.PowerLoss(r.random, survivalChances[int(seed)%len(survivalChances)])
 	if err := r.open(); err != nil {
 		return err
 	}
 	if err := r.check(); err != nil {
 		return err
 	}
-	for _, key := range []string{"a", "b"} { // the disk works again: the key has its vote, and takes changes
+	for _, key := range []string{"a", "b"} { // the disk works again: the acceptor must promise an epoch for the key and accept changes
 		promised := r.key(key).promised
-		r.promise(key)
+		r.prepareNextOwner(key)
 		if r.key(key).promised == promised {
-			return fmt.Errorf("no promise for %s on a disk that works", key)
+			return fmt.Errorf("no promise for %s although the disk works again", key)
 		}
 		if err := r.accept(key, false); err != nil {
 			return err
@@ -366,16 +371,16 @@
 	return r.check()
 }
 
-// Operations fail, one or many in a row, done or not done, as on a disk that is full, slow or ailing: what was refused may stand on the disk,
-// what was answered does, and a whole that fails in the midst of a compaction leaves what loads.
-func TestAcceptorBearsFailuresOfAnyOperation(t *testing.T) {
+// Guards against damage by failing operations, one or many in a row, executed or not, as on a full, slow or faulty disk. A rejected change
+// may be on the disk, an acknowledged one must be, and a full content that fails during a compaction must leave files that can be loaded.
+func TestAcceptorSurvivesFailuresOfAnyOperation(t *testing.T) {
 	t.Parallel()
 	eachSeed(t, (*powerSeeds+1)/2, func(seed uint64, operations int, judge func(error)) {
 		for from := 1; from <= operations; from++ {
 			for _, count := range []int{1, 2, 5, 30} {
 				for _, fault := range []sim.Fault{{}, {Done: true}, {Writing: true}} {
 					fault.From, fault.To = from, from+count-1
-					err := failing(seed, fault)
+					err := runWithFailures(seed, fault)
 					if err != nil {
 						err = fmt.Errorf("%+v: %w", fault, err)
 					}
@@ -386,35 +391,35 @@
 	})
 }
 
-// Files that cannot be read when a process opens cost the key its vote in that process, and nothing else: what the key has accepted without
-// knowing it is neither voted for nor built upon, and is there when the files can be read again.
-func TestAcceptorBearsReadsThatFailWhenItOpens(t *testing.T) {
+// Guards against read errors while a process opens. A key with an unreadable file makes no promise in that process, and nothing else is
+// affected. The unread versions are neither reported nor used as a base, and are present again once the files can be read.
+func TestAcceptorSurvivesReadErrorsWhileOpening(t *testing.T) {
 	t.Parallel()
-	for end := 1; end <= len(steps()); end += 2 {
+	for end := 1; end <= len(workload()); end += 2 {
 		for fault := 1; fault <= 30; fault++ {
-			r := newTrial(uint64(end))
+			r := newHarness(uint64(end))
 			if err := r.open(); err != nil {
 				t.Fatal(err)
 			}
-			r.run(steps()[:end])
+			r.run(workload()[:end])
 			r.files.PowerLoss(r.random, 1)
 			at := r.files.Operations() + fault
 			r.files.Fail(sim.Fault{From: at, To: at})
 			if r.open() != nil {
-				continue // a folder that cannot be listed: no process
+				continue // a folder can't be listed, so the process doesn't start
 			}
-			for key, said := range r.keys {
-				lost := r.acceptor.Revision(key).Less(said.known)
-				_, err := r.acceptor.Prepare(key, said.epoch+255, register.Revision{})
+			for key, state := range r.keys {
+				lost := r.acceptor.Revision(key).Less(state.acknowledged)
+				_, err := r.acceptor.Prepare(key, state.epoch+255, register.Revision{})
 				if lost != apierror.Is(err, apierror.Torn) {
-					t.Fatalf("after %d steps, with read %d failing, %s of %v: promise %v", end, fault, key, r.acceptor.Revision(key), err)
+					t.Fatalf("after %d steps, with read %d failing: prepare of %s at revision %v: %v", end, fault, key, r.acceptor.Revision(key), err)
 				}
 				if err == nil {
-					said.epoch += 255
-					said.promised = said.epoch
+					state.epoch += 255
+					state.promised = state.epoch
 				}
 			}
-			r.run(steps()[end-1:])
+			r.run(workload()[end-1:])
 			r.files.PowerLoss(r.random, 0)
 			if err := r.open(); err != nil {
 				t.Fatal(err)
@@ -426,7 +431,7 @@
 	}
 }
 
-// Opening a key that was changed a thousand times reads what is left of them: a whole and the deltas on it.
+// Measures opening a key after 1000 changes. Only the last full content and the deltas to it are left to read.
 func BenchmarkOpenAfterThousandChanges(b *testing.B) {
 	for _, routes := range []int{1, 350} {
 		b.Run(fmt.Sprint(routes, " fields a change"), func(b *testing.B) {
--- a/register/register.go
+++ b/register/register.go
@@ -6,9 +6,9 @@
 // From then on it has each change accepted by a majority under this epoch, without preparing again, until another owner prepares a higher
 // one. The low bits of an epoch are the owner's member ID, so no two owners share an epoch.
 //
-// The content of a register is a map of fields, and a change is a set of fields. Changes are sent and stored as deltas, and from time to time
-// as the full content. A change is committed once a majority has accepted it. A change that may or may not have reached a majority is in
-// doubt: the caller gets apierror.Undecided, neither a success nor a rejection, and the owner resolves it before the next change.
+// The content of a register is a map of fields, and a change is a set of fields. Changes are sent and stored as deltas, and from time to
+// time as the full content. A change is committed once a majority has accepted it. A change that may or may not have reached a majority is
+// in doubt: the caller gets apierror.Undecided, neither a success nor a rejection, and the owner resolves it before the next change.
 package register
 
 import (
--- a/register/register_test.go
+++ b/register/register_test.go
@@ -17,16 +17,16 @@
 	"asterridge/sim"
 )
 
-// world is four cores' registers with a network that loses, delays and doubles messages, and processes that crash.
-type world struct {
-	t       *testing.T
-	mu      sync.Mutex
-	random  *rand.Rand
-	loss    float64
-	disks   []*sim.Disk
-	nodes   []*node
-	settled map[register.Revision]int // content size met as settled, by revision
-	checked int
+// lossyCluster runs the acceptors and owners of several cores over a network that loses, delays and duplicates messages, and restarts cores.
+type lossyCluster struct {
+	t              *testing.T
+	mu             sync.Mutex
+	random         *rand.Rand
+	lossRate       float64
+	disks          []*sim.Disk
+	nodes          []*node
+	committedSizes map[register.Revision]int // number of fields of each revision that was seen as committed
+	commitsChecked int
 }
 
 type node struct {
@@ -34,27 +34,27 @@
 	owner    *register.Owner
 }
 
-func (w *world) isLost() bool {
+func (w *lossyCluster) dropsMessage() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.random.Float64() < w.loss
+	return w.random.Float64() < w.lossRate
 }
 
-func (w *world) delay() time.Duration {
+func (w *lossyCluster) delay() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return time.Duration(w.random.IntN(40)) * time.Millisecond
 }
 
-func (w *world) at(i int) *node {
+func (w *lossyCluster) node(i int) *node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.nodes[i]
 }
 
-// start opens a node's registers from its disk: a restart after a crash.
-func (w *world) start(i int) {
-	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: w.disks[i].Open(), OnChange: w.news,
+// startNode starts a node from its disk. For a running node that is a restart after a crash.
+func (w *lossyCluster) startNode(i int) {
+	acceptor, err := register.OpenAcceptor(register.AcceptorOptions{Disk: w.disks[i].Open(), OnChange: w.checkCommitted,
 		OnSkipped: func(_, file string, err error) { w.t.Errorf("file %s: %v", file, err) }})
 	if err != nil {
 		w.t.Error(err)
@@ -66,7 +66,7 @@
 		Peers: func() (register.Peers, error) {
 			var all register.Peers
 			for j := range w.disks {
-				all = append(all, flaky{w, j})
+				all = append(all, lossyPeer{w, j})
 			}
 			return all, nil
 		},
@@ -76,88 +76,89 @@
 	w.mu.Unlock()
 }
 
-// news checks that one settled revision means one content, on whichever disk.
-func (w *world) news(_ string, r register.Record, _ register.Fields, _ bool) {
+// checkCommitted checks that a committed revision has the same content on every disk.
+func (w *lossyCluster) checkCommitted(_ string, r register.Record, _ register.Fields, _ bool) {
 	if !r.IsCommitted() || r.Revision == (register.Revision{}) {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.checked++
-	if size, met := w.settled[r.Revision]; met && size != len(r.Fields) {
-		w.t.Errorf("stamp %v is settled with %d and with %d fields", r.Revision, size, len(r.Fields))
+	w.commitsChecked++
+	if size, seen := w.committedSizes[r.Revision]; seen && size != len(r.Fields) {
+		w.t.Errorf("revision %v is committed with %d fields on one disk and %d on another", r.Revision, size, len(r.Fields))
 	}
-	w.settled[r.Revision] = len(r.Fields)
+	w.committedSizes[r.Revision] = len(r.Fields)
 }
 
-// flaky is another node over a bad network.
-type flaky struct {
-	w *world
-	j int
+// lossyPeer is the acceptor of another node, reached over the lossy network.
+type lossyPeer struct {
+	w      *lossyCluster
+	target int
 }
 
 var errLost = apierror.New(apierror.Unreachable, "lost")
 
-func over[T any](f flaky, ctx context.Context, do func(*register.Acceptor) (T, error)) (T, error) {
-	var none T
-	if delay := f.w.delay(); delay > 0 { // a timer that is due already can crash the race detector inside a bubble (docs/results.md)
+func callOverNetwork[T any](f lossyPeer, ctx context.Context, call func(*register.Acceptor) (T, error)) (T, error) {
+	var zero T
+	if delay := f.w.delay(); delay > 0 { // a timer that is already due can crash the race detector inside a synctest bubble (docs/results.md)
 		timer := time.NewTimer(delay)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
-			return none, errLost
+			return zero, errLost
 		}
 	}
-	if f.w.isLost() {
-		return none, errLost
+	if f.w.dropsMessage() {
+		return zero, errLost
 	}
-	answer, err := do(f.w.at(f.j).acceptor)
-	if f.w.isLost() {
+	answer, err := call(f.w.node(f.target).acceptor)
+	if f.w.dropsMessage() {
 		late := f.w.delay() * 5
-		go func() { // a copy arrives late
+		go func() { // a duplicate of the request arrives late
 			time.Sleep(late)
-			_, _ = do(f.w.at(f.j).acceptor)
+			_, _ = call(f.w.node(f.target).acceptor)
 		}()
 	}
-	if f.w.isLost() {
-		return none, errLost // it was done, but nobody hears of it
+	if f.w.dropsMessage() {
+		return zero, errLost // the request was executed, but its answer is lost
 	}
 	return answer, err
 }
 
-func (f flaky) Prepare(ctx context.Context, key string, epoch uint64, has register.Revision) (register.Record, error) {
-	return over(f, ctx, func(k *register.Acceptor) (register.Record, error) { return k.Prepare(key, epoch, has) })
+func (f lossyPeer) Prepare(ctx context.Context, key string, epoch uint64, known register.Revision) (register.Record, error) {
+	return callOverNetwork(f, ctx, func(a *register.Acceptor) (register.Record, error) { return a.Prepare(key, epoch, known) })
 }
 
-func (f flaky) Confirm(ctx context.Context, key string, epoch uint64) error {
-	_, err := over(f, ctx, func(k *register.Acceptor) (struct{}, error) { return struct{}{}, k.Confirm(key, epoch) })
+func (f lossyPeer) Confirm(ctx context.Context, key string, epoch uint64) error {
+	_, err := callOverNetwork(f, ctx, func(a *register.Acceptor) (struct{}, error) { return struct{}{}, a.Confirm(key, epoch) })
 	return err
 }
 
-func (f flaky) Accept(ctx context.Context, change register.Change) error {
-	_, err := over(f, ctx, func(k *register.Acceptor) (struct{}, error) { return struct{}{}, k.Accept(change) })
+func (f lossyPeer) Accept(ctx context.Context, change register.Change) error {
+	_, err := callOverNetwork(f, ctx, func(a *register.Acceptor) (struct{}, error) { return struct{}{}, a.Accept(change) })
 	return err
 }
 
-func (f flaky) Commit(ctx context.Context, key string, revision register.Revision) {
-	_, _ = over(f, ctx, func(k *register.Acceptor) (struct{}, error) { k.Commit(key, revision); return struct{}{}, nil })
+func (f lossyPeer) Commit(ctx context.Context, key string, revision register.Revision) {
+	_, _ = callOverNetwork(f, ctx, func(a *register.Acceptor) (struct{}, error) { a.Commit(key, revision); return struct{}{}, nil })
 }
 
-// Any mix of owners, losses, doubles and crashes keeps one order for each key and loses no accepted change.
+// Guards against lost and reordered changes while several owners compete, messages are lost, delayed or duplicated, and cores crash. Each
+// acknowledged change must be present at its version, and no rejected change may be present.
 func TestNoAcceptedChangeIsLostUnderRandomSchedules(t *testing.T) {
-	sumYes := 0
+	totalAcknowledged := 0
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			w := &world{t: t, random: rand.New(rand.NewPCG(seed, 1)), loss: 0.12, nodes: make([]*node, 4), settled: map[register.Revision]int{}}
+			w := &lossyCluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), lossRate: 0.12, nodes: make([]*node, 4), committedSizes: map[register.Revision]int{}}
 			for range 4 {
 				w.disks = append(w.disks, sim.NewDisk())
 			}
 			for i := range 4 {
-				w.start(i)
+				w.startNode(i)
 			}
-			yes, no := map[string]uint64{}, map[string]bool{}
+			acknowledged, rejected := map[string]uint64{}, map[string]bool{}
 			var mu sync.Mutex
 			var clients sync.WaitGroup
 			for c := range 6 {
@@ -167,65 +168,65 @@
 						w.mu.Lock()
 						i := w.random.IntN(4)
 						if w.random.Float64() < 0.7 {
-							i = 0 // mostly one owner, sometimes a race
+							i = 0 // mostly one owner, sometimes competing ones
 						}
 						w.mu.Unlock()
 						id := fmt.Sprintf("%d.%d", c, n)
-						revision, err := w.at(i).owner.Change(context.Background(), "k", func(_ register.Fields, version uint64) (register.Fields, error) {
+						revision, err := w.node(i).owner.Change(context.Background(), "k", func(_ register.Fields, version uint64) (register.Fields, error) {
 							return register.Fields{id: json.RawMessage(fmt.Sprint(version + 1))}, nil
 						})
 						mu.Lock()
 						switch {
 						case err == nil:
-							yes[id] = revision.Version
+							acknowledged[id] = revision.Version
 						case apierror.Is(err, apierror.NoMajority), apierror.Is(err, apierror.Superseded):
-							no[id] = true
+							rejected[id] = true
 						}
 						mu.Unlock()
 					}
 				})
 			}
-			crashing, stop := context.WithCancel(t.Context())
-			var chaos sync.WaitGroup
-			chaos.Go(func() {
-				for n := 0; crashing.Err() == nil; n++ {
+			restarting, stop := context.WithCancel(t.Context())
+			var restarts sync.WaitGroup
+			restarts.Go(func() {
+				for n := 0; restarting.Err() == nil; n++ {
 					time.Sleep(w.delay() * 20)
-					w.start(n % 4)
+					w.startNode(n % 4)
 				}
 			})
 			clients.Wait()
 			stop()
-			chaos.Wait()
+			restarts.Wait()
 			w.mu.Lock()
-			w.loss = 0
+			w.lossRate = 0
 			w.mu.Unlock()
 			time.Sleep(5 * time.Second)
 			var err error
 			for range 5 {
-				if _, err = w.at(2).owner.Change(context.Background(), "k", func(register.Fields, uint64) (register.Fields, error) {
+				if _, err = w.node(2).owner.Change(context.Background(), "k", func(register.Fields, uint64) (register.Fields, error) {
 					return register.Fields{"last": json.RawMessage(`1`)}, nil
 				}); err == nil {
 					break
 				}
 			}
 			is.NoErr(err)
-			time.Sleep(2 * time.Second) // this core's own disk need not be among the majority of the yes
-			final := w.at(2).acceptor.Read("k")
-			for id, version := range yes {
-				is.Equal(string(final.Fields[id]), fmt.Sprint(version)) // a yes stands, at its version
+			time.Sleep(2 * time.Second) // this core's own disk may not be part of the majority that accepted the change
+			final := w.node(2).acceptor.Read("k")
+			for id, version := range acknowledged {
+				is.Equal(string(final.Fields[id]), fmt.Sprint(version)) // an acknowledged change is present at its version
 			}
-			for id := range no {
-				is.Equal(final.Fields[id], nil) // a no does not
+			for id := range rejected {
+				is.Equal(final.Fields[id], nil) // a rejected change is absent
 			}
-			sumYes += len(yes)
+			totalAcknowledged += len(acknowledged)
 			time.Sleep(10 * time.Second)
 			synctest.Wait()
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			is.True(w.checked > 20)
+			is.True(w.commitsChecked > 20)
 		})
 	}
-	if sumYes < 1000 {
-		t.Errorf("only %d changes were accepted in all runs: the schedules are too rough to show anything", sumYes)
+	if totalAcknowledged < 1000 {
+		t.Errorf("only %d changes were accepted in all runs: too many faults for the test to be meaningful", totalAcknowledged)
 	}
 }
--- a/register/rounds.go
+++ b/register/rounds.go
@@ -57,8 +57,8 @@
 	return true
 }
 
-// confirm asks the peers whether this owner's epoch is still the highest that they have promised. Unless a majority says so, the register has
-// to be acquired again. Nothing is written to disk.
+// confirm asks the peers whether this owner's epoch is still the highest that they have promised. Unless a majority says so, the register
+// has to be acquired again. Nothing is written to disk.
 func (o *Owner) confirm(ctx context.Context, peers Peers, key string, k *ownedKey) error {
 	epoch := k.epoch
 	answers := gather(peers, func(p Peer) (struct{}, error) { return struct{}{}, p.Confirm(ctx, key, epoch) })
