--- a/register/fuzz_test.go
+++ b/register/fuzz_test.go
@@ -9,7 +9,8 @@
 )
 
 func openFuzzed(d *sim.Disk) (*register.Acceptor, error) {
-	return register.OpenAcceptor(register.AcceptorOptions{Disk: d.Open(), OnChange: func(string, register.Record, register.Fields, bool) {}, OnSkipped: func(string, string, error) {}})
+	return register.OpenAcceptor(register.AcceptorOptions{Disk: d.Open(), OnChange: func(string, register.Record, register.Fields, bool) {},
+		OnSkipped: func(string, string, error) {}})
 }
 
 // FuzzAcceptorLoad loads arbitrary files of a key. The acceptor must load, never promise an epoch twice, and accept a full change.
--- a/register/lease_test.go
+++ b/register/lease_test.go
@@ -119,7 +119,8 @@
 			if planted.store != nil {
 				one.store = planted.store(one.node, one.store)
 			}
-			one.candidate = lease.New(lease.Options{Role: "d", Holder: fmt.Sprintf("%d.%d", one.node, one.incarnation), Length: length, Margin: leaseMargin, Store: one.store, Log: zerolog.Nop()})
+			one.candidate = lease.New(lease.Options{Role: "d", Holder: fmt.Sprintf("%d.%d", one.node, one.incarnation),
+				Length: length, Margin: leaseMargin, Store: one.store, Log: zerolog.Nop()})
 		}
 		for node := range c.owners {
 			one := &candidate{node: node}
@@ -193,8 +194,8 @@
 // grantsWithoutMajority grants the lease without asking any acceptor.
 type grantsWithoutMajority struct{ leaseStore }
 
-func (b grantsWithoutMajority) Acquire(_ context.Context, _ string, _, met lease.Grant) (uint64, error) {
-	return met.Version + 1, nil
+func (b grantsWithoutMajority) Acquire(_ context.Context, _ string, _, seen lease.Grant) (uint64, error) {
+	return seen.Version + 1, nil
 }
 
 // Checks that the test detects leases that aren't waited out, are taken from another holder, or were granted without a majority.
--- a/register/model_test.go
+++ b/register/model_test.go
@@ -135,7 +135,8 @@
 const modelKey = config.Key
 
 func newModel(t *testing.T, s scenario) *model {
-	c := &model{t: t, scenario: s, faultsLeft: s.faults, history: &linearizability.Recorder{}, contents: map[register.Revision]string{}, running: map[*request]int{}, cuts: map[link]bool{}}
+	c := &model{t: t, scenario: s, faultsLeft: s.faults, history: &linearizability.Recorder{},
+		contents: map[register.Revision]string{}, running: map[*request]int{}, cuts: map[link]bool{}}
 	for i := range s.size {
 		c.members = append(c.members, &member{disk: sim.NewDisk()})
 		c.startNode(i)
@@ -257,7 +258,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	slices.SortStableFunc(c.inFlight, func(a, b *message) int {
-		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.from, b.from), cmp.Compare(a.incarnation, b.incarnation), cmp.Compare(a.name, b.name), cmp.Compare(a.to, b.to))
+		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.from, b.from), cmp.Compare(a.incarnation, b.incarnation),
+			cmp.Compare(a.name, b.name), cmp.Compare(a.to, b.to))
 	})
 	var deferred []choice
 	for _, m := range c.inFlight {
@@ -517,7 +519,7 @@
 		}
 		c.members[i].checkedRevision = at
 		raw, _ := json.Marshal(r.Fields) // maps are encoded with sorted keys
-		if was, met := c.contents[at]; met && was != string(raw) {
+		if was, seen := c.contents[at]; seen && was != string(raw) {
 			c.reportViolation(fmt.Errorf("revision %v has two contents; the second one is at node %d", at, i))
 		}
 		c.contents[at] = string(raw)
--- a/register/planted_test.go
+++ b/register/planted_test.go
@@ -71,12 +71,16 @@
 	expected string // part of the reported violation
 	scenario
 }{
-	{"an acceptor forgets its promises at a restart", "", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost, faults: faultBudget{restarts: 2},
+	{"an acceptor forgets its promises at a restart", "", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost,
+		faults:   faultBudget{restarts: 2},
 		injected: &injectedFault{onRestart: dropFilesOnRestart("p")}}},
-	{"a disk loses synced versions", "is missing in majority", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost, faults: faultBudget{restarts: 1},
+	{"a disk loses synced versions", "is missing in majority", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost,
+		faults:   faultBudget{restarts: 1},
 		injected: &injectedFault{onRestart: dropFilesOnRestart("v")}}},
-	{"an owner acknowledges with a minority", "is missing in majority", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost, injected: &injectedFault{selectPeers: onlySelf}}},
-	{"a read from a minority", "at the earliest", scenario{size: 3, requests: []request{writeRequest(1, 1, 0, "a"), readRequest(0)}, sequential: true, commitDelivery: commitsImmediate,
+	{"an owner acknowledges with a minority", "is missing in majority", scenario{size: 3, requests: concurrentWrites, commitDelivery: commitsLost,
+		injected: &injectedFault{selectPeers: onlySelf}}},
+	{"a read from a minority", "at the earliest", scenario{size: 3, requests: []request{writeRequest(1, 1, 0, "a"), readRequest(0)},
+		sequential: true, commitDelivery: commitsImmediate,
 		injected: &injectedFault{selectPeers: firstNodeOnlySelf}}},
 	{"an acceptor acknowledges without storing", "is missing in majority", scenario{size: 3, requests: concurrentWrites[:1], commitDelivery: commitsLost,
 		injected: &injectedFault{wrapPeer: func(to int, real register.Peer) register.Peer { return acceptsNothing{real} }}}},
--- a/register/power_test.go
+++ b/register/power_test.go
@@ -149,7 +149,8 @@
 	if state.lastOffered.Epoch == 0 || state.lastOffered.Less(state.acknowledged) {
 		return
 	}
-	if r.acceptor.Accept(register.Change{Key: key, Base: state.lastOffered, Next: state.lastOffered, Full: true, Fields: r.contents[contentOf(key, state.lastOffered)].Clone()}) == nil {
+	if r.acceptor.Accept(register.Change{Key: key, Base: state.lastOffered, Next: state.lastOffered,
+		Full: true, Fields: r.contents[contentOf(key, state.lastOffered)].Clone()}) == nil {
 		state.acknowledged = state.lastOffered
 	}
 }
@@ -437,7 +438,8 @@
 		b.Run(fmt.Sprint(routes, " fields a change"), func(b *testing.B) {
 			files := sim.NewFiles()
 			folder, _ := disk.NewFolderOn(files, dataFolder)
-			options := register.AcceptorOptions{Disk: folder, OnChange: func(string, register.Record, register.Fields, bool) {}, OnSkipped: func(string, string, error) {}}
+			options := register.AcceptorOptions{Disk: folder, OnChange: func(string, register.Record, register.Fields, bool) {},
+				OnSkipped: func(string, string, error) {}}
 			acceptor, _ := register.OpenAcceptor(options)
 			base := register.Revision{}
 			for version := range uint64(1000) {
