--- a/register/acceptor.go
+++ b/register/acceptor.go
@@ -196,7 +196,7 @@
 	case !record.Revision.Less(change.Next):
 		return newSupersededError(change.Next.Epoch, record)
 	case !change.Full && (change.Base != record.Revision || e.isDamaged()):
-		return apierror.New(apierror.Behind, "delta based on revision %v, but the accepted one is %v", record.Revision, change.Base)
+		return apierror.New(apierror.Behind, "accepted revision is %v, but the delta is based on %v", record.Revision, change.Base)
 	}
 	return a.store(e, change)
 }
