--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,13 +1,13 @@
-// Package agent is the program that runs beside each proxy. It watches all cores and feeds its proxy over loopback with what a majority of
-// them has committed.
+// Package agent implements the process that runs next to each proxy. It watches all cores and sends its proxy, over loopback, the state
+// that a majority of the cores has committed.
 //
-// An agent is current while a majority of the members has answered lately and no register shows a version that may or may not be committed
-// for too long (currency.go; docs/design.md §3.2 has the arithmetic). It tells its proxy for how much longer it is current, and the proxy
-// admits no request beyond that. So a proxy that is cut off stops before the cores can have moved on without it.
+// An agent is current while a majority of the members has answered recently and no register has held an in-doubt version for too long
+// (see currency.go; docs/design.md §3.2 derives the time limits). The agent tells its proxy for how much longer it is current, and the
+// proxy admits no requests after that time. A partitioned proxy therefore stops before the cores can commit changes without it.
 //
-// The other files: discovery.go finds the members and watches them, forwarding.go takes calls of the proxy to the cores and the cores'
-// queries to the proxy, replica_reports.go polls replicas that speak our own interface, cache_updates.go passes on what cores have read of
-// the replicas' caches.
+// The other files: discovery.go finds the members and watches them; forwarding.go forwards calls from the proxy to the cores and queries
+// from the cores to the proxy; replica_reports.go polls replicas that implement the project's own interface; cache_updates.go forwards
+// the replica cache contents that the cores have read.
 package agent
 
 import (
@@ -38,23 +38,23 @@
 	proxyRole = "proxy"
 )
 
-// Options of an agent.
+// Options configures an agent.
 type Options struct {
-	// Protocol is how replicas are spoken to; nil: router.ChatProtocol.
+	// Protocol is the API that the replicas implement; nil means router.ChatProtocol.
 	Protocol router.Protocol
-	// FreshLimit is T: how old a majority's answers may be for the agent to be current; 0: protocol.FreshLimit.
+	// FreshLimit (T) is the maximum age of a majority's responses for the agent to be current; 0 means protocol.FreshLimit.
 	FreshLimit time.Duration
-	// UndecidedLimit is U: how long the agent stays current beside a version that may be committed; 0: protocol.UndecidedLimit.
+	// UndecidedLimit (U) is how long the agent stays current while a version is in doubt; 0 means protocol.UndecidedLimit.
 	UndecidedLimit time.Duration
-	// WatchWait is how long a core holds a watch request open; 0: protocol.DefaultWatchWait.
+	// WatchWait is how long a core holds a watch request open; 0 means protocol.DefaultWatchWait.
 	WatchWait time.Duration
-	// Grace is how long a stopping agent goes on beside a proxy that has yet to stop; 0: not at all.
+	// Grace is how long a stopping agent keeps running for a proxy that has not stopped yet; 0 means that it does not wait.
 	Grace time.Duration
-	// CloseTimeout is how long running answers may take when the agent closes its listeners; 0: 1 s.
+	// CloseTimeout is how long in-flight responses may take when the agent closes its listeners; 0 means 1 s.
 	CloseTimeout time.Duration
 }
 
-// Agent watches the cores and feeds the proxy beside it.
+// Agent watches the cores and sends committed state to its local proxy.
 type Agent struct {
 	host          daemon.Host
 	options       Options
@@ -63,42 +63,43 @@
 	proxyUpdates  *watch.Server
 	throttles     *throttle.Table
 	detector      *gossip.Detector
-	// disk holds the cores' addresses; nil: they are lost with the process.
+	// disk stores the cores' addresses; if nil, they are not kept across restarts.
 	disk disk.Disk
 
-	mu sync.Mutex // guards what follows
-	// members is the list in force, previousMembers the one before while keys are transferred from it.
+	mu sync.Mutex // guards the fields below
+	// members is the active membership; previousMembers is its predecessor, set only while keys are being transferred from it.
 	members         []config.Member
 	previousMembers []config.Member
-	// cores are the watches of the members, by address.
+	// cores holds the watch clients of the members, by address.
 	cores map[string]*watch.Client
-	// applied is the revision of each register that the proxy was given; it only rises.
+	// applied is the revision of each register that was sent to the proxy; it never decreases.
 	applied map[string]register.Revision
-	// undecided are the versions above it that may be committed.
+	// undecided holds the in-doubt versions that are later than the applied ones.
 	undecided map[string]undecidedVersion
-	// currentUntil is the end of currency as last evaluated, notCurrentReason why it has ended, loggedCurrent what the log says.
+	// currentUntil is when the agent ceases to be current, as last evaluated; notCurrentReason is why it is not current; loggedCurrent is
+	// the state that was last logged.
 	currentUntil     time.Time
 	notCurrentReason string
 	loggedCurrent    bool
-	// everCurrent is closed when this agent is current for the first time.
+	// everCurrent is closed when this agent becomes current for the first time.
 	everCurrent      chan struct{}
 	closeEverCurrent sync.Once
-	// unresponsive is which members did not answer when last looked at, by address.
+	// unresponsive records, by address, whether a member was unresponsive at the last check.
 	unresponsive map[string]bool
-	// quorumSince is since when a majority of the members answers; zero while it does not.
+	// quorumSince is the time since which a majority of the members has been responsive; zero while there is no such majority.
 	quorumSince time.Time
-	// proxies are those that share the replicas, liveCoreFields the cores that answer, as the proxy was told.
+	// proxies (those that share the replicas) and liveCoreFields (the responsive cores) are as last sent to the proxy.
 	proxies        register.Fields
 	liveCoreFields register.Fields
 	modelVersions  router.ModelVersions
-	// cacheReaders is, by the key of a source's cache updates, the address of the core that they are taken from.
+	// cacheReaders maps the key of a replica's cache updates to the address of the core that they are taken from.
 	cacheReaders map[string]string
-	// polled are the replicas that are polled for reports, stopPolling what ends that.
+	// polled holds the replicas that are polled for reports; stopPolling cancels their pollers.
 	polled      map[string]config.Replica
 	stopPolling map[string]context.CancelFunc
 }
 
-// New makes an agent. Its disk may be nil.
+// New returns an agent; d may be nil.
 func New(host daemon.Host, d disk.Disk, options Options) *Agent {
 	if options.Protocol == nil {
 		options.Protocol = router.ChatProtocol{}
@@ -138,8 +139,8 @@
 	return a
 }
 
-// Serve runs the agent until stopped ends, and then for as long as its proxy still runs, options.Grace at most. local is the loopback
-// listener for the proxy, listener the one that cores reach.
+// Serve runs the agent until stopped is done, and then until its proxy has stopped, but no longer than options.Grace. local is the
+// loopback listener for the proxy; listener is the one that the cores connect to.
 func (a *Agent) Serve(stopped context.Context, local, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stopped))
 	defer cancel()
@@ -162,7 +163,7 @@
 	return daemon.Serve(ctx, local, a.proxyHandler(), a.options.CloseTimeout)
 }
 
-// proxyHandler has the endpoints for the proxy.
+// proxyHandler serves the endpoints for the proxy.
 func (a *Agent) proxyHandler() http.Handler {
 	mux, fleet := http.NewServeMux(), a.host.Fleet
 	mux.Handle("POST /agent/pull", rpc.Handler(fleet, a.handleProxyWatch))
@@ -171,8 +172,8 @@
 	return mux
 }
 
-// handleProxyWatch answers the proxy's watch requests once this agent was current for the first time. Before that it has part of the registers
-// at the most, and would lead back a proxy that knows them from the agent's run before. The error is apierror.NotCurrent.
+// handleProxyWatch answers the proxy's watch requests once this agent has been current. Before that, the agent has at most some of the
+// registers and could revert a proxy to older state than it received from the agent's previous run. The error is apierror.NotCurrent.
 func (a *Agent) handleProxyWatch(ctx context.Context, request watch.Request) (watch.Response, error) {
 	wait, cancel := context.WithTimeout(ctx, time.Duration(request.WaitMs)*time.Millisecond)
 	defer cancel()
@@ -180,11 +181,11 @@
 	case <-a.everCurrent:
 		return a.proxyUpdates.Watch(ctx, request)
 	case <-wait.Done():
-		return watch.Response{}, apierror.New(apierror.NotCurrent, "no majority of cores was heard since this agent started")
+		return watch.Response{}, apierror.New(apierror.NotCurrent, "no majority of cores has answered since this agent started")
 	}
 }
 
-// coreHandler has the endpoints for cores, other daemons and operators.
+// coreHandler serves the endpoints for cores, other daemons and operators.
 func (a *Agent) coreHandler() http.Handler {
 	mux, fleet := http.NewServeMux(), a.host.Fleet
 	mux.Handle("POST /agent/query", rpc.Handler(fleet, a.handleQuery))
@@ -195,8 +196,8 @@
 	return mux
 }
 
-// awaitProxyStop waits while the proxy run that watches this agent goes on doing so, so that it stays current until its last request is
-// answered. A run that is started after it is no reason to stay: it watches the next run of this agent.
+// awaitProxyStop waits until the proxy run that is now watching this agent stops watching, so that the proxy stays current until it has
+// answered its last request. It does not wait for a later run of the proxy, which will watch the next run of this agent.
 func (a *Agent) awaitProxyStop() {
 	served, connected := a.proxyStatus(membership.LivenessTimeout)
 	for end := time.Now().Add(a.options.Grace); connected && time.Now().Before(end); {
@@ -207,13 +208,13 @@
 	}
 }
 
-// connectedProxy is the proxy beside this agent, as it last introduced itself.
+// connectedProxy is the local proxy as described by its last watch request.
 type connectedProxy struct {
 	router.Status
 	applied map[string]register.Revision
 }
 
-// proxyStatus gives the proxy that was heard within a time, if any.
+// proxyStatus returns the proxy whose last watch request came within the given time, if any.
 func (a *Agent) proxyStatus(within time.Duration) (proxy connectedProxy, connected bool) {
 	for _, state := range a.proxyUpdates.ClientStates(within) {
 		if state.Role != proxyRole {
@@ -229,6 +230,6 @@
 }
 
 func (a *Agent) publishThrottle(e throttle.Entry) {
-	raw, _ := json.Marshal(e.Notice) // a plain struct always encodes
+	raw, _ := json.Marshal(e.Notice) // encoding a plain struct cannot fail
 	a.proxyUpdates.PublishHint(router.ThrottleKey, register.Fields{e.Scope: raw}, false)
 }
--- a/agent/cache_updates.go
+++ b/agent/cache_updates.go
@@ -8,7 +8,7 @@
 	"asterridge/watch"
 )
 
-// forwardCached gives the proxy what a core has read of the caches that are assigned to it (docs/design.md §6.4).
+// forwardCached sends the proxy the cache updates that a core has read from the replicas assigned to it (docs/design.md §6.4).
 func (a *Agent) forwardCached(core *watch.Client, response watch.Response) {
 	for _, update := range response.Updates {
 		if !strings.HasPrefix(update.Key, router.CachedPrefix) {
@@ -30,8 +30,8 @@
 	}
 }
 
-// switchCacheReaders gives the proxy all that a source has cached from another core, once the reading was handed over to that one: what it
-// told before then was not passed on.
+// switchCacheReaders sends the proxy the full cached state of each replica that was reassigned to another core, taken from that core: the
+// updates that the core sent before the reassignment were not forwarded.
 func (a *Agent) switchCacheReaders() {
 	a.mu.Lock()
 	before := maps.Clone(a.cacheReaders)
--- a/agent/cache_updates_test.go
+++ b/agent/cache_updates_test.go
@@ -14,22 +14,23 @@
 	"asterridge/watch"
 )
 
-// A core whose answer was long on its way still counts as the reader of its sources, though all are silent by their last answers (§6.4).
-func TestNewsOfKeptPromptsCountHoweverLongTheyTook(t *testing.T) {
+// Guards against dropped cache updates when a response is slow: the core that sent it must still count as live while it is handled, even
+// if by their previous responses all cores are unresponsive (§6.4).
+func TestCacheUpdatesOfSlowResponseAreForwarded(t *testing.T) {
 	is := is.New(t)
 	a := New(daemon.Host{Name: "agent-1", Net: &rpc.TCP{}, Log: zerolog.Nop()}, nil, Options{})
 	for _, name := range []string{"core-1", "core-2", "core-3", "core-4"} {
 		a.members = append(a.members, config.Member{Name: name, Address: name})
-		a.cores[name] = watch.NewClient(watch.ClientOptions{Address: name}) // its asks were never answered, or long ago
+		a.cores[name] = watch.NewClient(watch.ClientOptions{Address: name}) // no request was answered recently
 	}
 	key := router.CachedPrefix + "replica-1"
-	answer := watch.Response{Snapshot: true, Updates: []watch.KeyUpdate{{Key: key, Fields: register.Fields{"block": []byte("7")}}}}
-	a.forwardCached(a.cores["core-3"], answer)
+	response := watch.Response{Snapshot: true, Updates: []watch.KeyUpdate{{Key: key, Fields: register.Fields{"block": []byte("7")}}}}
+	a.forwardCached(a.cores["core-3"], response)
 	got, err := a.proxyUpdates.Watch(t.Context(), watch.Request{Name: "proxy"})
 	is.NoErr(err)
 	is.Equal(len(got.Updates), 1)
 	is.Equal(string(got.Updates[0].Fields["block"]), "7")
 }
 
-// The file's name on disk stays as it is.
-func TestStoredNameKeepsItsForm(t *testing.T) { is.New(t).Equal(coresFile, "cores") }
+// An agent must find the file that an earlier version stored.
+func TestCoresFileNameIsUnchanged(t *testing.T) { is.New(t).Equal(coresFile, "cores") }
--- a/agent/currency.go
+++ b/agent/currency.go
@@ -14,13 +14,13 @@
 	"asterridge/watch"
 )
 
-// undecidedVersion is a version that may be committed, and since when it counts against currency.
+// undecidedVersion is an in-doubt version and the time from which UndecidedLimit is counted.
 type undecidedVersion struct {
 	revision register.Revision
 	since    time.Time
 }
 
-// applyUpdates gives the proxy what is known to be committed, and evaluates until when this agent is current.
+// applyUpdates sends the proxy the versions that are known to be committed and evaluates until when this agent is current.
 func (a *Agent) applyUpdates(ctx context.Context) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -32,7 +32,7 @@
 	}
 }
 
-// remaining is how much longer this agent is current; not above zero while it is not.
+// remaining returns for how much longer this agent is current; zero or negative if it is not.
 func (a *Agent) remaining() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -40,7 +40,7 @@
 	return time.Until(a.currentUntil)
 }
 
-// evaluateCurrency applies every register and works out until when this agent is current; a.mu is held.
+// evaluateCurrency applies every register and computes until when this agent is current. The caller holds a.mu.
 func (a *Agent) evaluateCurrency() {
 	now := time.Now()
 	if len(a.members) == 0 {
@@ -61,7 +61,7 @@
 			reason = "a change of " + key + " is undecided"
 		}
 	}
-	if current := now.Before(until); current != a.loggedCurrent { // also when a time has run out
+	if current := now.Before(until); current != a.loggedCurrent { // also reached when a time limit has expired without a response
 		a.loggedCurrent = current
 		a.host.Log.Info().Bool("current", current).Str("reason", reason).Msg("currency changed")
 	}
@@ -71,7 +71,7 @@
 	}
 }
 
-// publishedKeys are the registers that the cores have told of.
+// publishedKeys returns the keys of the registers that any core has reported.
 func (a *Agent) publishedKeys() map[string]bool {
 	keys := map[string]bool{}
 	for _, core := range a.cores {
@@ -84,7 +84,7 @@
 	return keys
 }
 
-// activeLists are the lists of members that count: the one in force, and the one before while keys are transferred from it.
+// activeLists returns the member lists that need a majority: the active one, and the previous one while keys are transferred from it.
 func (a *Agent) activeLists() [][]config.Member {
 	if len(a.previousMembers) > 0 {
 		return [][]config.Member{a.members, a.previousMembers}
@@ -92,7 +92,7 @@
 	return [][]config.Member{a.members}
 }
 
-// quorumFreshUntil is the end of the time that a majority of each list has granted by answering.
+// quorumFreshUntil returns until when the responses of a majority of every active list are fresh enough.
 func (a *Agent) quorumFreshUntil() (until time.Time) {
 	for i, list := range a.activeLists() {
 		if end := a.listFreshUntil(list); i == 0 || end.Before(until) {
@@ -102,8 +102,8 @@
 	return until
 }
 
-// listFreshUntil is the end of the time that a majority of a list has granted: FreshLimit after the oldest of the newest majority of
-// requests that were answered was sent.
+// listFreshUntil returns until when the responses of a majority of one list are fresh enough. With the members ordered by the send time of
+// their last answered request, newest first, this is FreshLimit after the send time of the member that completes the majority.
 func (a *Agent) listFreshUntil(list []config.Member) time.Time {
 	var sent []time.Time
 	for _, m := range list {
@@ -119,7 +119,7 @@
 	return sent[majority-1].Add(a.options.FreshLimit)
 }
 
-// freshAsOf is when the newest request that a member has answered was sent; zero if it has answered none.
+// freshAsOf returns the send time of the last request that a member has answered; zero if it has answered none.
 func (a *Agent) freshAsOf(m config.Member) time.Time {
 	if core := a.cores[m.Address]; core != nil {
 		return core.FreshAsOf(m.Incarnation)
@@ -127,7 +127,7 @@
 	return time.Time{}
 }
 
-// hasQuorum reports whether a majority of each list has answered and matches.
+// hasQuorum reports whether, in every active list, a majority of the members has answered and matches.
 func (a *Agent) hasQuorum(matches func(core *watch.Client) bool) bool {
 	for _, list := range a.activeLists() {
 		count := 0
@@ -143,7 +143,8 @@
 	return true
 }
 
-// mayBeCommitted reports whether, for all that is known, a majority of some list may have the revision or a later one.
+// mayBeCommitted reports whether a majority of some active list may have the revision or a later one. A member without a fresh response
+// is assumed to have it.
 func (a *Agent) mayBeCommitted(key string, revision register.Revision, now time.Time) bool {
 	for _, list := range a.activeLists() {
 		without := 0
@@ -163,9 +164,9 @@
 	return false
 }
 
-// applyKey gives the proxy the newest committed version of a register. If a later one may be committed too, undecided is true, and end is
-// when this agent ceases to be current for it. One that was not current when it met such a version gets no time for it: else a restart
-// could bring an older version back.
+// applyKey sends the proxy the newest committed version of a register. If a later version is in doubt, undecided is true and end is the
+// time when this agent ceases to be current because of it. An agent that was not current when it first saw that version gets no
+// UndecidedLimit for it: otherwise a restart could bring an older version back into use.
 func (a *Agent) applyKey(key string, now time.Time, wasCurrent bool) (end time.Time, undecided bool) {
 	newest := a.applyCommitted(key)
 	applied := a.applied[key]
@@ -186,8 +187,8 @@
 	return open.since.Add(a.options.UndecidedLimit), true
 }
 
-// applyCommitted gives the proxy the newest committed version of a register, if that is newer than what it has, and returns the newest
-// revision that any core has, committed or not.
+// applyCommitted sends the proxy the newest committed version of a register if the proxy has an older one, and returns the newest revision
+// that any core has, committed or not.
 func (a *Agent) applyCommitted(key string) (newest register.Revision) {
 	committed := a.applied[key]
 	newest = committed
@@ -206,7 +207,7 @@
 	}
 	state := source.Read(key)
 	if state.Revision != committed {
-		return newest // it has moved on since; the next response shows it
+		return newest // the core has a newer revision by now; the next response triggers another evaluation
 	}
 	a.applied[key] = committed
 	a.proxyUpdates.Publish(key, committed, committed, state.Fields, true)
@@ -219,7 +220,7 @@
 	return newest
 }
 
-// quorumHas reports whether a majority of each list has just this revision.
+// quorumHas reports whether a majority of every active list has exactly this revision.
 func (a *Agent) quorumHas(key string, revision register.Revision) bool {
 	return a.hasQuorum(func(core *watch.Client) bool {
 		has, _ := core.Revisions(key)
@@ -227,9 +228,9 @@
 	})
 }
 
-// detectDisturbance tells the proxy when a member ceases to answer or returns, as long as a majority answers: the replicas may have been
-// without orders meanwhile (docs/design.md §6.5). An agent that did not hear a majority just now was itself frozen, cut off or not there;
-// that members return to it one by one says nothing of them. a.mu is held.
+// detectDisturbance notifies the proxy when a member becomes unresponsive or responsive again while a majority is responsive: the replicas
+// may have received no commands in the meantime (docs/design.md §6.5). If this agent had no majority until just now, it was itself frozen,
+// partitioned or not running, and members that become responsive one by one say nothing about the fleet. The caller holds a.mu.
 func (a *Agent) detectDisturbance() {
 	now, settleTime := time.Now(), membership.LivenessTimeout+a.options.WatchWait
 	fresh, changed := 0, false
--- a/agent/discovery.go
+++ b/agent/discovery.go
@@ -13,17 +13,17 @@
 	"asterridge/watch"
 )
 
-// coresFile holds the addresses of the cores, for the time after a restart.
+// coresFile is the file with the addresses of the cores, read after a restart.
 const coresFile = "cores"
 
-// handleHello names the members to a process that looks for them.
+// handleHello returns the members to a process that is looking for them.
 func (a *Agent) handleHello(context.Context, protocol.Hello) (protocol.Hello, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return protocol.Hello{Name: a.host.Name, Role: agentRole, Address: a.host.Address, Zone: a.host.Zone, Members: a.members}, nil
 }
 
-// discoverCores asks the seeds for the members until some are known, and keeps a watch for each member.
+// discoverCores asks the seed addresses for the members until some are known, and then maintains a watch for each member.
 func (a *Agent) discoverCores(ctx context.Context) {
 	a.mu.Lock()
 	known := a.members
@@ -46,8 +46,8 @@
 	return rpc.Call[protocol.Hello](ctx, a.rpc, address, "/core/hello", protocol.Hello{})
 }
 
-// seedAddresses are the addresses to ask for the members: the seeds, the nodes that gossip has told of, and the cores that a run of this
-// agent before has recorded.
+// seedAddresses returns the addresses to ask for the members: the configured seeds, the nodes known from gossip, and the cores that an
+// earlier run of this agent recorded on disk.
 func (a *Agent) seedAddresses() []string {
 	addresses := slices.Clone(a.host.Seeds)
 	for _, node := range a.detector.Nodes()[1:] {
@@ -64,7 +64,7 @@
 	return addresses
 }
 
-// recordCores writes down where the cores are; a.mu is held. Nothing waits for the disk.
+// recordCores stores the addresses of the cores on disk in the background. The caller holds a.mu.
 func (a *Agent) recordCores() {
 	if a.disk == nil {
 		return
@@ -73,7 +73,7 @@
 	for _, m := range a.members {
 		addresses = append(addresses, m.Address)
 	}
-	raw, _ := json.Marshal(addresses) // strings always encode
+	raw, _ := json.Marshal(addresses) // encoding strings cannot fail
 	go func() {
 		if err := a.disk.Put(protocol.IdentityFolder, coresFile, raw); err != nil {
 			a.host.Log.Warn().Err(err).Msg("addresses of the cores not recorded on disk")
@@ -81,7 +81,7 @@
 	}()
 }
 
-// watchCores keeps one watch for each member of the list in force and of the one before.
+// watchCores maintains one watch for each member of the active and the previous list, and stops the watches of all others.
 func (a *Agent) watchCores(ctx context.Context, members []config.Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,7 +110,7 @@
 		Path:    "/core/pull",
 		Wait:    a.options.WatchWait,
 		Request: a.watchRequest,
-		OnUpdate: func(core *watch.Client, response watch.Response) { // registers are looked at in applyUpdates, after each response
+		OnUpdate: func(core *watch.Client, response watch.Response) { // registers are handled by applyUpdates
 			protocol.MergeThrottles(a.throttles, response)
 			a.forwardCached(core, response)
 			a.forwardModelVersions(response)
@@ -123,7 +123,7 @@
 	return slices.ContainsFunc(members, func(m config.Member) bool { return m.Address == address })
 }
 
-// watchRequest introduces this agent and its proxy to a core.
+// watchRequest returns a watch request to a core, with the status of this agent and of its proxy.
 func (a *Agent) watchRequest() watch.Request {
 	status := protocol.AgentStatus{Address: a.host.Address, Zone: a.host.Zone, Current: a.remaining() > 0}
 	request := watch.Request{Name: a.host.Name, Role: agentRole}
@@ -133,6 +133,6 @@
 	a.mu.Lock()
 	status.NotCurrentReason = a.notCurrentReason
 	a.mu.Unlock()
-	request.Status, _ = json.Marshal(status) // a plain struct always encodes
+	request.Status, _ = json.Marshal(status) // encoding a plain struct cannot fail
 	return request
 }
--- a/agent/forwarding.go
+++ b/agent/forwarding.go
@@ -20,11 +20,11 @@
 	"asterridge/watch"
 )
 
-// maxClaimAttempts is how many cores are asked for a claim, one after another.
+// maxClaimAttempts is the maximum number of cores that are tried for a claim, one after another.
 const maxClaimAttempts = 2
 
-// liveCores lists the members that answer, the one that would own the key first. A core whose response is just being handled counts, however
-// long ago its request was sent.
+// liveCores returns the responsive members by descending rendezvous weight for the key, so the preferred owner comes first. The cores in
+// answering, whose responses are being handled, count as responsive no matter how long ago their requests were sent.
 func (a *Agent) liveCores(key string, answering ...*watch.Client) (live []config.Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -40,8 +40,8 @@
 	return live
 }
 
-// forwardThrottle passes a throttle on to all live cores at once, so that one that is gone delays nobody; the owner of the scope's register
-// stores it. One answer is enough. The error is apierror.Unreachable if no core answers.
+// forwardThrottle sends a throttle to all live cores in parallel, so that a failed core causes no delay; the owner of the scope's register
+// stores it. One success is enough. The error is apierror.Unreachable if there is no live core.
 func (a *Agent) forwardThrottle(ctx context.Context, n throttle.Notice) (struct{}, error) {
 	a.throttles.Merge(n, throttle.Longest)
 	cores := a.liveCores(protocol.ThrottlePrefix + n.Scope)
@@ -70,7 +70,7 @@
 	return struct{}{}, err
 }
 
-// forwardClaim takes a claim of the proxy to its register's owner. If that core does not answer, or cannot decide, another one is asked.
+// forwardClaim sends a claim of the proxy to the owner of its register. If that core does not answer or cannot decide, it tries another.
 func (a *Agent) forwardClaim(ctx context.Context, c router.Claim) (struct{}, error) {
 	request := claim.Request{Claim: c}
 	if proxy, connected := a.proxyStatus(protocol.ProxyTimeout); connected && proxy.Proxy != "" {
@@ -93,21 +93,21 @@
 	return err
 }
 
-// mayRetryClaim reports whether another core may answer differently. Claims are idempotent, so an undecided one may be sent again.
+// mayRetryClaim reports whether another core may answer differently. Claims are idempotent, so one that is in doubt may be sent again.
 func mayRetryClaim(err error) bool {
 	return apierror.Is(err, apierror.Unreachable) || apierror.Is(err, apierror.NoMajority) ||
 		apierror.Is(err, apierror.Undecided) || apierror.Is(err, apierror.Superseded)
 }
 
-// handleQuery passes a core's query on to the proxy. The error is apierror.Unreachable if no proxy is connected.
+// handleQuery forwards a core's query to the proxy. The error is apierror.Unreachable if no proxy is connected.
 func (a *Agent) handleQuery(ctx context.Context, q router.Query) ([]router.Row, error) {
 	if proxy, connected := a.proxyStatus(protocol.ProxyTimeout); connected && proxy.Admin != "" {
 		return rpc.Call[[]router.Row](ctx, a.rpc, proxy.Admin, "/proxy/query", q)
 	}
-	return nil, apierror.New(apierror.Unreachable, "no proxy beside %s", a.host.Name)
+	return nil, apierror.New(apierror.Unreachable, "no proxy is connected to %s", a.host.Name)
 }
 
-// forwardProxies gives the proxy the names of those that share the replicas, from all cores that answer; a.mu is held.
+// forwardProxies sends the proxy the set of proxies that share the replicas, merged from all responsive cores. The caller holds a.mu.
 func (a *Agent) forwardProxies() {
 	proxies := register.Fields{}
 	for _, core := range a.cores {
@@ -123,18 +123,18 @@
 	}
 }
 
-// coreTimeout is for how long a core may be silent that the proxy is given: longer than a request is held, so that an idle one stays. The
-// proxy leaves alone a core that does not answer it.
+// coreTimeout is how long a core may go without a response before its address is withdrawn from the proxy. It is longer than a watch
+// request is held open, so that a core without changes stays listed. The proxy itself skips cores that do not answer it.
 const coreTimeout = 2 * membership.LivenessTimeout
 
-// forwardCores gives the proxy the addresses of the cores that answer.
+// forwardCores sends the proxy the addresses of the responsive cores.
 func (a *Agent) forwardCores() {
 	live := register.Fields{}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, m := range a.members {
 		if core := a.cores[m.Address]; core != nil && time.Since(core.FreshAsOf(m.Incarnation)) < coreTimeout {
-			live[m.Name], _ = json.Marshal(m.Address) // a string always encodes
+			live[m.Name], _ = json.Marshal(m.Address) // encoding a string cannot fail
 		}
 	}
 	if change := config.Delta(a.liveCoreFields, live); len(change) > 0 {
@@ -143,7 +143,7 @@
 	}
 }
 
-// forwardModelVersions tells the proxy since when versions of models are published, as the core knows it that has known it for longest.
+// forwardModelVersions tells the proxy since when each model version has been published: the earliest time that any core reports.
 func (a *Agent) forwardModelVersions(response watch.Response) {
 	for _, update := range response.Updates {
 		if update.Key != router.ModelVersionsKey {
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -6,10 +6,10 @@
 	"asterridge/daemon"
 )
 
-// unknownAge is the value of the age of a core that has never answered.
+// unknownAge is the reported age for a core that has never answered.
 const unknownAge = -1
 
-// gauges are the figures of this moment for GET /metrics; docs/operators.md says what each tells.
+// gauges returns the current values for GET /metrics; docs/operators.md describes them.
 func (a *Agent) gauges() []daemon.Gauge {
 	all := []daemon.Gauge{
 		{Name: "agent_current_ms", Value: float64(max(0, a.remaining()).Milliseconds())},
--- a/agent/replica_reports.go
+++ b/agent/replica_reports.go
@@ -15,10 +15,11 @@
 // reportInterval is the time between two polls of a replica.
 const reportInterval = 300 * time.Millisecond
 
-// completeBlock is the published amount of a block that is cached whole; replicas that speak our own interface report no parts.
+// completeBlock is the published value for a block that is cached completely; replicas with the project's own interface report only
+// complete blocks.
 const completeBlock = `0`
 
-// pollReplicas keeps one poller for each replica of the register that was applied; a.mu is held.
+// pollReplicas maintains one poller for each replica in the applied register of replicas. The caller holds a.mu.
 func (a *Agent) pollReplicas(ctx context.Context) {
 	present := a.appliedReplicas()
 	if len(present) == 0 && len(a.polled) > 0 {
@@ -46,18 +47,18 @@
 	}
 }
 
-// appliedReplicas reads the replicas from a core that has just the revision that was applied; none if there is no such core.
+// appliedReplicas reads the replicas from a core that has exactly the applied revision; nil if there is no such core.
 func (a *Agent) appliedReplicas() map[string]config.Replica {
 	for _, core := range a.cores {
 		if revision, _ := core.Revisions(config.ReplicasKey); revision == a.applied[config.ReplicasKey] && revision != (register.Revision{}) {
-			replicas, _ := config.Load[config.Replica](core.Read(config.ReplicasKey).Fields) // none if the register cannot be read
+			replicas, _ := config.Load[config.Replica](core.Read(config.ReplicasKey).Fields) // none if the register cannot be decoded
 			return replicas
 		}
 	}
 	return nil
 }
 
-// pollReplica asks a replica for its report until the context ends, and gives the proxy the report and the changes of its cache.
+// pollReplica polls a replica for its report until the context ends, and sends the proxy the report and the changes of the cache.
 func (a *Agent) pollReplica(ctx context.Context, replica config.Replica) {
 	var last router.Report
 	poll := func() {
@@ -77,7 +78,7 @@
 		if len(change) > 0 || report.Snapshot {
 			a.proxyUpdates.PublishHint(router.CachedPrefix+replica.Name, change, report.Snapshot)
 		}
-		raw, _ := json.Marshal(report.Report) // a plain struct always encodes
+		raw, _ := json.Marshal(report.Report) // encoding a plain struct cannot fail
 		a.proxyUpdates.PublishHint(router.ReportsKey, register.Fields{replica.Name: raw}, false)
 		last = report.Report
 	}
