--- a/watch/client.go
+++ b/watch/client.go
@@ -11,53 +11,53 @@
 )
 
 const (
-	// requestTimeout bounds one request, snapshotTimeout one that is answered with a snapshot.
+	// requestTimeout bounds a request for changes, snapshotTimeout one for a snapshot.
 	requestTimeout  = 2 * time.Second
 	snapshotTimeout = 20 * time.Second
-	// retryDelay is the time between a failed request and the next one.
+	// retryDelay is the delay after a failed request.
 	retryDelay = 100 * time.Millisecond
 )
 
-// ClientOptions of a client.
+// ClientOptions configures a client.
 type ClientOptions struct {
 	RPC     *rpc.Client
 	Address string
 	Path    string
-	// Request gives the name, role, status and applied revisions of the next request; the client fills in the rest.
+	// Request returns the next request with name, role, status and applied revisions; the client sets the other fields.
 	Request func() Request
 	// Wait is how long a request may be held open.
 	Wait time.Duration
-	// OnUpdate is called with each response that has updates or is a snapshot, after the copy was brought up to it; nil: nothing.
+	// OnUpdate is called with each response that has updates or is a snapshot, after it was applied to the copy; may be nil.
 	OnUpdate func(c *Client, response Response)
-	// OnResponse is called after each response, with the time when its request was sent; nil: nothing.
+	// OnResponse is called after each response, with the time when its request was sent; may be nil.
 	OnResponse func(c *Client, sent time.Time, validFor time.Duration)
 }
 
-// Client keeps a copy of a server's state.
+// Client maintains a copy of a server's state.
 type Client struct {
 	Options ClientOptions
 
 	stopped  chan struct{}
 	stopOnce sync.Once
 
-	mu sync.Mutex // guards what follows
-	// runID, incarnation and offset are those of the last response.
+	mu sync.Mutex // guards the fields below
+	// runID, incarnation and offset are taken from the last response.
 	runID       string
 	incarnation string
 	offset      uint64
-	// freshAt is when the last answered request was sent; zero if none was answered.
+	// freshAt is the send time of the last answered request; zero if none was answered.
 	freshAt   time.Time
 	keys      map[string]*KeyState
 	lastError error
 }
 
-// KeyState is what a client has of one key.
+// KeyState is a client's copy of one key.
 type KeyState struct {
 	Revision, Committed register.Revision
 	Fields              register.Fields
 }
 
-// NewClient makes a client; Run has it work.
+// NewClient returns a client; it sends requests only while Run is running.
 func NewClient(options ClientOptions) *Client {
 	return &Client{Options: options, keys: map[string]*KeyState{}, stopped: make(chan struct{})}
 }
@@ -78,7 +78,7 @@
 	}()
 	for ctx.Err() == nil {
 		if c.poll(ctx) != nil {
-			_ = rpc.Sleep(ctx, retryDelay) // the loop looks at the context
+			_ = rpc.Sleep(ctx, retryDelay) // an ended context ends the loop
 		}
 	}
 }
@@ -99,7 +99,7 @@
 		c.Options.OnUpdate(c, response)
 	}
 	c.mu.Lock()
-	c.freshAt = sent // only now: what counts as fresh has been acted upon
+	c.freshAt = sent // set only after OnUpdate, so that data that counts as fresh has been processed
 	c.mu.Unlock()
 	if c.Options.OnResponse != nil {
 		c.Options.OnResponse(c, sent, time.Duration(response.ValidForMs)*time.Millisecond)
@@ -118,7 +118,7 @@
 	return request, requestTimeout
 }
 
-// fail notes a failed request. One that has timed out leaves its connections: they may be dead.
+// fail records the error of a failed request. After a time-out it closes the idle connections, since they may be dead.
 func (c *Client) fail(ctx context.Context, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +128,7 @@
 	}
 }
 
-// apply brings the copy up to a response.
+// apply updates the copy from a response.
 func (c *Client) apply(response Response) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,14 +148,15 @@
 	c.runID, c.incarnation, c.offset = response.RunID, response.Incarnation, response.Offset
 }
 
-// FreshAt is when the last answered request was sent; zero if none was answered.
+// FreshAt returns the send time of the last answered request; zero if none was answered.
 func (c *Client) FreshAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.freshAt
 }
 
-// FreshAsOf is FreshAt if the server speaks for that incarnation, else zero: an emptied machine at a member's address is not the member.
+// FreshAsOf returns FreshAt if the last response came from the given incarnation, else zero: a server at a member's address that has lost
+// its disk is not that member.
 func (c *Client) FreshAsOf(incarnation string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,14 +166,14 @@
 	return c.freshAt
 }
 
-// LastError is why the last request failed, or nil.
+// LastError returns the error of the last request, or nil if it succeeded.
 func (c *Client) LastError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastError
 }
 
-// Revisions gives the accepted and the committed revision of a key; zero if there is no such key.
+// Revisions returns the accepted and the committed revision of a key; zero if there is no such key.
 func (c *Client) Revisions(key string) (revision, committed register.Revision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +183,7 @@
 	return register.Revision{}, register.Revision{}
 }
 
-// Read gives a copy of a key's state; an empty one if there is no such key.
+// Read returns a copy of a key's state; empty if there is no such key.
 func (c *Client) Read(key string) KeyState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,7 +194,7 @@
 	return KeyState{Revision: state.Revision, Committed: state.Committed, Fields: state.Fields.Clone()}
 }
 
-// Keys lists the keys of the copy.
+// Keys returns the keys in the copy, in no particular order.
 func (c *Client) Keys() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/watch/server.go
+++ b/watch/server.go
@@ -14,43 +14,43 @@
 )
 
 const (
-	// maxTombstones bounds the deleted fields that are remembered. A client that is behind the oldest one gets a snapshot.
+	// maxTombstones bounds the number of tombstones. A client that has not received a tombstone that was dropped gets a snapshot.
 	maxTombstones = 4096
-	// deferDelay is how long deferred updates wait for others.
+	// deferDelay is how long deferred updates are batched.
 	deferDelay = 300 * time.Millisecond
-	// maxWait is the most that a request is held open, whatever it asks for.
+	// maxWait bounds how long a request is held open, whatever wait it asks for.
 	maxWait = time.Second
-	// treeDegree is that of the B-trees of offsets.
+	// treeDegree is the degree of the B-trees that are ordered by offset.
 	treeDegree = 32
 )
 
-// ServerOptions of a server; both functions may be nil.
+// ServerOptions configures a server; both functions may be nil.
 type ServerOptions struct {
-	// Incarnation identifies whose state this is, in each response; empty if its answers are not to count.
+	// Incarnation returns the identity that is sent with each response; empty if clients must not count the response as fresh.
 	Incarnation func() string
-	// ValidFor is how much longer the published state may be acted upon.
+	// ValidFor returns for how much longer clients may act on the published state.
 	ValidFor func() time.Duration
 }
 
-// Server publishes the newest value of each field by offset. Its memory is bounded by its state, not by its history.
+// Server publishes the newest value of each field, ordered by offset. Its memory grows with its state, not with the number of changes.
 type Server struct {
 	options ServerOptions
 	runID   string
 
-	mu sync.Mutex // guards what follows
-	// offset is that of the newest change; it only rises.
+	mu sync.Mutex // guards the fields below
+	// offset is the offset of the newest change; it never decreases.
 	offset uint64
-	// wakeOffset is the offset beyond which there is nothing that a waiting request would be answered for at once.
+	// wakeOffset is the offset of the newest change that is sent at once; all later changes are deferred.
 	wakeOffset uint64
-	// deferredPending: there are changes above wakeOffset, and a timer that will wake requests for them.
+	// deferredPending is set while there are deferred changes above wakeOffset and a timer that will wake requests for them.
 	deferredPending bool
-	// compactedOffset is that of the newest tombstone that was dropped.
+	// compactedOffset is the offset of the newest tombstone that was dropped.
 	compactedOffset uint64
-	// positions has the newest change of every key and field, tombstones the deleted fields among them, by offset.
+	// positions holds the newest change of every key and field, ordered by offset; tombstones is its subset of deleted fields.
 	positions  *btree.BTreeG[position]
 	tombstones *btree.BTreeG[position]
 	keys       map[string]*publishedKey
-	// updated is closed, and replaced, when waiting requests are to be answered.
+	// updated is closed and replaced to wake the waiting requests.
 	updated chan struct{}
 	clients map[string]ClientState
 }
@@ -66,10 +66,10 @@
 type fieldState struct {
 	value     json.RawMessage
 	offset    uint64
-	changedAt time.Time // zero: not told
+	changedAt time.Time // zero if the age is not published
 }
 
-// position is the newest change of a key (with an empty field) or of a field.
+// position locates the newest change of a key (field is empty) or of one of its fields.
 type position struct {
 	offset     uint64
 	key, field string
@@ -77,13 +77,13 @@
 
 func before(a, b position) bool { return a.offset < b.offset }
 
-// ClientState is what a server knows of a client from its last request.
+// ClientState describes a client as of its last request.
 type ClientState struct {
 	Name string `json:"name"`
 	Role string `json:"role"`
-	// AcknowledgedOffset is up to where the client has everything; zero if it needs a snapshot.
+	// AcknowledgedOffset is the offset up to which the client has all changes; zero if it needs a snapshot.
 	AcknowledgedOffset uint64 `json:"acked"`
-	// Lag is how many changes it has yet to get.
+	// Lag is the distance from AcknowledgedOffset to the server's offset.
 	Lag     uint64                       `json:"behind"`
 	AgeMs   int64                        `json:"age_ms"`
 	Applied map[string]register.Revision `json:"applied,omitempty"`
@@ -92,7 +92,7 @@
 	lastRequest time.Time
 }
 
-// NewServer makes an empty server.
+// NewServer returns a server without keys.
 func NewServer(options ServerOptions) *Server {
 	return &Server{
 		options:    options,
@@ -108,8 +108,8 @@
 // RunID identifies this run of the server.
 func (s *Server) RunID() string { return s.runID }
 
-// Publish takes a change of a key and answers waiting requests. A full change also deletes fields that it does not have. Keys that are no
-// registers have zero revisions.
+// Publish applies a change to a key and wakes the waiting requests. A full change also deletes the fields that are missing from it. Keys
+// that are not registers have zero revisions.
 func (s *Server) Publish(key string, revision, committed register.Revision, change register.Fields, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,12 +117,13 @@
 	s.wake()
 }
 
-// PublishHint is Publish for fields of a key that is no register and so has no revision.
+// PublishHint is Publish for a hint: a key that is not a register and has no revision.
 func (s *Server) PublishHint(key string, change register.Fields, full bool) {
 	s.Publish(key, register.Revision{}, register.Revision{}, change, full)
 }
 
-// PublishDeferred is PublishHint for hints which may wait deferDelay for others, and go along with what cannot wait. Their ages are not told.
+// PublishDeferred is PublishHint for hints that may be delayed by deferDelay to batch them; any change that wakes the requests also sends
+// them. The ages of their fields are not published.
 func (s *Server) PublishDeferred(key string, change register.Fields, full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,14 +141,14 @@
 	})
 }
 
-// wake answers the requests that wait; s.mu is held.
+// wake wakes the waiting requests. The caller holds s.mu.
 func (s *Server) wake() {
 	s.wakeOffset, s.deferredPending = s.offset, false
 	close(s.updated)
 	s.updated = make(chan struct{})
 }
 
-// publish takes a change without waking anybody; s.mu is held. at is zero if the age of the fields is not to be told.
+// publish applies a change without waking requests. at is zero if the age of the fields is not to be published. The caller holds s.mu.
 func (s *Server) publish(key string, revision, committed register.Revision, change register.Fields, full bool, at time.Time) {
 	k := s.keys[key]
 	if k == nil {
@@ -170,7 +171,7 @@
 	}
 }
 
-// replacement is the change that makes these fields all that the key has.
+// replacement returns the change that sets the given fields and deletes all others of the key.
 func (k *publishedKey) replacement(fields register.Fields) register.Fields {
 	change := register.Fields{}
 	for field, state := range k.fields {
@@ -182,7 +183,8 @@
 	return change
 }
 
-// setField changes one field; s.mu is held. Of a register, a value that stands already is no change; of a hint it is: its age counts anew.
+// setField changes one field. An equal value is no change for a register, but it is for a hint, because it restarts the field's age. The
+// caller holds s.mu.
 func (s *Server) setField(key string, k *publishedKey, field string, value json.RawMessage, changedAt time.Time) {
 	old, exists := k.fields[field]
 	if register.IsDeleted(value) {
@@ -207,7 +209,7 @@
 	}
 }
 
-// compactTombstone forgets the oldest deleted field; s.mu is held.
+// compactTombstone drops the oldest tombstone. The caller holds s.mu.
 func (s *Server) compactTombstone() {
 	oldest, _ := s.tombstones.DeleteMin()
 	delete(s.keys[oldest.key].fields, oldest.field)
@@ -215,8 +217,8 @@
 	s.compactedOffset = oldest.offset
 }
 
-// Watch answers a request: at once if there are changes after its offset, else after its wait. A client from another run of the server, or
-// behind the compacted offset, gets a snapshot.
+// Watch answers a request: at once if there are changes after its offset, else when there are, or after its wait. A client whose offset is
+// from another run of the server or older than the compacted offset gets a snapshot.
 func (s *Server) Watch(ctx context.Context, request Request) (Response, error) {
 	resumable, updated := s.register(request)
 	if updated != nil {
@@ -224,7 +226,7 @@
 	}
 	var validFor time.Duration
 	if s.options.ValidFor != nil {
-		validFor = s.options.ValidFor() // before the cut: what is vouched for is in it
+		validFor = s.options.ValidFor() // read before the state is, so that the response has all state that ValidFor covers
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,7 +244,7 @@
 	return response, nil
 }
 
-// register notes the client of a request. updated is what the request has to wait for; nil if it is to be answered at once.
+// register records the client of a request. updated is the channel that the request has to wait for; nil if it is answered at once.
 func (s *Server) register(request Request) (resumable bool, updated <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,7 +260,7 @@
 	return resumable, updated
 }
 
-// waitFor waits for an update, the context's end, or the wait, maxWait at most.
+// waitFor blocks until an update, the end of the context or the end of the wait, which is limited to maxWait.
 func waitFor(ctx context.Context, updated <-chan struct{}, wait time.Duration) {
 	timer := time.NewTimer(min(wait, maxWait))
 	defer timer.Stop()
@@ -269,7 +271,7 @@
 	}
 }
 
-// changesAfter gives the changes after an offset, by key; s.mu is held.
+// changesAfter returns the changes after an offset, grouped by key. The caller holds s.mu.
 func (s *Server) changesAfter(after uint64) (updates []KeyUpdate) {
 	now, index := time.Now(), map[string]int{}
 	s.positions.AscendGreaterOrEqual(position{offset: after + 1}, func(p position) bool {
@@ -296,7 +298,7 @@
 	return updates
 }
 
-// ClientStates lists the clients whose last request came within a time; others are forgotten.
+// ClientStates returns the clients whose last request came within the given time, and removes all others from the server.
 func (s *Server) ClientStates(within time.Duration) (states []ClientState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/watch/server_test.go
+++ b/watch/server_test.go
@@ -10,7 +10,7 @@
 	"asterridge/register"
 )
 
-func TestSourceGivesChangesAfterANumberAndSnapshots(t *testing.T) {
+func TestServerSendsChangesAfterOffsetAndSnapshots(t *testing.T) {
 	is := is.New(t)
 	s := NewServer(ServerOptions{})
 	revision := register.Revision{Epoch: 1, Version: 1}
@@ -30,8 +30,9 @@
 	is.True(register.IsDeleted(second.Updates[0].Fields["a"]))
 }
 
-// A slow follower costs the source nothing: what it missed is merged, and behind the last dropped tombstone it gets a snapshot.
-func TestSlowFollowersGetMergedChangesOrASnapshot(t *testing.T) {
+// Guards against a server that queues changes for a slow client: missed changes must be merged, and a client whose offset is older than the
+// newest dropped tombstone must get a snapshot.
+func TestSlowClientGetsMergedChangesOrSnapshot(t *testing.T) {
 	is := is.New(t)
 	s := NewServer(ServerOptions{})
 	put := func(version uint64, fields register.Fields) {
@@ -50,16 +51,16 @@
 	is.Equal(len(merged.Updates), 1)
 	is.Equal(string(merged.Updates[0].Fields["hot"]), "4999")
 	is.Equal(len(merged.Updates[0].Fields), 1)
-	is.True(s.positions.Len() <= 3) // one place for the key and one for each field
+	is.True(s.positions.Len() <= 3) // one position for the key and one for each field
 	for n := uint64(0); n < maxTombstones+100; n++ {
 		put(5000+2*n, register.Fields{fmt.Sprint(n): []byte(`1`)})
 		put(5001+2*n, register.Fields{fmt.Sprint(n): nil})
 	}
 	late, err := s.Watch(t.Context(), Request{Name: "f", RunID: first.RunID, After: merged.Offset})
 	is.NoErr(err)
-	is.True(late.Snapshot) // removals that it never heard of are dropped by now
+	is.True(late.Snapshot) // tombstones that it has not received were dropped
 	is.True(s.positions.Len() <= maxTombstones+3)
-	other, err := s.Watch(t.Context(), Request{Name: "f", RunID: "another life", After: late.Offset})
+	other, err := s.Watch(t.Context(), Request{Name: "f", RunID: "another run", After: late.Offset})
 	is.NoErr(err)
 	is.True(other.Snapshot)
 	is.Equal(s.ClientStates(time.Minute)[0].Lag, other.Offset)
--- a/watch/watch.go
+++ b/watch/watch.go
@@ -1,15 +1,16 @@
-// Package watch carries state from one process to others: a Server publishes keys with fields, each Client keeps a copy.
+// Package watch replicates state from one process to others by long polling: a Server publishes keys with fields, and each Client maintains
+// a copy.
 //
-// Every change gets an offset of the server, and the server keeps for each field only the newest one. A client asks, again and again, what has
-// changed after its offset; the request is held open for a while if nothing has. So each request acknowledges all up to its offset, changes
-// that pile up for a slow client merge by themselves, and one response is one consistent cut of the server's state. A client from another run
-// of the server, or one that is behind deleted fields which the server no longer remembers, gets a snapshot.
+// The server assigns an offset to every change and keeps only the newest change of each field. A client repeatedly requests the changes
+// after its offset; if there are none, the server holds the request open for a while. Each request thus acknowledges all changes up to its
+// offset, changes that accumulate for a slow client are merged, and each response is a consistent cut of the server's state. A client gets
+// a snapshot if its offset is from another run of the server, or older than a tombstone that the server has dropped.
 //
-// Keys are registers, with the revision that was accepted and the one that is known to be committed, or hints without a revision, which
-// bear the age of each field instead (docs/design.md §3.1).
+// A key is either a register, with its accepted and its committed revision, or a hint, which has no revision but the age of each field
+// (docs/design.md §3.1).
 //
-// A response shows the server as it was after the request was sent. A copy is therefore as fresh as the time when the last answered request
-// was sent, on the client's own clock; neither clocks of other machines nor a freeze of any part can make it look fresher.
+// A response shows the server's state at some time after the request was sent. A copy is therefore at least as fresh as the send time of
+// the last answered request, by the client's own clock; neither other machines' clocks nor a frozen process can make it look fresher.
 package watch
 
 import (
@@ -18,42 +19,42 @@
 	"asterridge/register"
 )
 
-// Request asks for what has changed after an offset.
+// Request asks for the changes after an offset.
 type Request struct {
-	// Name and Role are the client's; a server keeps one state for each name.
+	// Name and Role identify the client; a server keeps one ClientState for each name.
 	Name string `json:"name"`
 	Role string `json:"role"`
-	// RunID and After are those of the client's last response; it has everything of that run up to After.
+	// RunID and After are the run and the offset of the client's last response; the client has all changes of that run up to After.
 	RunID string `json:"run"`
 	After uint64 `json:"from"`
 	// WaitMs is how long the request may be held open while there is no change.
 	WaitMs int64 `json:"wait_ms"`
-	// Applied are the revisions that the client acts on, by key.
+	// Applied holds the revisions that the client acts on, by key.
 	Applied map[string]register.Revision `json:"applied,omitempty"`
-	// Status is what the client reports of itself; its form depends on Role.
+	// Status is the client's own status; its format depends on Role.
 	Status json.RawMessage `json:"status,omitempty"`
 }
 
-// Response is a consistent cut of a server's state, or of what has changed in it.
+// Response is a consistent cut of a server's state (a snapshot) or of its changes after an offset.
 type Response struct {
 	RunID string `json:"run"`
-	// Incarnation identifies whose state this is; empty if the server's answers do not count for now.
+	// Incarnation identifies the server's incarnation; empty if the response must not count as fresh.
 	Incarnation string `json:"who,omitempty"`
-	// Offset is that of the newest change in the cut.
+	// Offset is the server's offset when the response was made.
 	Offset uint64 `json:"number"`
-	// Snapshot: Updates are the whole state, and what the client had is void.
+	// Snapshot is set if Updates is the complete state, which replaces the client's copy.
 	Snapshot bool        `json:"image,omitempty"`
 	Updates  []KeyUpdate `json:"entries,omitempty"`
-	// ValidForMs is how much longer the server vouches for its state, from the time when the request was sent; zero if it does not say.
+	// ValidForMs is for how long clients may act on the state, counted from when the request was sent; zero if the server sets no time.
 	ValidForMs int64 `json:"remaining_ms,omitempty"`
 }
 
-// KeyUpdate is what has changed of a key. A null field was deleted.
+// KeyUpdate is the change of one key. A null field was deleted.
 type KeyUpdate struct {
 	Key       string            `json:"key"`
 	Revision  register.Revision `json:"stamp"`
 	Committed register.Revision `json:"settled"`
 	Fields    register.Fields   `json:"fields,omitempty"`
-	// AgesMs is how long ago each field was published, if the key has no revision.
+	// AgesMs is the time since each field was published, for keys without a revision.
 	AgesMs map[string]int64 `json:"ages_ms,omitempty"`
 }
