--- a/gossip/detector.go
+++ b/gossip/detector.go
@@ -1,10 +1,11 @@
-// Package gossip is the failure detector: it tells every process of the fleet which others run. Nothing that must be right rests on it; it
-// finds addresses and shows operators who is down.
+// Package gossip implements the failure detector: it tells every process of the fleet which others are running. No correctness property
+// depends on it; it serves to discover addresses and to show operators which nodes are down.
 //
-// Each node has a position on a ring, a hash of its name, and sends heartbeats to its watchers: the first few live nodes after that
-// position, in different zones as far as there are zones. A watcher that misses heartbeats suspects the node and asks the other watchers;
-// the node is taken for down only if most of those that answer have not heard it either. Updates travel with heartbeats, each a few times
-// the logarithm of the fleet's size. A node that hears of its own end contradicts it under a higher incarnation (docs/design.md §3.4).
+// Each node has a position on a hash ring, given by its name, and sends heartbeats to its watchers: the first few live nodes after that
+// position, in different zones where possible. A watcher that misses heartbeats suspects the node and asks the other watchers; the node is
+// marked down only if most of those that answer have not heard from it either. Updates are piggybacked on heartbeats, and each node sends
+// each update a number of times proportional to the logarithm of the fleet's size. A node that learns that it was marked down refutes this
+// with a higher incarnation (docs/design.md §3.4).
 package gossip
 
 import (
@@ -24,23 +25,24 @@
 )
 
 const (
-	// missedHeartbeats is how many intervals a node may be silent.
+	// missedHeartbeats is the number of heartbeat intervals without a heartbeat after which a node is suspected.
 	missedHeartbeats = 4
 	// maxUpdates bounds the updates of one message.
 	maxUpdates = 12
-	// transmitsPerBit: an update is passed on so often for each bit of the fleet's size.
+	// transmitsPerBit is how often a node sends an update for each bit of the fleet's size.
 	transmitsPerBit = 3
-	// flapHalfLife is the time in which the count of a node's returns halves; maxDamping bounds what they add to its timeout.
+	// flapHalfLife is the half-life of a node's flap count; maxDamping bounds the factor by which flaps extend its timeout; counts below
+	// minFlaps are not decayed further.
 	flapHalfLife = 30 * time.Second
 	maxDamping   = 8
 	minFlaps     = 0.1
-	// fullSyncRounds is the number of rounds between two comparisons of all that is known.
+	// fullSyncRounds is the number of rounds between two full synchronizations with a random node.
 	fullSyncRounds = 10
 	callTimeout    = 800 * time.Millisecond
 	randomStream   = 9
 )
 
-// Options of a detector.
+// Options configures a detector.
 type Options struct {
 	Self      Node
 	Seeds     []string
@@ -49,41 +51,41 @@
 	Interval time.Duration
 	// Watchers is how many nodes watch each node.
 	Watchers int
-	// Seed picks the nodes that all is compared with.
+	// Seed seeds the random choice of nodes for full synchronizations.
 	Seed uint64
 	Log  zerolog.Logger
 }
 
-// Detector is one node's view of all.
+// Detector is one node's view of the fleet.
 type Detector struct {
 	options  Options
 	position uint64
 
-	mu    sync.Mutex // guards what follows
+	mu    sync.Mutex // guards the fields below
 	self  Node
-	nodes map[string]*entry // the others, by name
-	// sorted is this node and the live ones in the order of their positions; nil after a change.
+	nodes map[string]*entry // all known nodes but this one, by name
+	// sorted caches this node and the live ones, ordered by position; nil after a change.
 	sorted       []*entry
 	random       *rand.Rand
 	round        int
 	messagesSent int
-	alarms       int // nodes that this one has taken for down
+	alarms       int // how often this node has marked another one down
 }
 
-// entry is what is known of a node.
+// entry is the detector's state for another node.
 type entry struct {
 	Node
 	position uint64
-	// lastHeard is when a heartbeat or an update said that it runs.
+	// lastHeard is when a heartbeat or an update last showed that the node is running.
 	lastHeard time.Time
-	// transmitsLeft is how often the newest update of it is still passed on.
+	// transmitsLeft is how often the newest update about the node is still to be sent.
 	transmitsLeft int
-	// flaps counts how often it came back of late, as of lastFlap.
+	// flaps is the decaying count of the node's recoveries, as of lastFlap.
 	flaps    float64
 	lastFlap time.Time
 }
 
-// New makes a detector that knows only its own node.
+// New returns a detector that knows only its own node.
 func New(options Options) *Detector {
 	return &Detector{
 		options:  options,
@@ -102,21 +104,21 @@
 	rpc.Every(ctx, d.options.Interval, func() { d.tick(ctx) })
 }
 
-// Nodes lists the nodes that are known, this one first.
+// Nodes returns all known nodes, this one first.
 func (d *Detector) Nodes() []Node {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]Node{d.self}, d.others(true)...)
 }
 
-// Stats gives the number of messages sent, and of nodes that this one has taken for down.
+// Stats returns the number of messages sent and how often this node has marked another one down.
 func (d *Detector) Stats() (messagesSent, alarms int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.messagesSent, d.alarms
 }
 
-// tick sends one round of heartbeats and suspects the nodes that this one watches and has not heard.
+// tick sends one round of heartbeats and checks the watched nodes whose heartbeats are missing.
 func (d *Detector) tick(ctx context.Context) {
 	targets, fullSyncTarget, suspects := d.nextRound()
 	var pending sync.WaitGroup
@@ -132,7 +134,8 @@
 	pending.Wait()
 }
 
-// nextRound gives the addresses to send heartbeats to, the one to compare all with (empty: none in this round), and the nodes to suspect.
+// nextRound returns the addresses to send heartbeats to, the address for a full synchronization (empty if none is due), and the nodes to
+// suspect.
 func (d *Detector) nextRound() (targets []string, fullSyncTarget string, suspects []Node) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -159,7 +162,7 @@
 	return targets, fullSyncTarget, suspects
 }
 
-// randomAddress picks a live node to compare all with; empty if there is none; d.mu is held.
+// randomAddress returns the address of a random live node, or "" if there is none. The caller holds d.mu.
 func (d *Detector) randomAddress() string {
 	live := d.others(false)
 	if len(live) == 0 {
@@ -168,7 +171,7 @@
 	return live[d.random.IntN(len(live))].Address
 }
 
-// sortedNodes lists this node and the live ones by their positions; d.mu is held.
+// sortedNodes returns this node and the live ones, ordered by position. The caller holds d.mu.
 func (d *Detector) sortedNodes() []*entry {
 	if d.sorted == nil {
 		d.sorted = append(d.sorted, &entry{Node: d.self, position: d.position})
@@ -182,7 +185,7 @@
 	return d.sorted
 }
 
-// watchers are the first live nodes after a name's position, of different zones as far as there are zones; d.mu is held.
+// watchers returns the first live nodes after a name's position, in different zones where possible. The caller holds d.mu.
 func (d *Detector) watchers(name, zone string) []*entry {
 	position, sorted := positionOf(name), d.sortedNodes()
 	first := sort.Search(len(sorted), func(i int) bool { return sorted[i].position >= position })
@@ -200,12 +203,12 @@
 	return chosen
 }
 
-// isWatcher reports whether this node watches another; d.mu is held.
+// isWatcher reports whether this node is a watcher of another one. The caller holds d.mu.
 func (d *Detector) isWatcher(of *entry) bool {
 	return slices.ContainsFunc(d.watchers(of.Name, of.Zone), func(e *entry) bool { return e.Name == d.self.Name })
 }
 
-// timeout is how long a node may be silent; longer for one that comes and goes.
+// timeout returns how long a node may be silent before it is suspected; longer for a flapping node.
 func (d *Detector) timeout(e *entry, now time.Time) time.Duration {
 	flaps := e.flaps
 	for past := now.Sub(e.lastFlap); past > flapHalfLife && flaps > minFlaps; past -= flapHalfLife {
@@ -214,7 +217,7 @@
 	return time.Duration(float64(missedHeartbeats*d.options.Interval) * min(1+flaps, maxDamping))
 }
 
-// heartbeat sends one heartbeat and applies the updates of its reply. A failure needs no answer: the next round follows.
+// heartbeat sends one heartbeat and applies the updates in the reply. Errors are ignored, since the next round sends another one.
 func (d *Detector) heartbeat(ctx context.Context, address string, full bool) {
 	d.mu.Lock()
 	message := Heartbeat{From: d.self, Full: full}
@@ -237,7 +240,7 @@
 	}
 }
 
-// nextUpdates picks the updates that were passed on least often; d.mu is held.
+// nextUpdates returns the updates with the most transmissions left, at most maxUpdates. The caller holds d.mu.
 func (d *Detector) nextUpdates() (updates []Node) {
 	var pending []*entry
 	for _, e := range d.nodes {
@@ -253,7 +256,7 @@
 	return updates
 }
 
-// apply takes an update of a node; d.mu is held. Of two updates the higher incarnation counts, and of one incarnation that it is down.
+// apply merges an update about a node. A higher incarnation takes precedence; within one incarnation, down does. The caller holds d.mu.
 func (d *Detector) apply(update Node) {
 	if update.Name == d.self.Name {
 		d.applyToSelf(update)
@@ -283,14 +286,16 @@
 	d.disseminate(e)
 }
 
-// applyToSelf contradicts an update that calls this node down, or that knows a run of it before this one; d.mu is held.
+// applyToSelf refutes, with a higher incarnation, an update that marks this node down or has the incarnation of one of its earlier runs.
+// The caller holds d.mu.
 func (d *Detector) applyToSelf(update Node) {
 	if update.Down && update.Incarnation >= d.self.Incarnation || !update.Down && update.Incarnation > d.self.Incarnation {
 		d.sorted, d.self.Incarnation = nil, update.Incarnation+1
 	}
 }
 
-// disseminate has an update passed on often enough to reach all: a few times the logarithm of the fleet's size; d.mu is held.
+// disseminate schedules an update to be sent often enough to reach all nodes: transmitsPerBit times the logarithm of the fleet's size. The
+// caller holds d.mu.
 func (d *Detector) disseminate(e *entry) {
 	e.transmitsLeft = transmitsPerBit * bits.Len(uint(len(d.nodes)+1))
 }
@@ -306,10 +311,10 @@
 	}
 	e := d.nodes[message.From.Name]
 	if e == nil {
-		return HeartbeatReply{}, nil // our own heartbeat, by way of a seed that is ourselves
+		return HeartbeatReply{}, nil // this node's own heartbeat: its seeds include its own address
 	}
 	if e.Down || e.Incarnation > message.From.Incarnation {
-		return HeartbeatReply{Updates: []Node{e.Node}}, nil // it has to contradict this before it counts
+		return HeartbeatReply{Updates: []Node{e.Node}}, nil // the sender must refute this before it counts as live
 	}
 	e.lastHeard = time.Now()
 	if known && !message.Full {
@@ -318,7 +323,7 @@
 	return HeartbeatReply{Updates: append(d.others(true), d.self)}, nil
 }
 
-// others lists the nodes known besides this one, in the order of their names; d.mu is held.
+// others returns all known nodes but this one, ordered by name. The caller holds d.mu.
 func (d *Detector) others(withDown bool) (nodes []Node) {
 	for _, e := range d.nodes {
 		if withDown || !e.Down {
@@ -329,7 +334,7 @@
 	return nodes
 }
 
-// HandleSuspicion answers another watcher's suspicion.
+// HandleSuspicion tells another watcher for how long this node has not heard from the suspected one.
 func (d *Detector) HandleSuspicion(_ context.Context, s Suspicion) (SuspicionReply, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -340,10 +345,10 @@
 	return SuspicionReply{SilentMs: time.Since(e.lastHeard).Milliseconds(), Watcher: true}, nil
 }
 
-// suspect takes a node for down if most of its watchers that can be asked have not heard it either.
+// suspect marks a node down if most of its reachable watchers, this node included, have not heard from it.
 func (d *Detector) suspect(ctx context.Context, node Node) {
 	e, watchers, timeout := d.suspectedNode(node)
-	agreeing, answered := 1, 1 // this node itself
+	agreeing, answered := 1, 1 // this node counts as one watcher
 	for _, watcher := range watchers {
 		if watcher.Name == d.self.Name {
 			continue
@@ -358,19 +363,19 @@
 		}
 	}
 	if answered < 2 && len(watchers) > 1 || agreeing*2 <= answered {
-		return // alone, or not agreed: perhaps it is this node that is cut off
+		return // no other watcher answered or most disagree: this node may be the partitioned one
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e.Incarnation != node.Incarnation || e.Down || time.Since(e.lastHeard) < timeout {
-		return // heard meanwhile
+		return // changed or heard from in the meantime
 	}
 	d.alarms++
 	node.Down = true
 	d.apply(node)
 }
 
-// suspectedNode gives a node's entry, copies of its watchers (the entries move on while they are asked), and its timeout.
+// suspectedNode returns a node's entry, copies of its watchers (their entries may change while they are asked), and its timeout.
 func (d *Detector) suspectedNode(node Node) (e *entry, watchers []Node, timeout time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gossip/detector_test.go
+++ b/gossip/detector_test.go
@@ -18,76 +18,76 @@
 	"asterridge/rendezvous"
 )
 
-// field is a network of rings with loss, on which some are dead or frozen.
-type field struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	loss   float64
-	rings  map[string]*Detector
-	dead   map[string]bool
+// network is a simulated network of detectors with message loss, in which nodes can be cut off.
+type network struct {
+	mu          sync.Mutex
+	random      *rand.Rand
+	loss        float64
+	detectors   map[string]*Detector
+	unreachable map[string]bool
 }
 
-type caller struct {
-	f    *field
-	from string
+type nodeTransport struct {
+	network *network
+	from    string
 }
 
-func (c caller) reach(address string) (*Detector, error) {
+func (t nodeTransport) dial(address string) (*Detector, error) {
 	time.Sleep(5 * time.Millisecond)
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	if c.f.dead[address] || c.f.dead[c.from] || c.f.random.Float64() < c.f.loss {
+	t.network.mu.Lock()
+	defer t.network.mu.Unlock()
+	if t.network.unreachable[address] || t.network.unreachable[t.from] || t.network.random.Float64() < t.network.loss {
 		return nil, errors.New("lost")
 	}
-	return c.f.rings[address], nil
+	return t.network.detectors[address], nil
 }
 
-func (c caller) SendHeartbeat(ctx context.Context, address string, b Heartbeat) (HeartbeatReply, error) {
-	r, err := c.reach(address)
+func (t nodeTransport) SendHeartbeat(ctx context.Context, address string, message Heartbeat) (HeartbeatReply, error) {
+	r, err := t.dial(address)
 	if err != nil {
 		return HeartbeatReply{}, err
 	}
-	return r.HandleHeartbeat(ctx, b)
+	return r.HandleHeartbeat(ctx, message)
 }
 
-func (c caller) SendSuspicion(ctx context.Context, address string, d Suspicion) (SuspicionReply, error) {
-	r, err := c.reach(address)
+func (t nodeTransport) SendSuspicion(ctx context.Context, address string, suspicion Suspicion) (SuspicionReply, error) {
+	r, err := t.dial(address)
 	if err != nil {
 		return SuspicionReply{}, err
 	}
-	return r.HandleSuspicion(ctx, d)
+	return r.HandleSuspicion(ctx, suspicion)
 }
 
-func (f *field) setDead(name string, dead bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.dead[name] = dead
+func (n *network) setUnreachable(name string, unreachable bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.unreachable[name] = unreachable
 }
 
-func (f *field) start(ctx context.Context, name, zone string, seeds []string) {
-	r := New(Options{Self: Node{Name: name, Role: "agent", Zone: zone, Address: name}, Seeds: seeds, Transport: caller{f, name},
+func (n *network) start(ctx context.Context, name, zone string, seeds []string) {
+	r := New(Options{Self: Node{Name: name, Role: "agent", Zone: zone, Address: name}, Seeds: seeds, Transport: nodeTransport{n, name},
 		Interval: 500 * time.Millisecond, Watchers: 3, Seed: rendezvous.Weight("seed", name), Log: zerolog.Nop()})
-	f.mu.Lock()
-	f.rings[name] = r
-	f.mu.Unlock()
+	n.mu.Lock()
+	n.detectors[name] = r
+	n.mu.Unlock()
 	go r.Run(ctx)
 }
 
-// seenDown counts those, of the living, that take the name for down.
-func (f *field) seenDown(name string) (n int) {
-	for other, r := range f.rings {
+// countSeenDown counts the other nodes that have marked the name down.
+func (n *network) countSeenDown(name string) (count int) {
+	for other, r := range n.detectors {
 		r.mu.Lock()
 		if e := r.nodes[name]; other != name && e != nil && e.Down {
-			n++
+			count++
 		}
 		r.mu.Unlock()
 	}
-	return n
+	return count
 }
 
-// As the fleet grows, messages for each daemon stay the same, all learn of all from three seeds, and of a death within seconds;
-// lost messages, a flapping daemon and a frozen watcher raise no false alarm that stays.
-func TestRingOfManyDaemons(t *testing.T) {
+// Checks that as the fleet grows, the message rate per daemon stays bounded, all daemons find each other from three seeds, and a failure
+// is known to all within seconds; and that neither lost messages nor a flapping daemon cause lasting false alarms.
+func TestDetectorScalesWithoutFalseAlarms(t *testing.T) {
 	for _, size := range []int{12, 40, 100} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
@@ -95,14 +95,15 @@
 				is := is.New(t)
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
-				f := &field{random: rand.New(rand.NewPCG(uint64(size), 1)), loss: 0.05, rings: map[string]*Detector{}, dead: map[string]bool{}}
+				net := &network{random: rand.New(rand.NewPCG(uint64(size), 1)), loss: 0.05,
+					detectors: map[string]*Detector{}, unreachable: map[string]bool{}}
 				for i := range size {
-					f.start(ctx, fmt.Sprintf("d%d", i), fmt.Sprintf("z%d", i%4), []string{"d0", "d1", "d2"})
+					net.start(ctx, fmt.Sprintf("d%d", i), fmt.Sprintf("z%d", i%4), []string{"d0", "d1", "d2"})
 				}
 				began := time.Now()
 				for {
 					all := 0
-					for _, r := range f.rings {
+					for _, r := range net.detectors {
 						r.mu.Lock()
 						all += len(r.nodes) + 1
 						r.mu.Unlock()
@@ -115,7 +116,7 @@
 				}
 				learned := time.Since(began)
 				sum := func() (sent, alarms int) {
-					for _, r := range f.rings {
+					for _, r := range net.detectors {
 						s, a := r.Stats()
 						sent, alarms = sent+s, alarms+a
 					}
@@ -125,32 +126,33 @@
 				time.Sleep(30 * time.Second)
 				sent1, alarms1 := sum()
 				perDaemon := float64(sent1-sent0) / float64(size) / 30
-				is.Equal(alarms1-alarms0, 0) // a twentieth of all messages is lost, and nobody is taken for down
+				is.Equal(alarms1-alarms0, 0) // 5% message loss must not mark any node down
 				is.True(perDaemon < 7.5)
-				f.setDead("d5", true)
+				net.setUnreachable("d5", true)
 				began = time.Now()
-				for f.seenDown("d5") < size-1 {
+				for net.countSeenDown("d5") < size-1 {
 					is.True(time.Since(began) < 20*time.Second)
 					time.Sleep(200 * time.Millisecond)
 				}
 				detected := time.Since(began)
-				f.setDead("d5", false)
+				net.setUnreachable("d5", false)
 				time.Sleep(8 * time.Second)
-				is.Equal(f.seenDown("d5"), 0) // it came back and has contradicted
-				for range 3 {                 // a flapping daemon: silent for a little longer than the patience, again and again
-					f.setDead("d6", true)
+				is.Equal(net.countSeenDown("d5"), 0) // it is reachable again and has refuted the update
+				for range 3 {                        // a flapping daemon: repeatedly silent for a little longer than its timeout
+					net.setUnreachable("d6", true)
 					time.Sleep(2600 * time.Millisecond)
-					f.setDead("d6", false)
+					net.setUnreachable("d6", false)
 					time.Sleep(5 * time.Second)
 				}
 				_, before := sum()
-				f.setDead("d6", true)
+				net.setUnreachable("d6", true)
 				time.Sleep(2600 * time.Millisecond)
-				f.setDead("d6", false)
+				net.setUnreachable("d6", false)
 				time.Sleep(5 * time.Second)
 				_, after := sum()
-				is.Equal(after-before, 0) // by now it is given more time
-				t.Logf("%d daemons: all known after %v, %.1f messages/s each, a death known to all after %v", size, learned, perDaemon, detected)
+				is.Equal(after-before, 0) // flap damping has extended its timeout by now
+				t.Logf("%d daemons: all known after %v, %.1f messages/s each, a death known to all after %v",
+					size, learned, perDaemon, detected)
 				stop()
 				time.Sleep(10 * time.Second)
 			})
@@ -158,12 +160,13 @@
 	}
 }
 
-// The kept order gives the watchers that sorting all daemons anew would give, also after some went down and came back.
-func TestWatchersAreThoseOfTheSortedRing(t *testing.T) {
+// Guards against a stale cached order: watchers must be those that sorting all live nodes anew gives, also after nodes went down and
+// recovered.
+func TestWatchersMatchFreshlySortedRing(t *testing.T) {
 	is, random := is.New(t), rand.New(rand.NewPCG(1, 2))
 	r := New(Options{Self: Node{Name: "self", Zone: "zone-0"}, Watchers: 3})
 	sorted := func(name, zone string) (chosen []string) {
-		place := positionOf(name)
+		position := positionOf(name)
 		order := []*entry{{Node: r.self, position: r.position}}
 		for _, e := range r.nodes {
 			if !e.Down {
@@ -171,11 +174,11 @@
 			}
 		}
 		order = slices.DeleteFunc(order, func(e *entry) bool { return e.Name == name })
-		slices.SortFunc(order, func(a, b *entry) int { return cmp.Compare(a.position-place, b.position-place) })
+		slices.SortFunc(order, func(a, b *entry) int { return cmp.Compare(a.position-position, b.position-position) })
 		zones := map[string]bool{zone: true}
-		for _, free := range []bool{false, true} {
+		for _, anyZone := range []bool{false, true} {
 			for _, e := range order {
-				if len(chosen) < 3 && (free || !zones[e.Zone]) && !slices.Contains(chosen, e.Name) {
+				if len(chosen) < 3 && (anyZone || !zones[e.Zone]) && !slices.Contains(chosen, e.Name) {
 					chosen, zones[e.Zone] = append(chosen, e.Name), true
 				}
 			}
--- a/gossip/messages.go
+++ b/gossip/messages.go
@@ -8,31 +8,31 @@
 	Role    string `json:"role"`
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
-	// Incarnation rises when the node has to contradict an update that calls it down, or that knows a run of it before this one.
+	// Incarnation is raised by the node to refute an update that marks it down or that stems from one of its earlier runs.
 	Incarnation uint64 `json:"life"`
 	Down        bool   `json:"down,omitempty"`
 }
 
-// Heartbeat tells a watcher that a node runs, and brings updates of others.
+// Heartbeat tells a watcher that a node is running, and carries updates about other nodes.
 type Heartbeat struct {
 	From    Node   `json:"from"`
 	Updates []Node `json:"news,omitempty"`
-	// Full: Updates are all that the sender knows, and it wants the same back.
+	// Full is set if Updates has all nodes known to the sender, and asks for the same in the reply.
 	Full bool `json:"full,omitempty"`
 }
 
-// HeartbeatReply brings updates back. A node that the receiver did not know gets all that the receiver knows.
+// HeartbeatReply carries updates to the sender of a heartbeat. A sender that the receiver did not know yet gets all known nodes.
 type HeartbeatReply struct {
 	Updates []Node `json:"news,omitempty"`
 }
 
-// Suspicion asks another watcher of a node for how long it has not heard the node.
+// Suspicion asks another watcher of a node for how long it has not heard from the node.
 type Suspicion struct {
 	Name        string `json:"name"`
 	Incarnation uint64 `json:"life"`
 }
 
-// SuspicionReply answers a suspicion. Watcher is false from a node that does not watch the suspected one.
+// SuspicionReply answers a suspicion. Watcher is false if the receiver is not a watcher of the suspected node.
 type SuspicionReply struct {
 	SilentMs int64 `json:"silent_ms"`
 	Watcher  bool  `json:"watcher"`
