--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -14,9 +14,9 @@
 	"asterridge/sim"
 )
 
-// A request on a kept connection that was read just when the proxy was told to stop, or whose connection had been idle for just as long as it
-// may, is answered.
-func TestRequestThatWasReadBeforeItsConnectionEndsIsAnswered(t *testing.T) {
+// Guards against lost requests on keep-alive connections: a request that was read just before the proxy stopped, or just before its
+// connection reached the idle time-out, must be answered.
+func TestRequestReadBeforeDrainOrIdleTimeoutIsAnswered(t *testing.T) {
 	const idle, linger = 15 * time.Second, 2 * time.Second
 	for name, options := range map[string]proxy.Options{
 		"stopped":                    {Grace: 8 * time.Second},
@@ -48,7 +48,7 @@
 				time.Sleep(options.IdleTimeout - time.Millisecond)
 				listener.Stall()
 				is.NoErr(client.Send("b"))
-				synctest.Wait() // it was read
+				synctest.Wait() // the request has been read
 				if options.IdleTimeout == 0 {
 					stop()
 				}
@@ -56,7 +56,7 @@
 				listener.Resume()
 				answered()
 				stop()
-				_ = client.Close() // the client leaves
+				_ = client.Close() // the client disconnects
 				is.NoErr(<-ended)
 			})
 		})
--- a/proxy/metrics.go
+++ b/proxy/metrics.go
@@ -5,7 +5,7 @@
 	"asterridge/router"
 )
 
-// gauges are the router's figures for GET /metrics; docs/operators.md says what each tells.
+// gauges returns the router's current values for GET /metrics; docs/operators.md describes them.
 func gauges(r *router.Router) daemon.Gauges {
 	return func() []daemon.Gauge {
 		all := []daemon.Gauge{
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy is the program that clients' requests come to. It is thin: the library router decides, this package gives it listeners, ends
-// it in order, and bounds how long clients' connections may be idle.
+// Package proxy implements the process that receives the clients' requests. Package router makes the routing decisions; this package
+// provides its listeners, its graceful shutdown, and the time-outs of client connections.
 package proxy
 
 import (
@@ -13,35 +13,36 @@
 	"asterridge/rpc"
 )
 
-// Options of a proxy. Zero values are those of router.Options, but where another default is given.
+// Options configures a proxy. Zero values have the meaning that they have in router.Options unless another default is stated.
 type Options struct {
-	// Agent is the agent's loopback address, Admin the one where the agent reaches this proxy's queries.
+	// Agent is the agent's loopback address; Admin is the address where this proxy answers the agent's queries.
 	Agent string
 	Admin string
-	// Grace is how long a stopping proxy lets running requests finish.
+	// Grace is the total time that a stopping proxy has to shut down, ReadinessLinger and the end of running requests included.
 	Grace time.Duration
-	// ReadinessLinger is how long a stopping proxy, unready already, goes on taking requests: clients are still led to it for as long.
+	// ReadinessLinger is how long a stopping proxy still accepts requests after it reports that it is not ready, since load balancers keep
+	// sending requests for that long.
 	ReadinessLinger time.Duration
-	// Seed is of the random choices.
+	// Seed seeds the random choices.
 	Seed uint64
-	// PrefixIndexSize bounds the entries of the prefix index; 0: no index.
+	// PrefixIndexSize bounds the entries of the prefix index; 0 means no index.
 	PrefixIndexSize int
-	// BodyMemory bounds the bytes of clients' bodies that are held at a time.
+	// BodyMemory bounds the total bytes of request bodies held in memory.
 	BodyMemory int64
-	// Protocol is how clients and replicas are spoken to; nil: router.ChatProtocol.
+	// Protocol is the API that clients use and replicas implement; nil means router.ChatProtocol.
 	Protocol router.Protocol
-	// OldWeightsLimit is how long requests may begin on a version before the published one.
+	// OldWeightsLimit is how long requests may still start on an older model version than the published one.
 	OldWeightsLimit time.Duration
-	// RetryRatio and RetrySlack bound second attempts: that part of the first ones, and so many beyond it.
+	// RetryRatio and RetrySlack bound the retries: RetryRatio is their share of the first attempts, RetrySlack the number allowed beyond it.
 	RetryRatio float64
 	RetrySlack float64
 	// AgentWatchWait is how long the agent may hold a watch request open.
 	AgentWatchWait time.Duration
 	// KeepAlive is how long an idle connection to a replica is kept.
 	KeepAlive time.Duration
-	// HeaderTimeout is how long a request's header may take to arrive, where the configuration does not say; 0: 10 s.
+	// HeaderTimeout is how long a request's header may take to arrive, unless the configuration sets a time; 0 means 10 s.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long an idle connection of a client is kept, where the configuration does not say; 0: 2 min.
+	// IdleTimeout is how long an idle client connection is kept open, unless the configuration sets a time; 0 means 2 min.
 	IdleTimeout time.Duration
 }
 
@@ -52,7 +53,7 @@
 	options Options
 }
 
-// New makes a proxy.
+// New returns a proxy; Serve runs it.
 func New(host daemon.Host, options Options) *Proxy {
 	if options.HeaderTimeout == 0 {
 		options.HeaderTimeout = defaultHeaderTimeout
@@ -81,15 +82,15 @@
 	})}
 }
 
-// Serve runs the proxy until the context ends. Then it is unready, goes on taking requests for the linger, rejects what waits, and lets
-// streams finish within the grace.
+// Serve runs the proxy until the context ends. It then reports not ready, accepts requests for ReadinessLinger, rejects queued ones, and
+// lets running streams finish until Grace has passed.
 func (p *Proxy) Serve(ctx context.Context, clients, admin net.Listener) error {
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	go p.Router.Run(running)
 	go p.serveAdmin(running, admin)
-	callers := &http.Server{Handler: p.Router.Handler(), MaxHeaderBytes: maxHeaderBytes}
-	server := daemon.NewServer(callers, router.Watch(callers, clients), p.timeouts)
+	httpServer := &http.Server{Handler: p.Router.Handler(), MaxHeaderBytes: maxHeaderBytes}
+	server := daemon.NewServer(httpServer, router.Watch(httpServer, clients), p.timeouts)
 	failed := make(chan error, 1)
 	go func() { failed <- server.Serve() }()
 	p.host.Log.Info().Str("address", p.host.Address).Msg("proxy started")
@@ -107,20 +108,20 @@
 	return effectiveTimeouts(p.Router.Limits(), p.options)
 }
 
-// shutDown ends the proxy within the grace.
+// shutDown drains and stops the proxy within options.Grace.
 func (p *Proxy) shutDown(ctx context.Context, server *daemon.Server) {
 	ctx, cancel := context.WithTimeout(ctx, p.options.Grace)
 	defer cancel()
 	server.Drain()
 	p.Router.Drain()
 	if p.options.ReadinessLinger > 0 {
-		_ = rpc.Sleep(ctx, p.options.ReadinessLinger) // it ends sooner if the grace does
+		_ = rpc.Sleep(ctx, p.options.ReadinessLinger) // an error only means that Grace has ended first
 	}
 	p.Router.Stop(ctx)
 	server.Shutdown(ctx)
 }
 
-// serveAdmin serves queries and figures.
+// serveAdmin serves the agent's queries and GET /metrics.
 func (p *Proxy) serveAdmin(ctx context.Context, admin net.Listener) {
 	mux := http.NewServeMux()
 	mux.Handle("/", p.Router.Admin())
--- a/proxy/timeouts.go
+++ b/proxy/timeouts.go
@@ -7,15 +7,15 @@
 	"asterridge/daemon"
 )
 
-// The bounds on a caller's connection where neither the options nor the configuration give one.
+// Limits of client connections. The time-outs apply where neither the options nor the configuration set one.
 const (
 	defaultHeaderTimeout = 10 * time.Second
 	defaultIdleTimeout   = 2 * time.Minute
-	// maxHeaderBytes is the most that a configuration may allow; the router holds each request to what it does allow.
+	// maxHeaderBytes is the largest header limit that a configuration may set; the router enforces the configured limit on each request.
 	maxHeaderBytes = 1 << 20
 )
 
-// effectiveTimeouts takes the times from the configuration's limits, and from the options what the limits leave open.
+// effectiveTimeouts returns the time-outs set in the configuration's limits, with those from the options where the limits set none.
 func effectiveTimeouts(limits config.Limits, options Options) daemon.ConnectionTimeouts {
 	timeouts := daemon.ConnectionTimeouts{Header: options.HeaderTimeout, Idle: options.IdleTimeout}
 	if limits.HeaderMs > 0 {
