--- a/config/accepted.go
+++ b/config/accepted.go
@@ -12,33 +12,34 @@
 	"asterridge/register"
 )
 
-// The accepted numbers are remembered in records of one size: the newest each in a field of its own, so that a change writes little beside
-// its items, and older ones in segments. Beyond maxSegments segments the oldest is forgotten (docs/design.md §2.9).
+// Accepted numbers are stored as fixed-size records. Each recent record has its own field, so that a change writes little beyond its items;
+// full groups of segmentSize records are merged into one segment field. After maxSegments segments the oldest is overwritten
+// (docs/design.md §2.9).
 const (
 	numberField    = "number"
 	acceptedPrefix = "accepted/"
 	segmentSize    = 64
 	maxSegments    = 128 // 8,192 numbers: four days at 2,000 changes a day
-	maxRemembered  = 64  // digests in the former format
+	maxRemembered  = 64  // maximum number of digests in the former format
 )
 
-// fingerprint tells numbered configurations of one number apart.
+// fingerprint is a hash that distinguishes numbered configurations with the same number.
 type fingerprint [16]byte
 
-// fingerprintOf hashes a text.
+// fingerprintOf hashes the concatenated parts.
 func fingerprintOf(parts ...any) (f fingerprint) {
 	sum := sha256.Sum256(fmt.Append(nil, parts...))
 	copy(f[:], sum[:])
 	return f
 }
 
-// fingerprint is that of the configuration: the same text as a whole one and as an amendment, or built on another number, is another
-// configuration.
+// fingerprint covers the text, the base number and whether the configuration is full: the same text declared as a partial configuration or on
+// another base number counts as a different configuration.
 func (d NumberedConfig) fingerprint() fingerprint {
 	return fingerprintOf("whole=", d.Full, " based on ", d.BasedOn, " ", d.Digest)
 }
 
-// acceptedRecord is one accepted number with the fingerprint of what was accepted under it.
+// acceptedRecord is an accepted number with the fingerprint of the configuration accepted under it.
 type acceptedRecord struct {
 	number      uint64
 	fingerprint fingerprint
@@ -47,39 +48,39 @@
 // recordSize is the size of a stored record in bytes.
 const recordSize = 8 + len(fingerprint{})
 
-// append adds the stored record to bytes.
+// append appends the encoded record to records.
 func (r acceptedRecord) append(records []byte) []byte {
 	return append(binary.BigEndian.AppendUint64(records, r.number), r.fingerprint[:]...)
 }
 
-// firstRecord reads a stored record.
+// firstRecord decodes the first of the encoded records.
 func firstRecord(records []byte) (r acceptedRecord) {
 	r.number = binary.BigEndian.Uint64(records)
 	copy(r.fingerprint[:], records[8:])
 	return r
 }
 
-// numbering is the field of the present number.
+// numbering is the content of numberField: the current number and the state of the history.
 type numbering struct {
 	Number    uint64         `json:"number"`
-	Count     uint64         `json:"count,omitempty"`     // how many numbers were put to memory
-	Forgotten uint64         `json:"forgotten,omitempty"` // of numbers up to this one it is not remembered whether they were accepted
-	Digests   []formerDigest `json:"digests,omitempty"`   // the former format's memory, newest last
+	Count     uint64         `json:"count,omitempty"`     // how many numbers have been recorded
+	Forgotten uint64         `json:"forgotten,omitempty"` // highest number whose record was dropped
+	Digests   []formerDigest `json:"digests,omitempty"`   // history in the former format, newest last
 }
 
-// formerDigest is an accepted number as an earlier build stored it.
+// formerDigest is an accepted number in the former storage format.
 type formerDigest struct {
 	Number uint64 `json:"number"`
 	Digest string `json:"digest"`
 }
 
-// accepted is the memory of the accepted numbers.
+// accepted is the bounded history of accepted numbers.
 type accepted struct {
 	numbering
-	fields register.Fields // of records
+	fields register.Fields // encoded records by register field
 }
 
-// readNumbering reads the field of the present number; the zero one if there is none yet. The error is apierror.Malformed.
+// readNumbering decodes numberField, or returns the zero numbering if there is none yet. The error is apierror.Malformed.
 func readNumbering(content register.Fields) (n numbering, err error) {
 	if raw := content[numberField]; raw != nil {
 		err = json.Unmarshal(raw, &n)
@@ -87,7 +88,8 @@
 	return n, apierror.Wrap(err, apierror.Malformed, "register field "+numberField)
 }
 
-// readAccepted reads the memory from a register's content, also in the form of an earlier build.
+// readAccepted decodes the history from a register's fields. It converts the former format, which kept the last maxRemembered digests in
+// numberField.
 func readAccepted(content register.Fields) (a accepted, err error) {
 	a.fields = register.Fields{}
 	if a.numbering, err = readNumbering(content); err != nil {
@@ -109,24 +111,24 @@
 	return a, nil
 }
 
-// newestField is the field of a newest record.
+// newestField names the field of a record that is not yet in a segment.
 func newestField(at uint64) string { return fmt.Sprint(acceptedPrefix, "newest/", at) }
 
-// segmentField is the field of a segment.
+// segmentField names the field of a segment.
 func segmentField(at uint64) string { return fmt.Sprint(acceptedPrefix, "segment/", at) }
 
-// records gives a field's records, one after the other. Bytes stand in JSON as a base64 string without escapes.
+// records returns the concatenated records of a field. JSON encodes them as a base64 string, which never contains escapes.
 func (a accepted) records(field string) []byte {
-	records, _ := base64.StdEncoding.DecodeString(strings.Trim(string(a.fields[field]), `"`)) // no such field: no records
+	records, _ := base64.StdEncoding.DecodeString(strings.Trim(string(a.fields[field]), `"`)) // a missing field has no records
 	return records
 }
 
-// put stores a record under a field.
+// put stores encoded records under a field.
 func (a accepted) put(field string, records []byte) {
-	a.fields[field], _ = json.Marshal(records) // bytes always encode
+	a.fields[field], _ = json.Marshal(records) // a byte slice always encodes
 }
 
-// remember adds a number to the memory. The last one of a segment takes those before it along.
+// remember adds a record to the history. The record that completes a segment moves the preceding ones into it.
 func (a *accepted) remember(r acceptedRecord) {
 	at, segment := a.Count%segmentSize, a.Count/segmentSize%maxSegments
 	a.Count++
@@ -145,7 +147,7 @@
 	a.put(segmentField(segment), r.append(records))
 }
 
-// has reports whether just this configuration is remembered as accepted.
+// has reports whether the history records exactly this configuration as accepted.
 func (a accepted) has(d NumberedConfig) bool {
 	wanted, former := d.fingerprint(), fingerprintOf(d.Digest)
 	for field := range a.fields {
@@ -158,7 +160,7 @@
 	return false
 }
 
-// mayHave reports whether a configuration that is not remembered may have been accepted all the same, before the memory's end.
+// mayHave reports whether a configuration without a record may have been accepted, because its record would have been dropped.
 func (a accepted) mayHave(d NumberedConfig) bool {
 	return d.BasedOn < d.Number && d.Number <= a.Forgotten
 }
--- a/config/config.go
+++ b/config/config.go
@@ -10,77 +10,77 @@
 	"asterridge/register"
 )
 
-// Key is the register of the configuration.
+// Key names the register that holds the configuration.
 const Key = "blueprint"
 
-// MaxText bounds an operator's configuration, in bytes.
+// MaxText is the maximum size of an operator's configuration text in bytes.
 const MaxText = 16 << 20
 
 // Tenant is a customer of the fleet.
 type Tenant struct {
 	Name           string `json:"name"`
 	Isolated       bool   `json:"walled"`
-	Weight         int    `json:"weight"`         // its part in the round robin
-	Backlog        int    `json:"backlog"`        // how many requests may wait in one proxy
-	Scope          string `json:"scope"`          // "tenant" or "pool": what a hold covers
-	CreatedVersion uint64 `json:"born,omitempty"` // the configuration's version that created it: a name given anew is another tenant (§6.3)
-	// Keys are hashes of access keys that are declared with the tenant; others are granted one by one (§2.1).
+	Weight         int    `json:"weight"`         // weight in the weighted round robin among tenants
+	Backlog        int    `json:"backlog"`        // maximum number of requests queued in one proxy
+	Scope          string `json:"scope"`          // "tenant" or "pool": what a throttle applies to
+	CreatedVersion uint64 `json:"born,omitempty"` // configuration version that created it; a reused name is another tenant (§6.3)
+	// Keys are the hashes of the access keys declared with the tenant; further keys are granted individually (§2.1).
 	Keys    []string `json:"keys,omitempty"`
-	Urgency *int     `json:"urgency,omitempty"` // goes before the path's
+	Urgency *int     `json:"urgency,omitempty"` // overrides the path's urgency
 }
 
-// The kinds of pools.
+// Pool kinds.
 const (
 	ModelPool = "model" // replicas of a language model
 	WebPool   = "web"   // web back ends
-	StorePool = "store" // a store of cached prompt prefixes
+	StorePool = "store" // stores of cached prompt prefixes
 )
 
-// Pool is a set of replicas that serve the same weights, or a web back end.
+// Pool is a set of replicas that serve the same weights, a web back end, or a store of cached prompt prefixes.
 type Pool struct {
 	Name    string `json:"name"`
-	Kind    string `json:"kind"`    // "model", "web", or "store": a store of kept prompts
-	Weights string `json:"weights"` // the accepted version; empty for web
-	// Models are served by the pool's replicas, each with a version of its own that operators name (§2.9); none: Weights speaks for all.
+	Kind    string `json:"kind"`    // ModelPool, WebPool or StorePool
+	Weights string `json:"weights"` // accepted weights version; empty for a web pool
+	// Models lists the models that the replicas serve, each with its own published version (§2.9). If empty, Weights applies.
 	Models     []string `json:"models,omitempty"`
-	MaxConns   int      `json:"max_conns,omitempty"`   // connections that one replica takes from all callers; 0: any number
-	CacheSize  int      `json:"cache_size,omitempty"`  // what one replica or store keeps of prompts
-	UnitBytes  int      `json:"unit_bytes,omitempty"`  // memory of one unit of a prompt
-	LinkMbps   float64  `json:"link_mbps,omitempty"`   // of one replica or store, for moves of kept prompts
-	MaxReaders int      `json:"max_readers,omitempty"` // that may wait for a replica's news at once; 0: nobody reads them
-	Address    string   `json:"address,omitempty"`     // of a store that is on no list
-	Zone       string   `json:"zone,omitempty"`        // of such a store
+	MaxConns   int      `json:"max_conns,omitempty"`   // connections to one replica from all callers; 0: unlimited
+	CacheSize  int      `json:"cache_size,omitempty"`  // cache capacity of one replica or store, in units (tokens)
+	UnitBytes  int      `json:"unit_bytes,omitempty"`  // cache memory per unit (token) of a prompt
+	LinkMbps   float64  `json:"link_mbps,omitempty"`   // bandwidth of one replica or store for transfers of cached prefixes
+	MaxReaders int      `json:"max_readers,omitempty"` // readers that may wait for one replica's cache updates; 0: not read
+	Address    string   `json:"address,omitempty"`     // address of a store that is not in the replica register
+	Zone       string   `json:"zone,omitempty"`        // zone of such a store
 }
 
-// Path takes requests at an address to pools.
+// Path routes the requests for a URL path to pools.
 type Path struct {
 	Name       string `json:"name"`
-	Address    string `json:"address"` // URL path; one that ends in / covers all below
-	Model      string `json:"model"`   // the model asked for; empty matches any
+	Address    string `json:"address"` // URL path; one that ends in / matches every path below it
+	Model      string `json:"model"`   // requested model; empty matches any
 	Pool       string `json:"pool"`
 	Idempotent bool   `json:"repeatable"`
-	DeadlineMs int    `json:"deadline_ms"` // how long a request may wait for its first piece
+	DeadlineMs int    `json:"deadline_ms"` // time limit for the first chunk of the response
 	MaxBody    int    `json:"max_body"`
-	Cost       int    `json:"cost"` // in the round robin
+	Cost       int    `json:"cost"` // cost of one request in the weighted round robin
 
-	Host            string   `json:"host,omitempty"`      // the host asked for; empty matches any
-	Targets         []Target `json:"targets,omitempty"`   // a split over pools, in place of Pool
-	Tries           int      `json:"tries,omitempty"`     // replicas that one request may be sent to; 0: no bound but the budget
-	LatencyTargetMs int      `json:"aim_ms,omitempty"`    // the first piece is wanted within it
-	GapMs           int      `json:"gap_ms,omitempty"`    // no longer pause is wanted between pieces
-	Urgency         int      `json:"urgency,omitempty"`   // 0 goes first
-	Resumable       bool     `json:"resumable,omitempty"` // a stream that broke off may go on at another replica (§5.7)
-	Public          bool     `json:"public,omitempty"`    // needs no access key
-	Adapter         string   `json:"adapter,omitempty"`   // that the requests run on (§6.6)
+	Host            string   `json:"host,omitempty"`      // requested host; empty matches any
+	Targets         []Target `json:"targets,omitempty"`   // weighted split over several pools; replaces Pool
+	Tries           int      `json:"tries,omitempty"`     // maximum attempts per request; 0: limited by the retry budget only
+	LatencyTargetMs int      `json:"aim_ms,omitempty"`    // latency target for the first chunk
+	GapMs           int      `json:"gap_ms,omitempty"`    // target for the longest gap between chunks
+	Urgency         int      `json:"urgency,omitempty"`   // 0 is served first
+	Resumable       bool     `json:"resumable,omitempty"` // an interrupted stream may continue on another replica (§5.7)
+	Public          bool     `json:"public,omitempty"`    // no access key required
+	Adapter         string   `json:"adapter,omitempty"`   // adapter that serves the requests (§6.6)
 }
 
-// Target is a pool with its weight among a path's pools.
+// Target is a pool with its weight in a path's traffic split.
 type Target struct {
 	Pool   string `json:"pool"`
 	Weight int    `json:"share"`
 }
 
-// Pools are the pools that a path may take requests to.
+// Pools returns the pools that the path may route requests to, with their weights.
 func (p Path) Pools() []Target {
 	if len(p.Targets) > 0 {
 		return p.Targets
@@ -88,7 +88,7 @@
 	return []Target{{p.Pool, 1}}
 }
 
-// Limits bound what clients send; 0: the program's own bound.
+// Limits bounds what clients may send. A zero field selects the built-in limit.
 type Limits struct {
 	HeaderBytes int `json:"header_bytes,omitempty"`
 	BodyBytes   int `json:"body_bytes,omitempty"`
@@ -96,11 +96,11 @@
 	IdleMs      int `json:"idle_ms,omitempty"`
 }
 
-// ThrottleRule has the settings of the shared throttles.
+// ThrottleRule holds the backoff settings of the shared throttles.
 type ThrottleRule struct {
 	BaseMs    int     `json:"base_ms"`
 	CapMs     int     `json:"cap_ms"`
-	Jitter    float64 `json:"jitter"` // 1: uniform from zero; 0: always the full step
+	Jitter    float64 `json:"jitter"` // 0: always the full backoff; 1: uniform between zero and the full backoff
 	Observe   bool    `json:"observe"`
 	SlowRatio float64 `json:"slow_ratio"`
 }
@@ -114,10 +114,10 @@
 	Paths    map[string]Path
 	Throttle ThrottleRule
 	Limits   Limits
-	Open     bool // declared without tenants: nobody needs an access key
+	Open     bool // declared without tenants: no request needs an access key
 }
 
-// Empty is a configuration with the usual throttle rule and nothing else.
+// Empty returns a configuration with the default throttle rule and nothing else.
 func Empty() *Config {
 	return &Config{
 		Tenants: map[string]Tenant{}, Pools: map[string]Pool{}, Paths: map[string]Path{}, Adapters: map[string]Adapter{},
@@ -125,7 +125,7 @@
 	}
 }
 
-// FromFields reads the register's content. The error is apierror.Internal if a stored item cannot be read.
+// FromFields decodes a configuration from the fields of its register. The error is apierror.Malformed if a field cannot be decoded.
 func FromFields(fields register.Fields) (*Config, error) {
 	b := Empty()
 	for name, raw := range fields {
@@ -154,7 +154,7 @@
 	return b, nil
 }
 
-// load reads the items of one kind.
+// load decodes one item and stores it under its name.
 func load[T any](into map[string]T, name string, raw json.RawMessage) error {
 	var item T
 	if err := json.Unmarshal(raw, &item); err != nil {
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// Inherit has the tenants that were in the base keep the version that created them, and gives the others this one.
+// Inherit copies CreatedVersion for tenants that exist in base and sets it to version for new ones.
 func (b *Config) Inherit(base *Config, version uint64) {
 	for name, t := range b.Tenants {
 		t.CreatedVersion = version
@@ -175,7 +175,7 @@
 	}
 }
 
-// Fields gives the configuration as the register's fields.
+// Fields encodes the configuration as register fields.
 func (b *Config) Fields() register.Fields {
 	fields := register.Fields{}
 	put := func(name string, item any) {
@@ -204,7 +204,7 @@
 	return fields
 }
 
-// Delta gives the change from one content to another.
+// Delta returns the change that turns the fields of old into those of now. Deleted fields map to nil.
 func Delta(old, now register.Fields) register.Fields {
 	change := register.Fields{}
 	for name, raw := range now {
@@ -220,7 +220,8 @@
 	return change
 }
 
-// Check looks for dangling references, and for what cannot stand side by side.
+// Check reports dangling references, values out of range, and conflicts such as two paths that match the same requests or two tenants with
+// the same access key.
 func (b *Config) Check() error {
 	met := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(b.Paths)) {
--- a/config/registers.go
+++ b/config/registers.go
@@ -9,50 +9,50 @@
 	"asterridge/register"
 )
 
-// Registers besides the configuration that the data plane follows (docs/design.md §2.1).
+// Registers that the data plane watches besides the configuration (docs/design.md §2.1).
 const (
 	ReplicasKey = "replicas"
 	MembersKey  = "members"
 	KeysPrefix  = "keys/"
-	ModelsKey   = "models" // model → the version that operators have named
-	// SupersededKey has, by model, the version below which none may be used any more.
+	ModelsKey   = "models" // model → published version
+	// SupersededKey names the register that holds, by model, the oldest version that may still be used.
 	SupersededKey = "superseded"
-	LoadsKey      = "loads" // replica → its last order to load (§6.2)
+	LoadsKey      = "loads" // replica → its latest load order (§6.2)
 )
 
-// The states of a replica, as the platform's updates and the register of replicas spell them.
+// Replica states, as spelled in the platform's updates and in the replica register.
 const (
 	ReplicaPresent  = "present"
 	ReplicaDraining = "leaving"
 	ReplicaWarming  = "warming"
-	ReplicaGone     = "gone" // in updates alone: the replica is taken out of the register
+	ReplicaGone     = "gone" // only in updates: removes the replica from the register
 )
 
-// Replica is what the platform tells of a back end.
+// Replica describes a back end as reported by the platform.
 type Replica struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Pool    string `json:"pool"`
 	Zone    string `json:"zone"`
 	State   string `json:"state"` // ReplicaPresent, ReplicaDraining or ReplicaWarming
-	Limit   int    `json:"limit"` // requests at a time
-	// Models has the versions that the platform tells of, where it does; they may lag.
+	Limit   int    `json:"limit"` // maximum concurrent requests
+	// Models maps each model to its loaded version, if the platform reports it. The report may lag behind.
 	Models map[string]uint64 `json:"models,omitempty"`
 }
 
-// Model is a model's published version.
+// Model holds the published version of a model.
 type Model struct {
 	Version uint64 `json:"version"`
 }
 
-// LoadOrder reserves a replica that is to load a version of a model, and stays as the record of what it has loaded.
+// LoadOrder reserves a replica for loading a version of a model. After the load it stays as the record of what was loaded.
 type LoadOrder struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 	Done    bool   `json:"done,omitempty"`
 }
 
-// ParseLoads reads the register of loads: the last order of each replica, and who wrote last under which lease.
+// ParseLoads decodes the loads register: the latest order of each replica, and the role holder that wrote last.
 func ParseLoads(fields register.Fields) (map[string]LoadOrder, RoleHolder, error) {
 	others, holder, err := splitHolder(fields)
 	if err != nil {
@@ -62,13 +62,13 @@
 	return orders, holder, err
 }
 
-// Access is what is stored of an access key, under its hash.
+// Access is the stored state of an access key, kept under the key's hash.
 type Access struct {
 	Revoked       bool   `json:"revoked"`
-	TenantVersion uint64 `json:"born,omitempty"` // the tenant's life that it was granted to
+	TenantVersion uint64 `json:"born,omitempty"` // CreatedVersion of the tenant that it was granted to
 }
 
-// Member is a core on the list of members.
+// Member is a core in the membership list.
 type Member struct {
 	ID          uint32 `json:"id"`
 	Name        string `json:"name"`
@@ -77,13 +77,13 @@
 	Incarnation string `json:"incarnation"`
 }
 
-// HashKey is the hash under which an access key is stored.
+// HashKey returns the hash under which an access key is stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte("asterridge key " + key))
 	return hex.EncodeToString(sum[:16])
 }
 
-// Load reads all fields of a register as values of one type.
+// Load decodes all fields of a register as values of one type.
 func Load[T any](fields register.Fields) (map[string]T, error) {
 	all := make(map[string]T, len(fields))
 	for name, raw := range fields {
@@ -94,13 +94,13 @@
 	return all, nil
 }
 
-// Field encodes one value as a register's field.
+// Field encodes one value as a register field.
 func Field(name string, item any) register.Fields {
 	raw, _ := json.Marshal(item) // plain structs always encode
 	return register.Fields{name: raw}
 }
 
-// ParseReplicas reads the platform's update of replicas, field by field.
+// ParseReplicas parses a replica update from the platform.
 func ParseReplicas(text []byte) ([]Replica, error) {
 	doc, err := Document(text)
 	if err != nil {
