--- a/config/accepted.go
+++ b/config/accepted.go
@@ -16,11 +16,11 @@
 // full groups of segmentSize records are merged into one segment field. After maxSegments segments the oldest is overwritten
 // (docs/design.md §2.9).
 const (
-	numberField    = "number"
-	acceptedPrefix = "accepted/"
-	segmentSize    = 64
-	maxSegments    = 128 // 8,192 numbers: four days at 2,000 changes a day
-	maxRemembered  = 64  // maximum number of digests in the former format
+	numberField      = "number"
+	acceptedPrefix   = "accepted/"
+	segmentSize      = 64
+	maxSegments      = 128 // 8,192 numbers: four days at 2,000 changes a day
+	maxFormerDigests = 64  // maximum number of digests in the former format
 )
 
 // fingerprint is a hash that distinguishes numbered configurations with the same number.
@@ -53,8 +53,8 @@
 	return append(binary.BigEndian.AppendUint64(records, r.number), r.fingerprint[:]...)
 }
 
-// firstRecord decodes the first of the encoded records.
-func firstRecord(records []byte) (r acceptedRecord) {
+// decodeFirst decodes the first of the encoded records.
+func decodeFirst(records []byte) (r acceptedRecord) {
 	r.number = binary.BigEndian.Uint64(records)
 	copy(r.fingerprint[:], records[8:])
 	return r
@@ -62,10 +62,10 @@
 
 // numbering is the content of numberField: the current number and the state of the history.
 type numbering struct {
-	Number    uint64         `json:"number"`
-	Count     uint64         `json:"count,omitempty"`     // how many numbers have been recorded
-	Forgotten uint64         `json:"forgotten,omitempty"` // highest number whose record was dropped
-	Digests   []formerDigest `json:"digests,omitempty"`   // history in the former format, newest last
+	Number      uint64         `json:"number"`
+	Count       uint64         `json:"count,omitempty"`     // how many numbers have been recorded
+	DroppedUpTo uint64         `json:"forgotten,omitempty"` // highest number whose record was dropped: acceptance is unknown up to it
+	Digests     []formerDigest `json:"digests,omitempty"`   // history in the former format, newest last
 }
 
 // formerDigest is an accepted number in the former storage format.
@@ -74,8 +74,8 @@
 	Digest string `json:"digest"`
 }
 
-// accepted is the bounded history of accepted numbers.
-type accepted struct {
+// acceptedHistory is the bounded history of accepted numbers.
+type acceptedHistory struct {
 	numbering
 	fields register.Fields // encoded records by register field
 }
@@ -90,7 +90,7 @@
 
 // readAccepted decodes the history from a register's fields. It converts the former format, which kept the last maxRemembered digests in
 // numberField.
-func readAccepted(content register.Fields) (a accepted, err error) {
+func readAccepted(content register.Fields) (a acceptedHistory, err error) {
 	a.fields = register.Fields{}
 	if a.numbering, err = readNumbering(content); err != nil {
 		return a, err
@@ -102,11 +102,11 @@
 	}
 	former := a.Digests
 	a.Digests = nil
-	if len(former) >= maxRemembered {
-		a.Forgotten = former[0].Number - 1
+	if len(former) >= maxFormerDigests {
+		a.DroppedUpTo = former[0].Number - 1
 	}
 	for _, d := range former {
-		a.remember(acceptedRecord{d.Number, fingerprintOf(d.Digest)})
+		a.record(acceptedRecord{d.Number, fingerprintOf(d.Digest)})
 	}
 	return a, nil
 }
@@ -118,18 +118,18 @@
 func segmentField(at uint64) string { return fmt.Sprint(acceptedPrefix, "segment/", at) }
 
 // records returns the concatenated records of a field. JSON encodes them as a base64 string, which never contains escapes.
-func (a accepted) records(field string) []byte {
+func (a acceptedHistory) records(field string) []byte {
 	records, _ := base64.StdEncoding.DecodeString(strings.Trim(string(a.fields[field]), `"`)) // a missing field has no records
 	return records
 }
 
 // put stores encoded records under a field.
-func (a accepted) put(field string, records []byte) {
+func (a acceptedHistory) put(field string, records []byte) {
 	a.fields[field], _ = json.Marshal(records) // a byte slice always encodes
 }
 
-// remember adds a record to the history. The record that completes a segment moves the preceding ones into it.
-func (a *accepted) remember(r acceptedRecord) {
+// record adds a record to the history. The record that completes a segment moves the preceding ones into it.
+func (a *acceptedHistory) record(r acceptedRecord) {
 	at, segment := a.Count%segmentSize, a.Count/segmentSize%maxSegments
 	a.Count++
 	if at < segmentSize-1 {
@@ -142,17 +142,17 @@
 		delete(a.fields, newestField(before))
 	}
 	if oldest := a.records(segmentField(segment)); len(oldest) > 0 {
-		a.Forgotten = firstRecord(oldest[len(oldest)-recordSize:]).number
+		a.DroppedUpTo = decodeFirst(oldest[len(oldest)-recordSize:]).number
 	}
 	a.put(segmentField(segment), r.append(records))
 }
 
 // has reports whether the history records exactly this configuration as accepted.
-func (a accepted) has(d NumberedConfig) bool {
+func (a acceptedHistory) has(d NumberedConfig) bool {
 	wanted, former := d.fingerprint(), fingerprintOf(d.Digest)
 	for field := range a.fields {
 		for records := a.records(field); len(records) >= recordSize; records = records[recordSize:] {
-			if r := firstRecord(records); r.number == d.Number {
+			if r := decodeFirst(records); r.number == d.Number {
 				return r.fingerprint == wanted || r.fingerprint == former
 			}
 		}
@@ -160,7 +160,7 @@
 	return false
 }
 
-// mayHave reports whether a configuration without a record may have been accepted, because its record would have been dropped.
-func (a accepted) mayHave(d NumberedConfig) bool {
-	return d.BasedOn < d.Number && d.Number <= a.Forgotten
+// mayHaveAccepted reports whether a configuration without a record may have been accepted, because its record would have been dropped.
+func (a acceptedHistory) mayHaveAccepted(d NumberedConfig) bool {
+	return d.BasedOn < d.Number && d.Number <= a.DroppedUpTo
 }
--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -125,7 +125,7 @@
 				switch {
 				case n > last-uint64(count):
 					is.NoErr(err)
-				case count == maxRemembered:
+				case count == maxFormerDigests:
 					is.True(apierror.Is(err, apierror.Undecided)) // more may have been accepted than were remembered
 				default:
 					is.True(apierror.Is(err, apierror.Conflict)) // as many as there were are all that there ever were
--- a/config/adapter.go
+++ b/config/adapter.go
@@ -11,50 +11,50 @@
 	"asterridge/register"
 )
 
-// RetirementKey is the register of the retirements, by the old base (docs/design.md §6.6).
+// RetirementKey names the register that holds the retirements, by old base model (docs/design.md §6.6).
 const RetirementKey = "retirement"
 
-// Adapter is a small change of a base model, built for each base that it runs on.
+// Adapter is a fine-tuned adapter of a base model, with a separate build for each base that it runs on.
 type Adapter struct {
 	Name    string            `json:"name"`
-	Base    string            `json:"base"`              // where it was declared; retirements lead on from there
-	Builds  map[string]string `json:"builds,omitempty"`  // base → build
-	Tenants []string          `json:"tenants,omitempty"` // that may use it; none: all
+	Base    string            `json:"base"`              // base model as declared; retirements move the adapter on from there
+	Builds  map[string]string `json:"builds,omitempty"`  // base model → build
+	Tenants []string          `json:"tenants,omitempty"` // tenants that may use it; empty: all
 }
 
-// Phase is that of a retirement, or of one adapter in it.
+// Phase is the phase of a retirement, or of one adapter within it.
 type Phase string
 
-// The phases.
+// Phases of a retirement; Switched and Live are phases of one adapter.
 const (
-	Moving   Phase = "moving"   // adapters are loaded on the new base, tried, switched
-	Clearing Phase = "clearing" // every adapter answers there; no proxy may be able to send to the old base before the first drop
-	Dropping Phase = "dropping" // from here on there is no way back
+	Moving   Phase = "moving"   // adapters are loaded on the new base, tested and switched over
+	Clearing Phase = "clearing" // every adapter is live on the new base; waits until no proxy can still send to the old base
+	Dropping Phase = "dropping" // adapters are unloaded from the old base; can no longer be undone
 	Retired  Phase = "retired"
-	Undoing  Phase = "undoing" // routes lead to the old base again; the new one is dropped
+	Undoing  Phase = "undoing" // routes point to the old base again; adapters are unloaded from the new one
 
-	Switched Phase = "switched" // of an adapter: its route leads to the new base
-	Live     Phase = "live"     // … and it has answered live traffic there on enough replicas of every pool
+	Switched Phase = "switched" // the adapter's route points to the new base
+	Live     Phase = "live"     // and it has served live traffic there on enough replicas of every pool
 )
 
-// Retirement moves every adapter of one base to another, and drops the old one.
+// Retirement moves every adapter from one base model to another and then retires the old one.
 type Retirement struct {
-	Number uint64          `json:"number"` // the register's version that began it
+	Number uint64          `json:"number"` // register version that started it
 	Old    string          `json:"old"`
 	New    string          `json:"new"`
 	Phase  Phase           `json:"phase"`
-	Since  time.Time       `json:"since"` // for operators alone
+	Since  time.Time       `json:"since"` // informational, for operators
 	Moves  map[string]Move `json:"moves,omitempty"`
 }
 
-// Move is how far one adapter has moved; one without an entry is being loaded.
+// Move is the progress of one adapter in a retirement. An adapter without an entry is still being loaded.
 type Move struct {
 	Phase Phase     `json:"phase"`
 	Build string    `json:"build"`
-	Since time.Time `json:"since"` // for operators alone
+	Since time.Time `json:"since"` // informational, for operators
 }
 
-// With gives the retirement with one more step; the receiver is not changed.
+// With returns a copy of the retirement in the given phase, with the move of the adapter recorded unless the adapter is "".
 func (t Retirement) With(phase Phase, adapter string, m Move) Retirement {
 	t.Moves = maps.Clone(t.Moves)
 	if adapter != "" {
@@ -69,25 +69,26 @@
 	return t
 }
 
-// IsRunning reports whether there is something left to do.
+// IsRunning reports whether the retirement is not yet complete.
 func (t Retirement) IsRunning() bool { return t.Phase != Retired }
 
-// IsPast reports whether the retirement cannot be undone any more.
+// IsPast reports whether the retirement can no longer be undone.
 func (t Retirement) IsPast() bool { return t.Phase == Dropping || t.Phase == Retired }
 
-// Retirements are all that there ever were, by the old base.
+// Retirements holds all retirements, including completed ones, by old base model.
 type Retirements map[string]Retirement
 
-// RoleHolder is who last wrote to the register of a singleton role, and under which lease: what older leases write late is rejected.
+// RoleHolder identifies the last writer to the register of a singleton role and its lease. The lease is a fencing token: late writes under an
+// older lease are rejected.
 type RoleHolder struct {
 	Holder string `json:"holder"`
 	Lease  uint64 `json:"term"`
 }
 
-// RoleHolderField is the field of the RoleHolder in the registers of retirements and loads.
+// RoleHolderField is the field that holds the RoleHolder in the retirement and loads registers.
 const RoleHolderField = "~duty"
 
-// ParseRoleHolder reads the RoleHolder among a register's fields, or of a change of them; the zero one if there is none.
+// ParseRoleHolder decodes the RoleHolder from a register's fields or from a change to them. It returns the zero RoleHolder if there is none.
 func ParseRoleHolder(fields register.Fields) (holder RoleHolder, err error) {
 	if raw := fields[RoleHolderField]; raw != nil {
 		err = json.Unmarshal(raw, &holder)
@@ -95,7 +96,7 @@
 	return holder, apierror.Wrap(err, apierror.Malformed, "register field "+RoleHolderField)
 }
 
-// splitHolder takes the RoleHolder out of a register's fields.
+// splitHolder separates the RoleHolder from the other fields of a register.
 func splitHolder(fields register.Fields) (others register.Fields, holder RoleHolder, err error) {
 	others = fields.Clone()
 	delete(others, RoleHolderField)
@@ -103,7 +104,7 @@
 	return others, holder, err
 }
 
-// Check rejects what comes under a lease below the one that has written last. The error is apierror.Superseded.
+// Check rejects a writer whose lease is older than that of the last writer. The error is apierror.Superseded.
 func (h RoleHolder) Check(writer RoleHolder) error {
 	if writer.Lease >= h.Lease {
 		return nil
@@ -111,7 +112,7 @@
 	return apierror.New(apierror.Superseded, "lease %d of %s has taken this up, yours is %d", h.Lease, h.Holder, writer.Lease)
 }
 
-// ParseRetirements reads the register's content.
+// ParseRetirements decodes the retirement register: the retirements and the role holder that wrote last.
 func ParseRetirements(fields register.Fields) (Retirements, RoleHolder, error) {
 	others, holder, err := splitHolder(fields)
 	if err != nil {
@@ -122,10 +123,10 @@
 	return all, holder, err
 }
 
-// Route gives the base and the build that an adapter's requests go to now.
+// Route returns the base model and the build that serve an adapter's requests at present.
 func (s Retirements) Route(a Adapter) (base, build string) {
 	base, build = a.Base, a.Builds[a.Base]
-	for range s { // each retirement leads on at most once
+	for range s { // follows each retirement at most once
 		t, ok := s[base]
 		if !ok || t.Phase == Undoing {
 			return base, build
@@ -134,7 +135,7 @@
 		switch {
 		case switched:
 			base, build = t.New, m.Build
-		case t.IsPast(): // declared since
+		case t.IsPast(): // adapter declared after the switch-over
 			base, build = t.New, a.Builds[t.New]
 		default:
 			return base, build
@@ -143,7 +144,7 @@
 	return base, build
 }
 
-// IsOn reports whether an adapter is on a base, or was until a retirement moved it.
+// IsOn reports whether an adapter is on a base model, or was until a retirement moved it.
 func (s Retirements) IsOn(a Adapter, base string) bool {
 	at := a.Base
 	for range len(s) + 1 {
@@ -159,7 +160,7 @@
 	return false
 }
 
-// Crossing gives a running retirement that concerns one of the bases.
+// Crossing returns a running retirement that has one of the bases as its old or new base.
 func (s Retirements) Crossing(bases ...string) (Retirement, bool) {
 	for _, old := range slices.Sorted(maps.Keys(s)) {
 		if t := s[old]; t.IsRunning() && (slices.Contains(bases, t.Old) || slices.Contains(bases, t.New)) {
@@ -169,14 +170,14 @@
 	return Retirement{}, false
 }
 
-// readAdapter reads an adapter field by field.
+// readAdapter reads one field of an adapter.
 func readAdapter(a *Adapter, field string, v Value) error {
 	switch field {
 	case "name":
 		return set(&a.Name, v.Name)
 	case "base":
 		return set(&a.Base, v.Name)
-	case "builds": // are added to and changed, not taken away: a retirement may count on them
+	case "builds": // builds are only added or changed: a retirement may depend on those that are there
 		builds := maps.Clone(a.Builds)
 		if builds == nil {
 			builds = map[string]string{}
@@ -197,7 +198,7 @@
 	return v.Reject(apierror.UnknownField, "not a field of an adapter")
 }
 
-// checkAdapters looks for dangling references of adapters and to them.
+// checkAdapters reports adapters without a base, and dangling references of adapters and to them.
 func (b *Config) checkAdapters() error {
 	reject := func(c apierror.Code, field, format string, args ...any) error {
 		f := apierror.New(c, format, args...)
@@ -232,8 +233,8 @@
 	return nil
 }
 
-// KeepBases rejects a configuration that moves an adapter by itself: what answers on a base is changed by a retirement alone
-// (docs/design.md §6.6).
+// KeepBases rejects a configuration that changes the base of an existing adapter or its build there: only a retirement may change what
+// serves requests on a base (docs/design.md §6.6).
 func (b *Config) KeepBases(before *Config) error {
 	for _, name := range slices.Sorted(maps.Keys(b.Adapters)) {
 		was, ok := before.Adapters[name]
@@ -246,17 +247,17 @@
 	return nil
 }
 
-// Placement is one adapter on one base, with its build.
+// Placement is an adapter on a base model, with its build.
 type Placement struct {
 	Adapter string `json:"adapter"`
 	Base    string `json:"base"`
 	Build   string `json:"build"`
 }
 
-// Key names an adapter on a base among what a replica has.
+// Key identifies the adapter and base among the placements of a replica.
 func (u Placement) Key() string { return u.Adapter + "@" + u.Base }
 
-// Desired lists the placements that each pool's replicas are to have, by pool.
+// Desired returns, by pool, the placements that the pool's replicas should have.
 func (b *Config) Desired(s Retirements) map[string][]Placement {
 	desired := map[string][]Placement{}
 	for _, name := range slices.Sorted(maps.Keys(b.Paths)) {
@@ -272,7 +273,7 @@
 			if t.IsRunning() && t.Phase != Undoing && s.IsOn(a, t.Old) {
 				if base != t.New {
 					all = append(all, Placement{a.Name, t.New, a.Builds[t.New]})
-				} else if !t.IsPast() { // the way back stays open
+				} else if !t.IsPast() { // keep the previous placement so that the retirement can be undone
 					before := maps.Clone(s)
 					delete(before, t.Old)
 					base, build := before.Route(a)
--- a/config/numbered.go
+++ b/config/numbered.go
@@ -10,46 +10,47 @@
 	"asterridge/register"
 )
 
-// NumberedConfig is a configuration under a number of the operators' own, whole or as an amendment of the one before (docs/design.md
-// §2.9).
+// NumberedConfig is a configuration that the operators number themselves. It replaces the current one (full) or amends it
+// (docs/design.md §2.9).
 type NumberedConfig struct {
 	Number  uint64          `json:"number"`
 	BasedOn uint64          `json:"based_on"`
 	Full    bool            `json:"whole"`
-	Digest  string          `json:"digest"` // of the text that it was read from
-	Items   register.Fields `json:"items"`  // as Config.Fields names them
-	Texts   register.Fields `json:"texts"`  // the same names: as the operators wrote them
-	Order   []string        `json:"order"`  // of the texts' names
+	Digest  string          `json:"digest"` // digest of the text that it was parsed from
+	Items   register.Fields `json:"items"`  // register fields, named as by Config.Fields
+	Texts   register.Fields `json:"texts"`  // original texts of the items, under the same names
+	Order   []string        `json:"order"`  // names of Texts in the order of the text
 	Removed []string        `json:"removed,omitempty"`
 }
 
-// textPrefix begins the fields that hold items as they were written.
+// textPrefix is the prefix of the fields that hold the original texts of items.
 const textPrefix = "text/"
 
-// text is an item as it was written, with its position among the others.
+// text is the stored original text of an item with its position in the list.
 type text struct {
 	Place int             `json:"place"`
 	Text  json.RawMessage `json:"text"`
 }
 
-// IsText reports whether a field only holds what operators wrote or when; the data plane has no use for it.
+// IsText reports whether a field is control-plane bookkeeping (original texts, accepted numbers, idempotency keys), which the data plane does
+// not need.
 func IsText(field string) bool {
 	return field == numberField || strings.HasPrefix(field, textPrefix) || strings.HasPrefix(field, acceptedPrefix) || idempotency.IsField(field)
 }
 
-// Number gives the accepted number; 0: the configuration is not numbered. The error is apierror.Malformed if it cannot be read.
+// Number returns the current accepted number, or 0 if the configuration is not numbered. The error is apierror.Malformed.
 func Number(fields register.Fields) (uint64, error) {
 	n, err := readNumbering(fields)
 	return n.Number, err
 }
 
-// Text is a configured item as it was written.
+// Text is the original text of a configured item.
 type Text struct {
 	Kind, Name string
 	Text       json.RawMessage
 }
 
-// Texts lists the configured items as they were written, in their order.
+// Texts returns the original texts of the configured items, by kind and in the order in which they were first declared.
 func Texts(fields register.Fields) (all []Text) {
 	places := map[string]int{}
 	for field, raw := range fields {
@@ -74,14 +75,14 @@
 	return all
 }
 
-// check reports whether just this declaration was accepted before. The errors are those of a declaration that does not fit:
-// apierror.Undecided, Conflict and OutOfRange.
-func (a accepted) check(d NumberedConfig) (before bool, err error) {
+// check reports whether exactly this declaration was accepted before. For a declaration that cannot be applied, the error is
+// apierror.Undecided, Conflict or OutOfRange.
+func (a acceptedHistory) check(d NumberedConfig) (before bool, err error) {
 	switch {
 	case d.BasedOn != a.Number && a.has(d):
 		return true, nil
-	case d.BasedOn != a.Number && a.mayHave(d):
-		return false, apierror.New(apierror.Undecided, "number %d may have been accepted once: only those above %d are remembered", d.Number, a.Forgotten)
+	case d.BasedOn != a.Number && a.mayHaveAccepted(d):
+		return false, apierror.New(apierror.Undecided, "number %d may have been accepted once: only those above %d are remembered", d.Number, a.DroppedUpTo)
 	case d.BasedOn != a.Number:
 		return false, apierror.New(apierror.Conflict, "built on %d, present is %d", d.BasedOn, a.Number)
 	case d.Number <= a.Number:
@@ -90,9 +91,9 @@
 	return false, nil
 }
 
-// ApplyNumbered gives the change that a declaration makes; none if just this one was accepted before. Numbers only rise, so one that is built on
-// the present number is new, and of another it is known for sure that it was never accepted, unless it may be older than the memory of the
-// accepted ones: then it is answered without a verdict.
+// ApplyNumbered returns the register change for a declaration, or no change if exactly this declaration was accepted before. Numbers only
+// increase, so a declaration based on the current number is new. Any other one without a record was never accepted, unless its record may
+// have been dropped from the history: then the error is apierror.Undecided.
 func ApplyNumbered(now register.Fields, version uint64, d NumberedConfig) (register.Fields, error) {
 	was, err := readAccepted(now)
 	if err != nil {
@@ -126,10 +127,10 @@
 		if json.Unmarshal(made[textPrefix+name], &before) == nil {
 			t.Place = before.Place
 		}
-		made[textPrefix+name], _ = json.Marshal(t) // what was read as JSON encodes
+		made[textPrefix+name], _ = json.Marshal(t) // valid JSON input always encodes
 	}
 	was.Number = d.Number
-	was.remember(acceptedRecord{d.Number, d.fingerprint()})
+	was.record(acceptedRecord{d.Number, d.fingerprint()})
 	made[numberField], _ = json.Marshal(was.numbering) // a plain struct always encodes
 	made.Apply(was.fields)
 	b, err := FromFields(made)
--- a/config/parse.go
+++ b/config/parse.go
@@ -7,7 +7,7 @@
 	"asterridge/apierror"
 )
 
-// Parse reads an operator's text: a whole configuration, or a partial one upon the present. Nothing of a bad text is used.
+// Parse parses an operator's text: a full configuration, or a partial one that is applied to base. An invalid text is rejected whole.
 func Parse(text []byte, base *Config, partial bool) (*Config, error) {
 	if len(text) > MaxText {
 		return nil, apierror.New(apierror.Oversize, "%d bytes, at most %d", len(text), MaxText)
@@ -60,7 +60,7 @@
 	return b, nil
 }
 
-// items reads a list of named items; one that exists already is changed field by field.
+// items reads a list of named items. It updates existing items field by field and starts new ones from the given defaults.
 func items[T any](v Value, into map[string]T, fresh T, read func(item *T, name string, field Value) error) error {
 	met := map[string]bool{}
 	return v.List(func(entry Value) error {
@@ -93,7 +93,7 @@
 	})
 }
 
-// remove reads a list of names, and removes them.
+// remove reads lists of names by kind and deletes these items.
 func remove(v Value, b *Config) error {
 	return v.Object(func(kind string, list Value) error {
 		return list.List(func(item Value) error {
@@ -126,7 +126,7 @@
 	})
 }
 
-// set assigns a value that could be read.
+// set assigns the result of read unless it fails.
 func set[T any](into *T, read func() (T, error)) error {
 	got, err := read()
 	if err == nil {
@@ -135,17 +135,17 @@
 	return err
 }
 
-// between reads a whole number within a range.
+// between returns a reader of an integer within a range.
 func between(v Value, least, most int) func() (int, error) {
 	return func() (int, error) { return v.Integer(least, most) }
 }
 
-// oneOf reads one of the given texts.
+// oneOf returns a reader of one of the given strings.
 func oneOf(v Value, words ...string) func() (string, error) {
 	return func() (string, error) { return v.OneOf(words...) }
 }
 
-// readTenant reads a tenant field by field.
+// readTenant reads one field of a tenant.
 func readTenant(t *Tenant, field string, v Value) error {
 	switch field {
 	case "name":
@@ -165,7 +165,7 @@
 	return v.Reject(apierror.UnknownField, "not a field of a tenant")
 }
 
-// readPool reads a pool field by field.
+// readPool reads one field of a pool.
 func readPool(p *Pool, field string, v Value) error {
 	switch field {
 	case "name":
@@ -187,7 +187,7 @@
 	return v.Reject(apierror.UnknownField, "not a field of a pool")
 }
 
-// readPath reads a path field by field.
+// readPath reads one field of a path.
 func readPath(p *Path, field string, v Value) error {
 	switch field {
 	case "name":
@@ -248,7 +248,7 @@
 	return v.Reject(apierror.UnknownField, "not a field of a path")
 }
 
-// readThrottle reads the throttle rule field by field.
+// readThrottle reads the throttle rule.
 func readThrottle(v Value, h *ThrottleRule) error {
 	return v.Object(func(field string, v Value) error {
 		switch field {
@@ -267,7 +267,7 @@
 	})
 }
 
-// readLimits reads the limits field by field.
+// readLimits reads the client limits.
 func readLimits(v Value, l *Limits) error {
 	return v.Object(func(field string, v Value) error {
 		switch field {
--- a/config/value.go
+++ b/config/value.go
@@ -1,4 +1,4 @@
-// Package config reads, checks and compiles what operators declare (docs/design.md §2.1, §7).
+// Package config parses, validates and stores the configuration that operators declare (docs/design.md §2.1, §7).
 package config
 
 import (
@@ -10,21 +10,21 @@
 	"asterridge/apierror"
 )
 
-// Value is one JSON value with its position in the operator's text, so that errors can name it.
+// Value is a JSON value with its path and position in the operator's text, for use in error messages.
 type Value struct {
 	raw  jx.Raw
 	path string
-	at   int // byte position, from 1
+	at   int // byte position in the text, counted from 1
 }
 
-// Reject makes an error that names this value's path and position.
+// Reject returns an error that carries the value's path and position.
 func (v Value) Reject(c apierror.Code, format string, args ...any) error {
 	f := apierror.New(c, format, args...)
 	f.Field, f.At = v.path, v.at
 	return f
 }
 
-// Document checks that the whole text is one JSON value.
+// Document returns the text as a Value after checking that it is exactly one JSON value.
 func Document(text []byte) (Value, error) {
 	d := jx.DecodeBytes(text)
 	if err := d.Validate(); err != nil {
@@ -33,7 +33,7 @@
 	return nested(text, jx.DecodeBytes(text), "", 1)
 }
 
-// nested takes the decoder's next value; its position shows in what is left of the text's capacity.
+// nested returns the decoder's next value. raw is a subslice of text, so the difference of their capacities is its offset.
 func nested(text []byte, d *jx.Decoder, path string, base int) (Value, error) {
 	raw, err := d.Raw()
 	if err != nil {
@@ -42,10 +42,10 @@
 	return Value{raw: raw, path: path, at: base + cap(text) - cap(raw)}, nil
 }
 
-// Raw is the value as it was written.
+// Raw returns the original JSON of the value.
 func (v Value) Raw() []byte { return v.raw }
 
-// need rejects a value of another type.
+// need rejects a value that is not of type t.
 func (v Value) need(t jx.Type, name string) error {
 	if v.raw.Type() != t {
 		return v.Reject(apierror.WrongType, "needs %s, has %s", name, v.raw.Type())
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// Object reads a JSON object field by field, in its order. A field that is given twice is an error.
+// Object calls read for each field of a JSON object, in order. A repeated field is an error.
 func (v Value) Object(read func(name string, field Value) error) error {
 	if err := v.need(jx.Object, "an object"); err != nil {
 		return err
@@ -72,7 +72,7 @@
 	})
 }
 
-// join makes the path of a field.
+// join appends a field name to a path.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -80,7 +80,7 @@
 	return path + "." + name
 }
 
-// List reads a JSON array item by item.
+// List calls read for each item of a JSON array, in order.
 func (v Value) List(read func(item Value) error) error {
 	if err := v.need(jx.Array, "a list"); err != nil {
 		return err
@@ -105,10 +105,10 @@
 	return s, apierror.Wrap(err, apierror.Malformed, "read "+v.path)
 }
 
-// plainName is what the name of an item may be.
+// plainName matches a valid item name.
 var plainName = regexp.MustCompile(`^[\pL\pN][\pL\pN._-]{0,63}$`)
 
-// Name reads a string that may name a thing.
+// Name reads a string that is a valid item name.
 func (v Value) Name() (string, error) {
 	s, err := v.Text()
 	if err == nil && !plainName.MatchString(s) {
@@ -131,7 +131,7 @@
 	return "", v.Reject(apierror.OutOfRange, "%q is not one of %v", s, words)
 }
 
-// Flag reads true or false.
+// Flag reads a boolean.
 func (v Value) Flag() (bool, error) {
 	if err := v.need(jx.Bool, "true or false"); err != nil {
 		return false, err
@@ -140,7 +140,7 @@
 	return b, apierror.Wrap(err, apierror.Malformed, "read "+v.path)
 }
 
-// Integer reads a whole number within a range.
+// Integer reads an integer between least and most.
 func (v Value) Integer(least, most int) (int, error) {
 	if err := v.need(jx.Number, "a whole number"); err != nil {
 		return 0, err
@@ -155,7 +155,7 @@
 	return n, nil
 }
 
-// Figure reads a number within a range.
+// Figure reads a floating-point number between least and most.
 func (v Value) Figure(least, most float64) (float64, error) {
 	if err := v.need(jx.Number, "a number"); err != nil {
 		return 0, err
