--- a/config/accepted.go
+++ b/config/accepted.go
@@ -112,10 +112,10 @@
 }
 
 // newestField names the field of a record that is not yet in a segment.
-func newestField(at uint64) string { return fmt.Sprint(acceptedPrefix, "newest/", at) }
+func newestField(position uint64) string { return fmt.Sprint(acceptedPrefix, "newest/", position) }
 
 // segmentField names the field of a segment.
-func segmentField(at uint64) string { return fmt.Sprint(acceptedPrefix, "segment/", at) }
+func segmentField(segment uint64) string { return fmt.Sprint(acceptedPrefix, "segment/", segment) }
 
 // records returns the concatenated records of a field. JSON encodes them as a base64 string, which never contains escapes.
 func (a acceptedHistory) records(field string) []byte {
@@ -130,16 +130,16 @@
 
 // record adds a record to the history. The record that completes a segment moves the preceding ones into it.
 func (a *acceptedHistory) record(r acceptedRecord) {
-	at, segment := a.Count%segmentSize, a.Count/segmentSize%maxSegments
+	position, segment := a.Count%segmentSize, a.Count/segmentSize%maxSegments
 	a.Count++
-	if at < segmentSize-1 {
-		a.put(newestField(at), r.append(nil))
+	if position < segmentSize-1 {
+		a.put(newestField(position), r.append(nil))
 		return
 	}
 	var records []byte
-	for before := range at {
-		records = append(records, a.records(newestField(before))...)
-		delete(a.fields, newestField(before))
+	for earlier := range position {
+		records = append(records, a.records(newestField(earlier))...)
+		delete(a.fields, newestField(earlier))
 	}
 	if oldest := a.records(segmentField(segment)); len(oldest) > 0 {
 		a.DroppedUpTo = decodeFirst(oldest[len(oldest)-recordSize:]).number
--- a/config/adapter.go
+++ b/config/adapter.go
@@ -55,25 +55,25 @@
 }
 
 // With returns a copy of the retirement in the given phase, with the move of the adapter recorded unless the adapter is "".
-func (t Retirement) With(phase Phase, adapter string, m Move) Retirement {
-	t.Moves = maps.Clone(t.Moves)
+func (r Retirement) With(phase Phase, adapter string, m Move) Retirement {
+	r.Moves = maps.Clone(r.Moves)
 	if adapter != "" {
-		if t.Moves == nil {
-			t.Moves = map[string]Move{}
+		if r.Moves == nil {
+			r.Moves = map[string]Move{}
 		}
-		t.Moves[adapter] = m
+		r.Moves[adapter] = m
 	}
-	if t.Phase != phase {
-		t.Phase, t.Since = phase, m.Since
+	if r.Phase != phase {
+		r.Phase, r.Since = phase, m.Since
 	}
-	return t
+	return r
 }
 
 // IsRunning reports whether the retirement is not yet complete.
-func (t Retirement) IsRunning() bool { return t.Phase != Retired }
+func (r Retirement) IsRunning() bool { return r.Phase != Retired }
 
 // IsPast reports whether the retirement can no longer be undone.
-func (t Retirement) IsPast() bool { return t.Phase == Dropping || t.Phase == Retired }
+func (r Retirement) IsPast() bool { return r.Phase == Dropping || r.Phase == Retired }
 
 // Retirements holds all retirements, including completed ones, by old base model.
 type Retirements map[string]Retirement
@@ -124,19 +124,19 @@
 }
 
 // Route returns the base model and the build that serve an adapter's requests at present.
-func (s Retirements) Route(a Adapter) (base, build string) {
+func (all Retirements) Route(a Adapter) (base, build string) {
 	base, build = a.Base, a.Builds[a.Base]
-	for range s { // follows each retirement at most once
-		t, ok := s[base]
-		if !ok || t.Phase == Undoing {
+	for range all { // follows each retirement at most once
+		r, ok := all[base]
+		if !ok || r.Phase == Undoing {
 			return base, build
 		}
-		m, switched := t.Moves[a.Name]
+		m, switched := r.Moves[a.Name]
 		switch {
 		case switched:
-			base, build = t.New, m.Build
-		case t.IsPast(): // adapter declared after the switch-over
-			base, build = t.New, a.Builds[t.New]
+			base, build = r.New, m.Build
+		case r.IsPast(): // adapter declared after the switch-over
+			base, build = r.New, a.Builds[r.New]
 		default:
 			return base, build
 		}
@@ -145,26 +145,26 @@
 }
 
 // IsOn reports whether an adapter is on a base model, or was until a retirement moved it.
-func (s Retirements) IsOn(a Adapter, base string) bool {
-	at := a.Base
-	for range len(s) + 1 {
-		if at == base {
+func (all Retirements) IsOn(a Adapter, base string) bool {
+	current := a.Base
+	for range len(all) + 1 {
+		if current == base {
 			return true
 		}
-		t, ok := s[at]
-		if !ok || t.Phase == Undoing {
+		r, ok := all[current]
+		if !ok || r.Phase == Undoing {
 			return false
 		}
-		at = t.New
+		current = r.New
 	}
 	return false
 }
 
 // Crossing returns a running retirement that has one of the bases as its old or new base.
-func (s Retirements) Crossing(bases ...string) (Retirement, bool) {
-	for _, old := range slices.Sorted(maps.Keys(s)) {
-		if t := s[old]; t.IsRunning() && (slices.Contains(bases, t.Old) || slices.Contains(bases, t.New)) {
-			return t, true
+func (all Retirements) Crossing(bases ...string) (Retirement, bool) {
+	for _, old := range slices.Sorted(maps.Keys(all)) {
+		if r := all[old]; r.IsRunning() && (slices.Contains(bases, r.Old) || slices.Contains(bases, r.New)) {
+			return r, true
 		}
 	}
 	return Retirement{}, false
@@ -199,33 +199,33 @@
 }
 
 // checkAdapters reports adapters without a base, and dangling references of adapters and to them.
-func (b *Config) checkAdapters() error {
-	reject := func(c apierror.Code, field, format string, args ...any) error {
-		f := apierror.New(c, format, args...)
-		f.Field = field
-		return f
+func (c *Config) checkAdapters() error {
+	reject := func(code apierror.Code, field, format string, args ...any) error {
+		rejection := apierror.New(code, format, args...)
+		rejection.Field = field
+		return rejection
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.Adapters)) {
-		a := b.Adapters[name]
+	for _, name := range slices.Sorted(maps.Keys(c.Adapters)) {
+		a := c.Adapters[name]
 		if a.Base == "" {
 			return reject(apierror.Missing, "adapters."+name+".base", "an adapter needs a base model")
 		}
 		for _, tenant := range a.Tenants {
-			if _, ok := b.Tenants[tenant]; !ok {
+			if _, ok := c.Tenants[tenant]; !ok {
 				return reject(apierror.Dangling, "adapters."+name+".tenants", "there is no tenant %q", tenant)
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.Paths)) {
-		p := b.Paths[name]
+	for _, name := range slices.Sorted(maps.Keys(c.Paths)) {
+		p := c.Paths[name]
 		if p.Adapter == "" {
 			continue
 		}
-		if _, ok := b.Adapters[p.Adapter]; !ok {
+		if _, ok := c.Adapters[p.Adapter]; !ok {
 			return reject(apierror.Dangling, "paths."+name+".adapter", "there is no adapter %q", p.Adapter)
 		}
 		for _, target := range p.Pools() {
-			if kind := b.Pools[target.Pool].Kind; kind != ModelPool {
+			if kind := c.Pools[target.Pool].Kind; kind != ModelPool {
 				return reject(apierror.Dangling, "paths."+name+".adapter", "pool %q has no model for an adapter", target.Pool)
 			}
 		}
@@ -235,13 +235,13 @@
 
 // KeepBases rejects a configuration that changes the base of an existing adapter or its build there: only a retirement may change what
 // serves requests on a base (docs/design.md §6.6).
-func (b *Config) KeepBases(before *Config) error {
-	for _, name := range slices.Sorted(maps.Keys(b.Adapters)) {
-		was, ok := before.Adapters[name]
-		if now := b.Adapters[name]; ok && (now.Base != was.Base || was.Builds[was.Base] != "" && now.Builds[was.Base] != was.Builds[was.Base]) {
-			f := apierror.New(apierror.Conflict, "adapter %q is on %s with build %q: a retirement moves it", name, was.Base, was.Builds[was.Base])
-			f.Field = "adapters." + name
-			return f
+func (c *Config) KeepBases(previous *Config) error {
+	for _, name := range slices.Sorted(maps.Keys(c.Adapters)) {
+		was, ok := previous.Adapters[name]
+		if now := c.Adapters[name]; ok && (now.Base != was.Base || was.Builds[was.Base] != "" && now.Builds[was.Base] != was.Builds[was.Base]) {
+			rejection := apierror.New(apierror.Conflict, "adapter %q is on %s with build %q: a retirement moves it", name, was.Base, was.Builds[was.Base])
+			rejection.Field = "adapters." + name
+			return rejection
 		}
 	}
 	return nil
@@ -255,36 +255,36 @@
 }
 
 // Key identifies the adapter and base among the placements of a replica.
-func (u Placement) Key() string { return u.Adapter + "@" + u.Base }
+func (p Placement) Key() string { return p.Adapter + "@" + p.Base }
 
 // Desired returns, by pool, the placements that the pool's replicas should have.
-func (b *Config) Desired(s Retirements) map[string][]Placement {
+func (c *Config) Desired(retirements Retirements) map[string][]Placement {
 	desired := map[string][]Placement{}
-	for _, name := range slices.Sorted(maps.Keys(b.Paths)) {
-		p := b.Paths[name]
-		a, ok := b.Adapters[p.Adapter]
+	for _, name := range slices.Sorted(maps.Keys(c.Paths)) {
+		p := c.Paths[name]
+		a, ok := c.Adapters[p.Adapter]
 		if !ok {
 			continue
 		}
 		var all []Placement
-		base, build := s.Route(a)
+		base, build := retirements.Route(a)
 		all = append(all, Placement{a.Name, base, build})
-		for _, t := range s {
-			if t.IsRunning() && t.Phase != Undoing && s.IsOn(a, t.Old) {
-				if base != t.New {
-					all = append(all, Placement{a.Name, t.New, a.Builds[t.New]})
-				} else if !t.IsPast() { // keep the previous placement so that the retirement can be undone
-					before := maps.Clone(s)
-					delete(before, t.Old)
+		for _, r := range retirements {
+			if r.IsRunning() && r.Phase != Undoing && retirements.IsOn(a, r.Old) {
+				if base != r.New {
+					all = append(all, Placement{a.Name, r.New, a.Builds[r.New]})
+				} else if !r.IsPast() { // keep the previous placement so that the retirement can be undone
+					before := maps.Clone(retirements)
+					delete(before, r.Old)
 					base, build := before.Route(a)
 					all = append(all, Placement{a.Name, base, build})
 				}
 			}
 		}
 		for _, target := range p.Pools() {
-			for _, u := range all {
-				if u.Build != "" && !slices.Contains(desired[target.Pool], u) {
-					desired[target.Pool] = append(desired[target.Pool], u)
+			for _, placement := range all {
+				if placement.Build != "" && !slices.Contains(desired[target.Pool], placement) {
+					desired[target.Pool] = append(desired[target.Pool], placement)
 				}
 			}
 		}
--- a/config/config.go
+++ b/config/config.go
@@ -127,31 +127,31 @@
 
 // FromFields decodes a configuration from the fields of its register. The error is apierror.Malformed if a field cannot be decoded.
 func FromFields(fields register.Fields) (*Config, error) {
-	b := Empty()
+	c := Empty()
 	for name, raw := range fields {
 		kind, rest, _ := strings.Cut(name, "/")
 		var err error
 		switch kind {
 		case "tenant":
-			err = load(b.Tenants, rest, raw)
+			err = load(c.Tenants, rest, raw)
 		case "pool":
-			err = load(b.Pools, rest, raw)
+			err = load(c.Pools, rest, raw)
 		case "path":
-			err = load(b.Paths, rest, raw)
+			err = load(c.Paths, rest, raw)
 		case "adapter":
-			err = load(b.Adapters, rest, raw)
+			err = load(c.Adapters, rest, raw)
 		case "hold":
-			err = json.Unmarshal(raw, &b.Throttle)
+			err = json.Unmarshal(raw, &c.Throttle)
 		case "limits":
-			err = json.Unmarshal(raw, &b.Limits)
+			err = json.Unmarshal(raw, &c.Limits)
 		case "open":
-			b.Open = true
+			c.Open = true
 		}
 		if err != nil {
 			return nil, apierror.Wrap(err, apierror.Malformed, "register field "+name)
 		}
 	}
-	return b, nil
+	return c, nil
 }
 
 // load decodes one item and stores it under its name.
@@ -165,55 +165,55 @@
 }
 
 // Inherit copies CreatedVersion for tenants that exist in base and sets it to version for new ones.
-func (b *Config) Inherit(base *Config, version uint64) {
-	for name, t := range b.Tenants {
+func (c *Config) Inherit(base *Config, version uint64) {
+	for name, t := range c.Tenants {
 		t.CreatedVersion = version
 		if before, ok := base.Tenants[name]; ok {
 			t.CreatedVersion = before.CreatedVersion
 		}
-		b.Tenants[name] = t
+		c.Tenants[name] = t
 	}
 }
 
 // Fields encodes the configuration as register fields.
-func (b *Config) Fields() register.Fields {
+func (c *Config) Fields() register.Fields {
 	fields := register.Fields{}
 	put := func(name string, item any) {
 		raw, _ := json.Marshal(item) // plain structs always encode
 		fields[name] = raw
 	}
-	for name, t := range b.Tenants {
+	for name, t := range c.Tenants {
 		put("tenant/"+name, t)
 	}
-	for name, p := range b.Pools {
+	for name, p := range c.Pools {
 		put("pool/"+name, p)
 	}
-	for name, p := range b.Paths {
+	for name, p := range c.Paths {
 		put("path/"+name, p)
 	}
-	for name, a := range b.Adapters {
+	for name, a := range c.Adapters {
 		put("adapter/"+name, a)
 	}
-	put("hold", b.Throttle)
-	if b.Limits != (Limits{}) {
-		put("limits", b.Limits)
+	put("hold", c.Throttle)
+	if c.Limits != (Limits{}) {
+		put("limits", c.Limits)
 	}
-	if b.Open {
+	if c.Open {
 		put("open", true)
 	}
 	return fields
 }
 
-// Delta returns the change that turns the fields of old into those of now. Deleted fields map to nil.
-func Delta(old, now register.Fields) register.Fields {
+// Delta returns the change that turns the fields of old into those of current. Deleted fields map to nil.
+func Delta(old, current register.Fields) register.Fields {
 	change := register.Fields{}
-	for name, raw := range now {
+	for name, raw := range current {
 		if string(old[name]) != string(raw) {
 			change[name] = raw
 		}
 	}
 	for name := range old {
-		if _, others := now[name]; !others {
+		if _, kept := current[name]; !kept {
 			change[name] = nil
 		}
 	}
@@ -222,29 +222,29 @@
 
 // Check reports dangling references, values out of range, and conflicts such as two paths that match the same requests or two tenants with
 // the same access key.
-func (b *Config) Check() error {
-	met := map[string]string{}
-	for _, name := range slices.Sorted(maps.Keys(b.Paths)) {
-		p := b.Paths[name]
-		reject := func(c apierror.Code, field, format string, args ...any) error {
-			f := apierror.New(c, format, args...)
-			f.Field = "paths." + name + "." + field
-			return f
+func (c *Config) Check() error {
+	pathsByMatch := map[string]string{}
+	for _, name := range slices.Sorted(maps.Keys(c.Paths)) {
+		p := c.Paths[name]
+		reject := func(code apierror.Code, field, format string, args ...any) error {
+			rejection := apierror.New(code, format, args...)
+			rejection.Field = "paths." + name + "." + field
+			return rejection
 		}
-		sum := 0
+		weightSum := 0
 		for _, target := range p.Pools() {
-			if _, ok := b.Pools[target.Pool]; !ok {
+			if _, ok := c.Pools[target.Pool]; !ok {
 				return reject(apierror.Dangling, "pool", "there is no pool %q", target.Pool)
 			}
-			if b.Pools[target.Pool].Kind == StorePool {
+			if c.Pools[target.Pool].Kind == StorePool {
 				return reject(apierror.Dangling, "pool", "pool %q is a store and serves no requests", target.Pool)
 			}
 			if target.Weight < 0 {
 				return reject(apierror.OutOfRange, "targets", "pool %q has a share below 0", target.Pool)
 			}
-			sum += target.Weight
+			weightSum += target.Weight
 		}
-		if sum == 0 {
+		if weightSum == 0 {
 			return reject(apierror.OutOfRange, "targets", "the shares sum to 0")
 		}
 		if p.DeadlineMs <= 0 {
@@ -253,22 +253,22 @@
 		if p.Address == "" {
 			return reject(apierror.Missing, "address", "a path needs an address")
 		}
-		at := p.Host + " " + p.Address + " " + p.Model
-		if other, taken := met[at]; taken {
+		match := p.Host + " " + p.Address + " " + p.Model
+		if other, taken := pathsByMatch[match]; taken {
 			return reject(apierror.RepeatField, "address", "path %q has the same host, address and model", other)
 		}
-		met[at] = name
+		pathsByMatch[match] = name
 	}
 	owners := map[string]string{}
-	for _, name := range slices.Sorted(maps.Keys(b.Tenants)) {
-		for _, key := range b.Tenants[name].Keys {
+	for _, name := range slices.Sorted(maps.Keys(c.Tenants)) {
+		for _, key := range c.Tenants[name].Keys {
 			if other, taken := owners[key]; taken && other != name {
-				f := apierror.New(apierror.RepeatField, "tenant %q has the same key", other)
-				f.Field = "tenants." + name + ".keys"
-				return f
+				rejection := apierror.New(apierror.RepeatField, "tenant %q has the same key", other)
+				rejection.Field = "tenants." + name + ".keys"
+				return rejection
 			}
 			owners[key] = name
 		}
 	}
-	return b.checkAdapters()
+	return c.checkAdapters()
 }
--- a/config/numbered.go
+++ b/config/numbered.go
@@ -26,10 +26,10 @@
 // textPrefix is the prefix of the fields that hold the original texts of items.
 const textPrefix = "text/"
 
-// text is the stored original text of an item with its position in the list.
-type text struct {
-	Place int             `json:"place"`
-	Text  json.RawMessage `json:"text"`
+// storedText is the stored original text of an item with its position in the list.
+type storedText struct {
+	Position int             `json:"place"`
+	Text     json.RawMessage `json:"text"`
 }
 
 // IsText reports whether a field is control-plane bookkeeping (original texts, accepted numbers, idempotency keys), which the data plane does
@@ -54,18 +54,18 @@
 func Texts(fields register.Fields) (all []Text) {
 	places := map[string]int{}
 	for field, raw := range fields {
-		name, operatorText := strings.CutPrefix(field, textPrefix)
-		var t text
-		if !operatorText || json.Unmarshal(raw, &t) != nil {
+		name, isText := strings.CutPrefix(field, textPrefix)
+		var t storedText
+		if !isText || json.Unmarshal(raw, &t) != nil {
 			continue
 		}
 		kind, rest, _ := strings.Cut(name, "/")
-		places[name] = t.Place
+		places[name] = t.Position
 		all = append(all, Text{kind, rest, t.Text})
 	}
 	slices.SortFunc(all, func(a, b Text) int {
-		if by := strings.Compare(a.Kind, b.Kind); by != 0 {
-			return by
+		if order := strings.Compare(a.Kind, b.Kind); order != 0 {
+			return order
 		}
 		if by := places[a.Kind+"/"+a.Name] - places[b.Kind+"/"+b.Name]; by != 0 {
 			return by
@@ -77,7 +77,7 @@
 
 // check reports whether exactly this declaration was accepted before. For a declaration that cannot be applied, the error is
 // apierror.Undecided, Conflict or OutOfRange.
-func (a acceptedHistory) check(d NumberedConfig) (before bool, err error) {
+func (a acceptedHistory) check(d NumberedConfig) (alreadyAccepted bool, err error) {
 	switch {
 	case d.BasedOn != a.Number && a.has(d):
 		return true, nil
@@ -94,59 +94,59 @@
 // ApplyNumbered returns the register change for a declaration, or no change if exactly this declaration was accepted before. Numbers only
 // increase, so a declaration based on the current number is new. Any other one without a record was never accepted, unless its record may
 // have been dropped from the history: then the error is apierror.Undecided.
-func ApplyNumbered(now register.Fields, version uint64, d NumberedConfig) (register.Fields, error) {
-	was, err := readAccepted(now)
+func ApplyNumbered(current register.Fields, version uint64, d NumberedConfig) (register.Fields, error) {
+	history, err := readAccepted(current)
 	if err != nil {
 		return nil, err
 	}
-	if before, err := was.check(d); before || err != nil {
+	if alreadyAccepted, err := history.check(d); alreadyAccepted || err != nil {
 		return nil, err
 	}
-	made := register.Fields{}
-	next := 0
-	for field, raw := range now {
+	result := register.Fields{}
+	nextPosition := 0
+	for field, raw := range current {
 		if strings.HasPrefix(field, acceptedPrefix) {
 			continue
 		}
 		if !d.Full || field == "hold" || idempotency.IsField(field) {
-			made[field] = raw
+			result[field] = raw
 		}
-		var t text
+		var t storedText
 		if !d.Full && strings.HasPrefix(field, textPrefix) && json.Unmarshal(raw, &t) == nil {
-			next = max(next, t.Place+1)
+			nextPosition = max(nextPosition, t.Position+1)
 		}
 	}
 	for _, name := range d.Removed {
-		delete(made, name)
-		delete(made, textPrefix+name)
+		delete(result, name)
+		delete(result, textPrefix+name)
 	}
-	made.Apply(d.Items)
+	result.Apply(d.Items)
 	for i, name := range d.Order {
-		t := text{Place: next + i, Text: d.Texts[name]}
-		var before text
-		if json.Unmarshal(made[textPrefix+name], &before) == nil {
-			t.Place = before.Place
+		t := storedText{Position: nextPosition + i, Text: d.Texts[name]}
+		var previous storedText
+		if json.Unmarshal(result[textPrefix+name], &previous) == nil {
+			t.Position = previous.Position
 		}
-		made[textPrefix+name], _ = json.Marshal(t) // valid JSON input always encodes
+		result[textPrefix+name], _ = json.Marshal(t) // valid JSON input always encodes
 	}
-	was.Number = d.Number
-	was.record(acceptedRecord{d.Number, d.fingerprint()})
-	made[numberField], _ = json.Marshal(was.numbering) // a plain struct always encodes
-	made.Apply(was.fields)
-	b, err := FromFields(made)
+	history.Number = d.Number
+	history.record(acceptedRecord{d.Number, d.fingerprint()})
+	result[numberField], _ = json.Marshal(history.numbering) // a plain struct always encodes
+	result.Apply(history.fields)
+	config, err := FromFields(result)
 	if err == nil {
-		err = b.Check()
+		err = config.Check()
 	}
 	if err != nil {
 		return nil, err
 	}
-	base, err := FromFields(now)
+	base, err := FromFields(current)
 	if err != nil {
 		return nil, err
 	}
-	b.Inherit(base, version+1)
-	b.Open = len(b.Tenants) == 0
-	delete(made, "open")
-	made.Apply(b.Fields())
-	return Delta(now, made), nil
+	config.Inherit(base, version+1)
+	config.Open = len(config.Tenants) == 0
+	delete(result, "open")
+	result.Apply(config.Fields())
+	return Delta(current, result), nil
 }
--- a/config/parse.go
+++ b/config/parse.go
@@ -16,59 +16,59 @@
 	if err != nil {
 		return nil, err
 	}
-	b := Empty()
+	config := Empty()
 	if partial {
 		for name, t := range base.Tenants {
-			b.Tenants[name] = t
+			config.Tenants[name] = t
 		}
 		for name, p := range base.Pools {
-			b.Pools[name] = p
+			config.Pools[name] = p
 		}
 		for name, p := range base.Paths {
-			b.Paths[name] = p
+			config.Paths[name] = p
 		}
-		maps.Copy(b.Adapters, base.Adapters)
-		b.Throttle, b.Limits = base.Throttle, base.Limits
+		maps.Copy(config.Adapters, base.Adapters)
+		config.Throttle, config.Limits = base.Throttle, base.Limits
 	}
 	err = doc.Object(func(name string, v Value) error {
 		switch name {
 		case "tenants":
-			return items(v, b.Tenants, Tenant{Weight: 1, Backlog: 256, Scope: "tenant"}, readTenant)
+			return items(v, config.Tenants, Tenant{Weight: 1, Backlog: 256, Scope: "tenant"}, readTenant)
 		case "pools":
-			return items(v, b.Pools, Pool{Kind: "model"}, readPool)
+			return items(v, config.Pools, Pool{Kind: "model"}, readPool)
 		case "paths":
-			return items(v, b.Paths, Path{DeadlineMs: 30000, MaxBody: 1 << 20, Cost: 1}, readPath)
+			return items(v, config.Paths, Path{DeadlineMs: 30000, MaxBody: 1 << 20, Cost: 1}, readPath)
 		case "adapters":
-			return items(v, b.Adapters, Adapter{}, readAdapter)
+			return items(v, config.Adapters, Adapter{}, readAdapter)
 		case "hold":
-			return readThrottle(v, &b.Throttle)
+			return readThrottle(v, &config.Throttle)
 		case "limits":
-			return readLimits(v, &b.Limits)
+			return readLimits(v, &config.Limits)
 		case "remove":
 			if partial {
-				return remove(v, b)
+				return remove(v, config)
 			}
 		}
 		return v.Reject(apierror.UnknownField, "not a field of a configuration")
 	})
 	if err == nil {
-		err = b.Check()
+		err = config.Check()
 	}
 	if err != nil {
 		return nil, apierror.Wrap(err, apierror.Malformed, "configuration")
 	}
-	return b, nil
+	return config, nil
 }
 
 // items reads a list of named items. It updates existing items field by field and starts new ones from the given defaults.
-func items[T any](v Value, into map[string]T, fresh T, read func(item *T, name string, field Value) error) error {
-	met := map[string]bool{}
+func items[T any](v Value, into map[string]T, defaults T, read func(item *T, name string, field Value) error) error {
+	seen := map[string]bool{}
 	return v.List(func(entry Value) error {
 		name := ""
 		err := entry.Object(func(field string, v Value) (err error) {
 			if field == "name" {
 				name, err = v.Name()
-				if err == nil && met[name] {
+				if err == nil && seen[name] {
 					err = v.Reject(apierror.RepeatField, "%q stands twice in the list", name)
 				}
 			}
@@ -80,10 +80,10 @@
 		if name == "" {
 			return entry.Reject(apierror.Missing, "needs a name")
 		}
-		met[name] = true
+		seen[name] = true
 		item, ok := into[name]
 		if !ok {
-			item = fresh
+			item = defaults
 		}
 		if err := entry.Object(func(field string, v Value) error { return read(&item, field, v) }); err != nil {
 			return err
@@ -94,7 +94,7 @@
 }
 
 // remove reads lists of names by kind and deletes these items.
-func remove(v Value, b *Config) error {
+func remove(v Value, config *Config) error {
 	return v.Object(func(kind string, list Value) error {
 		return list.List(func(item Value) error {
 			name, err := item.Name()
@@ -104,17 +104,17 @@
 			ok := false
 			switch kind {
 			case "tenants":
-				_, ok = b.Tenants[name]
-				delete(b.Tenants, name)
+				_, ok = config.Tenants[name]
+				delete(config.Tenants, name)
 			case "pools":
-				_, ok = b.Pools[name]
-				delete(b.Pools, name)
+				_, ok = config.Pools[name]
+				delete(config.Pools, name)
 			case "paths":
-				_, ok = b.Paths[name]
-				delete(b.Paths, name)
+				_, ok = config.Paths[name]
+				delete(config.Paths, name)
 			case "adapters":
-				_, ok = b.Adapters[name]
-				delete(b.Adapters, name)
+				_, ok = config.Adapters[name]
+				delete(config.Adapters, name)
 			default:
 				return list.Reject(apierror.UnknownField, "nothing of this kind can be removed")
 			}
@@ -128,21 +128,21 @@
 
 // set assigns the result of read unless it fails.
 func set[T any](into *T, read func() (T, error)) error {
-	got, err := read()
+	value, err := read()
 	if err == nil {
-		*into = got
+		*into = value
 	}
 	return err
 }
 
-// between returns a reader of an integer within a range.
-func between(v Value, least, most int) func() (int, error) {
+// integerBetween returns a reader of an integer within a range.
+func integerBetween(v Value, least, most int) func() (int, error) {
 	return func() (int, error) { return v.Integer(least, most) }
 }
 
 // oneOf returns a reader of one of the given strings.
-func oneOf(v Value, words ...string) func() (string, error) {
-	return func() (string, error) { return v.OneOf(words...) }
+func oneOf(v Value, allowed ...string) func() (string, error) {
+	return func() (string, error) { return v.OneOf(allowed...) }
 }
 
 // readTenant reads one field of a tenant.
@@ -153,14 +153,14 @@
 	case "walled":
 		return set(&t.Isolated, v.Flag)
 	case "weight":
-		return set(&t.Weight, between(v, 1, 100))
+		return set(&t.Weight, integerBetween(v, 1, 100))
 	case "backlog":
-		return set(&t.Backlog, between(v, 0, 100000))
+		return set(&t.Backlog, integerBetween(v, 0, 100000))
 	case "scope":
 		return set(&t.Scope, oneOf(v, "tenant", "pool"))
 	case "urgency":
 		t.Urgency = new(int)
-		return set(t.Urgency, between(v, 0, 9))
+		return set(t.Urgency, integerBetween(v, 0, 9))
 	}
 	return v.Reject(apierror.UnknownField, "not a field of a tenant")
 }
@@ -182,7 +182,7 @@
 			return err
 		})
 	case "max_conns":
-		return set(&p.MaxConns, between(v, 0, 1000000))
+		return set(&p.MaxConns, integerBetween(v, 0, 1000000))
 	}
 	return v.Reject(apierror.UnknownField, "not a field of a pool")
 }
@@ -207,11 +207,11 @@
 	case "repeatable":
 		return set(&p.Idempotent, v.Flag)
 	case "deadline_ms":
-		return set(&p.DeadlineMs, between(v, 100, 600000))
+		return set(&p.DeadlineMs, integerBetween(v, 100, 600000))
 	case "max_body":
-		return set(&p.MaxBody, between(v, 0, 16<<20))
+		return set(&p.MaxBody, integerBetween(v, 0, 16<<20))
 	case "cost":
-		return set(&p.Cost, between(v, 1, 1000))
+		return set(&p.Cost, integerBetween(v, 1, 1000))
 	case "host":
 		return set(&p.Host, v.Text)
 	case "targets":
@@ -223,7 +223,7 @@
 				case "pool":
 					return set(&t.Pool, v.Name)
 				case "share":
-					return set(&t.Weight, between(v, 0, 1000000))
+					return set(&t.Weight, integerBetween(v, 0, 1000000))
 				}
 				return v.Reject(apierror.UnknownField, "not a field of a target")
 			})
@@ -231,13 +231,13 @@
 			return err
 		})
 	case "tries":
-		return set(&p.Tries, between(v, 0, 100))
+		return set(&p.Tries, integerBetween(v, 0, 100))
 	case "aim_ms":
-		return set(&p.LatencyTargetMs, between(v, 0, 600000))
+		return set(&p.LatencyTargetMs, integerBetween(v, 0, 600000))
 	case "gap_ms":
-		return set(&p.GapMs, between(v, 0, 600000))
+		return set(&p.GapMs, integerBetween(v, 0, 600000))
 	case "urgency":
-		return set(&p.Urgency, between(v, 0, 9))
+		return set(&p.Urgency, integerBetween(v, 0, 9))
 	case "resumable":
 		return set(&p.Resumable, v.Flag)
 	case "public":
@@ -249,19 +249,19 @@
 }
 
 // readThrottle reads the throttle rule.
-func readThrottle(v Value, h *ThrottleRule) error {
+func readThrottle(v Value, rule *ThrottleRule) error {
 	return v.Object(func(field string, v Value) error {
 		switch field {
 		case "base_ms":
-			return set(&h.BaseMs, between(v, 1, 60000))
+			return set(&rule.BaseMs, integerBetween(v, 1, 60000))
 		case "cap_ms":
-			return set(&h.CapMs, between(v, 1, 600000))
+			return set(&rule.CapMs, integerBetween(v, 1, 600000))
 		case "jitter":
-			return set(&h.Jitter, func() (float64, error) { return v.Figure(0, 1) })
+			return set(&rule.Jitter, func() (float64, error) { return v.Figure(0, 1) })
 		case "observe":
-			return set(&h.Observe, v.Flag)
+			return set(&rule.Observe, v.Flag)
 		case "slow_ratio":
-			return set(&h.SlowRatio, func() (float64, error) { return v.Figure(1.5, 100) })
+			return set(&rule.SlowRatio, func() (float64, error) { return v.Figure(1.5, 100) })
 		}
 		return v.Reject(apierror.UnknownField, "not a field of the hold")
 	})
@@ -272,13 +272,13 @@
 	return v.Object(func(field string, v Value) error {
 		switch field {
 		case "header_bytes":
-			return set(&l.HeaderBytes, between(v, 0, 1<<20))
+			return set(&l.HeaderBytes, integerBetween(v, 0, 1<<20))
 		case "body_bytes":
-			return set(&l.BodyBytes, between(v, 0, 16<<20))
+			return set(&l.BodyBytes, integerBetween(v, 0, 16<<20))
 		case "header_ms":
-			return set(&l.HeaderMs, between(v, 0, 600000))
+			return set(&l.HeaderMs, integerBetween(v, 0, 600000))
 		case "idle_ms":
-			return set(&l.IdleMs, between(v, 0, 3600000))
+			return set(&l.IdleMs, integerBetween(v, 0, 3600000))
 		}
 		return v.Reject(apierror.UnknownField, "not a field of the limits")
 	})
--- a/config/registers.go
+++ b/config/registers.go
@@ -126,7 +126,7 @@
 				case "state":
 					return set(&r.State, oneOf(v, ReplicaPresent, ReplicaDraining, ReplicaWarming, ReplicaGone))
 				case "limit":
-					return set(&r.Limit, between(v, 1, 10000))
+					return set(&r.Limit, integerBetween(v, 1, 10000))
 				}
 				return v.Reject(apierror.UnknownField, "not a field of a replica")
 			})
