--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -13,12 +13,12 @@
 	"asterridge/register"
 )
 
-// small is a declaration of one path, built on the number before.
+// small returns a declaration with one path, based on the preceding number.
 func small(number uint64) NumberedConfig {
 	return declaration(number, number-1, number == 1, "pool/p", fmt.Sprint("path/", number%7))
 }
 
-// take declares the numbers up to one, and gives the weight of the heaviest change and of all together.
+// takeUpTo declares all numbers up to last. It returns the history bytes of the largest change and of all changes together.
 func (r *declared) takeUpTo(is *is.I, last uint64) (heaviest, sum int) {
 	is.Helper()
 	for n := r.number() + 1; n <= last; n++ {
@@ -30,7 +30,7 @@
 	return heaviest, sum
 }
 
-// weighMemory gives the bytes that numbers take in a change or a content.
+// weighMemory returns the bytes that the history takes up in a change or in a register's fields.
 func weighMemory(fields register.Fields) (sum int) {
 	for field, raw := range fields {
 		if field == "number" || strings.HasPrefix(field, acceptedPrefix) {
@@ -40,7 +40,8 @@
 	return sum
 }
 
-// What was accepted is accepted again without a change, however many changes came after it; another one under its number never is.
+// A repeated declaration must be answered as accepted without a change, however many came after it, and a different declaration under its
+// number must be rejected. Otherwise an operator that retries gets a wrong answer.
 func TestAcceptedDeclarationIsNeverRefused(t *testing.T) {
 	is := is.New(t)
 	r := &declared{fields: register.Fields{}}
@@ -50,10 +51,10 @@
 		change, err := r.take(small(n))
 		is.NoErr(err)
 		is.Equal(len(change), 0)
-		_, err = r.take(declaration(n, n-1, n == 1, "pool/p", "path/other")) // the same number, something else
+		_, err = r.take(declaration(n, n-1, n == 1, "pool/p", "path/other")) // same number, different text
 		is.True(apierror.Is(err, apierror.Conflict))
 		otherKind := small(n)
-		otherKind.Full = !otherKind.Full // the same text as the other kind of change
+		otherKind.Full = !otherKind.Full // same text, but full and partial swapped
 		_, err = r.take(otherKind)
 		is.True(apierror.Is(err, apierror.Conflict))
 	}
@@ -61,7 +62,7 @@
 	is.Equal(r.version, version)
 }
 
-// Where the memory ends there is no verdict; the memory's size and what a change writes to it are bounded.
+// The history's size and the bytes that a change writes to it are bounded. A number whose record was dropped is answered with Undecided.
 func TestMemoryOfNumbersIsBounded(t *testing.T) {
 	is := is.New(t)
 	r := &declared{fields: register.Fields{}}
@@ -71,7 +72,7 @@
 	heaviest, _ := r.takeUpTo(is, room)
 	size := weighMemory(r.fields)
 	more, sum := r.takeUpTo(is, room+3*segmentSize+10)
-	t.Logf("bytes of memory written per change: mean %d of the first 640, %d of the last %d, at most %d; memory's size %d bytes for %d numbers",
+	t.Logf("history bytes written per change: mean %d of the first 640, %d of the last %d, at most %d; history size %d bytes for %d numbers",
 		first/640, sum/(3*segmentSize+10), 3*segmentSize+10, max(heaviest, more), size, room)
 	is.True(sum/(3*segmentSize+10) <= 200)
 	is.True(max(heaviest, more) <= 5000)
@@ -90,17 +91,17 @@
 			is.NoErr(err)
 		}
 	}
-	_, err := r.take(declaration(forgotten, forgotten-2, false, "pool/p")) // it may be that it was accepted
+	_, err := r.take(declaration(forgotten, forgotten-2, false, "pool/p")) // may have been accepted
 	is.True(apierror.Is(err, apierror.Undecided))
-	_, err = r.take(declaration(forgotten+1, forgotten-1, false, "pool/p")) // it was not: another one has that number
+	_, err = r.take(declaration(forgotten+1, forgotten-1, false, "pool/p")) // was not accepted: a different one has that number
 	is.True(apierror.Is(err, apierror.Conflict))
-	_, err = r.take(declaration(forgotten, forgotten, false, "pool/p")) // it never could be
+	_, err = r.take(declaration(forgotten, forgotten, false, "pool/p")) // could never have been accepted
 	is.True(apierror.Is(err, apierror.Conflict))
-	_, err = r.take(declaration(room+3*segmentSize+11, forgotten, false, "pool/p")) // its number is above all that were accepted
+	_, err = r.take(declaration(room+3*segmentSize+11, forgotten, false, "pool/p")) // its number is above all accepted ones
 	is.True(apierror.Is(err, apierror.Conflict))
 }
 
-// A state that was written in the former format, with the last 64 digests in one field, is read, and goes over with the next change.
+// The former storage format, with the last 64 digests in one field, must still be readable, and the next change must convert it.
 func TestNumbersOfTheFormerFormatAreRead(t *testing.T) {
 	for _, count := range []int{1, 63, 64} {
 		is := is.New(t)
@@ -118,7 +119,7 @@
 		}
 		r.fields["number"] = json.RawMessage(fmt.Sprintf(`{"number":%d,"digests":[%s]}`, last, strings.Join(digests, ",")))
 		is.Equal(r.number(), last)
-		for next := last + 1; next < last+3; next++ { // before the first change in the new format, and after it
+		for next := last + 1; next < last+3; next++ { // before and after the first change in the new format
 			for n := uint64(1); n < next; n++ {
 				change, err := r.take(small(n))
 				is.Equal(len(change), 0)
@@ -126,9 +127,9 @@
 				case n > last-uint64(count):
 					is.NoErr(err)
 				case count == maxFormerDigests:
-					is.True(apierror.Is(err, apierror.Undecided)) // more may have been accepted than were remembered
+					is.True(apierror.Is(err, apierror.Undecided)) // older ones may have been accepted and dropped
 				default:
-					is.True(apierror.Is(err, apierror.Conflict)) // as many as there were are all that there ever were
+					is.True(apierror.Is(err, apierror.Conflict)) // the list was not full, so it is complete
 				}
 			}
 			_, err := r.take(small(next))
@@ -138,8 +139,8 @@
 	}
 }
 
-// Operators who race, repeat, reorder and come late: each declaration is accepted once at most, its repetitions are answered as it was, and a
-// refused one is never in force.
+// With concurrent operators that retry, reorder and use stale numbers, each declaration is accepted at most once, repetitions get the first
+// answer, and a rejected declaration never takes effect.
 func TestRandomOperatorsGetOneVerdictEach(t *testing.T) {
 	for seed := range uint64(3000) {
 		is := is.New(t)
@@ -151,7 +152,7 @@
 		verdicts := map[string]string{}
 		contents := map[uint64]string{1: declaration(1, 0, true, "pool/p").Digest}
 		operators := 2 + random.IntN(7)
-		known := make([]uint64, operators) // the number that each operator last read
+		known := make([]uint64, operators) // number that each operator last read
 		for range 40 {
 			operator := random.IntN(operators)
 			var d NumberedConfig
@@ -174,7 +175,7 @@
 			case err != nil:
 				t.Fatalf("seed %d: %v", seed, err)
 			case len(change) > 0:
-				is.Equal(contents[d.Number], "") // one content a number
+				is.Equal(contents[d.Number], "") // at most one content per number
 				contents[d.Number] = d.Digest
 			default:
 				is.Equal(contents[d.Number], d.Digest)
--- a/config/adapter_test.go
+++ b/config/adapter_test.go
@@ -27,7 +27,7 @@
 		`{"adapters":[{"name":"c","base":"m1","tenants":["nobody"]}]}`:        apierror.Dangling,
 		`{"paths":[{"name":"z","address":"/z","pool":"p","adapter":"none"}]}`: apierror.Dangling,
 		`{"paths":[{"name":"z","address":"/z","pool":"web","adapter":"a"}]}`:  apierror.Dangling,
-		`{"remove":{"adapters":["a"]}}`:                                       apierror.Dangling, // path x asks for it
+		`{"remove":{"adapters":["a"]}}`:                                       apierror.Dangling, // path x refers to it
 		`{"remove":{"adapters":["none"]}}`:                                    apierror.Dangling,
 		`{"adapters":[{"name":"c","base":"m1","base":"m2"}]}`:                 apierror.RepeatField,
 	} {
@@ -39,7 +39,7 @@
 	more, err := Parse([]byte(`{"adapters":[{"name":"a","builds":{"m4":"a4"}}]}`), present, true)
 	is.NoErr(err)
 	is.Equal(more.Adapters["a"].Builds, map[string]string{"m1": "a1", "m2": "a2", "m3": "a3", "m4": "a4"})
-	is.Equal(len(present.Adapters["a"].Builds), 3) // the present one is not touched
+	is.Equal(len(present.Adapters["a"].Builds), 3) // the base configuration is not modified
 	is.NoErr(more.KeepBases(present))
 	for _, text := range []string{`{"adapters":[{"name":"a","base":"m2"}]}`, `{"adapters":[{"name":"a","builds":{"m1":"a9"}}]}`} {
 		moved, err := Parse([]byte(text), present, true)
@@ -48,7 +48,7 @@
 	}
 }
 
-// A route follows the retirements that have led its adapter on, and those alone.
+// A route must follow exactly those retirements that have moved its adapter; otherwise requests reach a base model without its build.
 func TestRoutesFollowRetirements(t *testing.T) {
 	is := is.New(t)
 	plan, err := Parse([]byte(withAdapters), nil, false)
@@ -62,16 +62,16 @@
 	is.True(!all.IsOn(b, "m1"))
 	is.Equal(plan.Desired(all)["p"], []Placement{{"a", "m1", "a1"}, {"a", "m2", "a2"}, {"b", "m2", "b2"}})
 	switched := all["m1"].With(Moving, "a", Move{Phase: Switched, Build: "a2"})
-	is.Equal(len(all["m1"].Moves), 0) // what was there is not touched
+	is.Equal(len(all["m1"].Moves), 0) // the original is not modified
 	all["m1"] = switched
 	is.Equal(on(a), "m2 a2")
-	is.Equal(plan.Desired(all)["p"], []Placement{{"a", "m2", "a2"}, {"a", "m1", "a1"}, {"b", "m2", "b2"}}) // the way back stays open
+	is.Equal(plan.Desired(all)["p"], []Placement{{"a", "m2", "a2"}, {"a", "m1", "a1"}, {"b", "m2", "b2"}}) // kept so that the retirement can be undone
 	all["m1"] = switched.With(Undoing, "", Move{})
 	is.Equal(on(a), "m1 a1")
 	is.Equal(plan.Desired(all)["p"], []Placement{{"a", "m1", "a1"}, {"b", "m2", "b2"}})
 	all["m1"] = switched.With(Dropping, "", Move{})
 	is.Equal(plan.Desired(all)["p"], []Placement{{"a", "m2", "a2"}, {"b", "m2", "b2"}})
-	is.Equal(on(Adapter{Name: "new", Base: "m1", Builds: map[string]string{"m1": "n1", "m2": "n2"}}), "m2 n2") // declared since
+	is.Equal(on(Adapter{Name: "new", Base: "m1", Builds: map[string]string{"m1": "n1", "m2": "n2"}}), "m2 n2") // declared after the switch-over
 	all["m1"] = switched.With(Retired, "", Move{})
 	all["m2"] = Retirement{Old: "m2", New: "m3", Phase: Moving}
 	is.Equal(on(a), "m2 a2")
@@ -84,6 +84,6 @@
 		_, crossed := all.Crossing(crossing)
 		is.True(crossed)
 	}
-	_, isCrossed := all.Crossing("m1", "m9") // m1's is done
+	_, isCrossed := all.Crossing("m1", "m9") // the retirement of m1 is complete
 	is.True(!isCrossed)
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -12,7 +12,7 @@
 
 const base = `{"tenants":[{"name":"a","weight":3}],"pools":[{"name":"p","weights":"w1"}],"paths":[{"name":"x","address":"/v1/x","pool":"p","cost":4}]}`
 
-// Each bad text is rejected whole, with its code, the field's path and its byte.
+// Each invalid text is rejected as a whole, with the error code, the path of the field and its byte position.
 func TestGoldenOfRejectedConfigs(t *testing.T) {
 	present, err := Parse([]byte(base), nil, false)
 	is.New(t).NoErr(err)
@@ -42,11 +42,11 @@
 	is.Equal(merged.Tenants["a"], Tenant{Name: "a", Isolated: true, Weight: 3, Backlog: 256, Scope: "tenant"})
 	is.Equal(merged.Throttle.CapMs, 64000)
 	is.True(merged.Throttle.Observe)
-	is.Equal(len(present.Tenants), 1) // the present one is not touched
+	is.Equal(len(present.Tenants), 1) // the base configuration is not modified
 	again, err := FromFields(merged.Fields())
 	is.NoErr(err)
 	is.Equal(again, merged)
-	is.Equal(len(Delta(present.Fields(), merged.Fields())), 3) // a, b and the hold: nothing else travels
+	is.Equal(len(Delta(present.Fields(), merged.Fields())), 3) // only tenants a and b and the throttle rule
 	replaced, err := Parse([]byte(`{"tenants":[{"name":"c"}]}`), present, false)
 	is.NoErr(err)
 	is.Equal(len(replaced.Tenants)+len(replaced.Pools)+len(replaced.Paths), 1)
@@ -64,7 +64,7 @@
 		}
 		again, err := FromFields(b.Fields())
 		if err != nil || again.Check() != nil {
-			t.Errorf("an accepted configuration does not come back: %v", err)
+			t.Errorf("an accepted configuration does not survive encoding and decoding: %v", err)
 		}
 	})
 }
--- a/config/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -7,7 +7,7 @@
 	"asterridge/register"
 )
 
-// Whatever declaration a message brings: if it is taken, the result is a configuration, under its number, and the same again changes nothing.
+// Any declaration that is accepted must result in a readable configuration with its number, and repeating it must change nothing.
 func FuzzDeclare(f *testing.F) {
 	for _, d := range []NumberedConfig{declaration(1, 0, true, "a"), declaration(2, 1, false, "b"), {Number: 9, Removed: []string{"path/a"}}} {
 		raw, _ := json.Marshal(d)
@@ -25,14 +25,14 @@
 		}
 		now.Apply(change)
 		if _, err := FromFields(now); err != nil {
-			t.Errorf("what was taken is no configuration: %v", err)
+			t.Errorf("accepted declaration does not decode as a configuration: %v", err)
 		}
 		if number, err := Number(now); err != nil || number != d.Number {
-			t.Errorf("number %d is there as %d, %v", d.Number, number, err)
+			t.Errorf("declared number %d, stored number %d, error %v", d.Number, number, err)
 		}
 		Texts(now)
 		if again, err := ApplyNumbered(now, 1, d); err != nil || len(again) > 0 {
-			t.Errorf("the same again: %v, %v", again, err)
+			t.Errorf("repeated declaration: change %v, error %v", again, err)
 		}
 	})
 }
--- a/config/numbered_test.go
+++ b/config/numbered_test.go
@@ -13,13 +13,13 @@
 	"asterridge/register"
 )
 
-// declared is a register that configurations are declared to.
+// declared is a test register that numbered configurations are applied to.
 type declared struct {
 	fields  register.Fields
 	version uint64
 }
 
-// number is the present number; one that cannot be read ends the test.
+// number returns the current number. It panics if the number cannot be read.
 func (r *declared) number() uint64 {
 	number, err := Number(r.fields)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return change, err
 }
 
-// texts lists what was written, one a line.
+// texts lists the original texts, one per line.
 func (r *declared) texts() string {
 	var out strings.Builder
 	for _, t := range Texts(r.fields) {
@@ -53,7 +53,7 @@
 	return b
 }
 
-// declaration makes one of tenants, pools and paths by name, each written as its name and the number.
+// declaration returns a declaration of the named items; the text of each consists of its name and the number.
 func declaration(number, basedOn uint64, full bool, names ...string) NumberedConfig {
 	b := Empty()
 	d := NumberedConfig{Number: number, BasedOn: basedOn, Full: full, Digest: fmt.Sprint(number, names), Texts: register.Fields{}}
@@ -77,8 +77,8 @@
 	return d
 }
 
-// A whole configuration takes the place of all before it, an amendment changes what it names; texts come back as they were written
-// but for blanks between the words, in the order of the first writing.
+// A full declaration replaces everything and a partial one changes only the items that it names. Texts are returned as written, except for
+// white space between tokens, in the order of first declaration.
 func TestFullAndAmendingDeclarations(t *testing.T) {
 	is := is.New(t)
 	r := &declared{fields: register.Fields{}}
@@ -107,7 +107,7 @@
 `)
 	b := r.config(is)
 	is.Equal([]int{len(b.Paths), len(b.Pools), len(b.Tenants), b.Limits.BodyBytes}, []int{3, 1, 1, 3})
-	again := declaration(11, 10, false, "path/c", "path/m") // one that was removed comes back behind the others
+	again := declaration(11, 10, false, "path/c", "path/m") // a removed item that is declared again comes last
 	_, err = r.take(again)
 	is.NoErr(err)
 	is.True(strings.Contains(r.texts(), "path z {\"z\":[1.50,{}],\"label\":\"z\",\"at\":3}\npath a {\"z\":[1.50,{}],\"label\":\"a\",\"at\":10}\npath b {\"z\":[1.50,{}],\"label\":\"b\",\"at\":10}\npath c {\"z\":[1.50,{}],\"label\":\"c\",\"at\":11}\npath m"))
@@ -118,7 +118,7 @@
 	is.Equal([]int{len(b.Paths), len(b.Pools), len(b.Tenants), b.Limits.BodyBytes}, []int{0, 1, 0, 0})
 }
 
-// Only what was declared travels to the data plane; the rest is the cores' alone.
+// Only declared items are sent to the data plane; original texts and numbers stay in the cores.
 func TestTextsAndNumbersAreTheCoresOwn(t *testing.T) {
 	is := is.New(t)
 	r := &declared{fields: register.Fields{}}
@@ -134,7 +134,7 @@
 	is.Equal(open, []string{"hold", "limits", "path/a", "pool/p", "tenant/t"})
 }
 
-// A change has just what differs; the settings of the waiting rule stay through a whole configuration.
+// A change contains only the fields that differ, and a full declaration keeps the throttle rule.
 func TestDeclarationChangesOnlyWhatDiffers(t *testing.T) {
 	is := is.New(t)
 	r := &declared{fields: Field("hold", ThrottleRule{BaseMs: 7, CapMs: 8, Jitter: 1, SlowRatio: 3}), version: 4}
@@ -154,10 +154,10 @@
 	is.Equal(r.config(is).Throttle.BaseMs, 7)
 	is.True(register.IsDeleted(change["path/a"]) && register.IsDeleted(change["text/path/b"]))
 	_, again := change["pool/p"]
-	is.True(!again) // it has not changed; only its text was written anew
+	is.True(!again) // unchanged; only its text was rewritten
 }
 
-// Of two that are built on the same number one is taken, whichever comes first; numbers only rise, and a gap is no matter.
+// Of two declarations based on the same number only the first to arrive is accepted. Numbers must increase; gaps are allowed.
 func TestOneOfTwoDeclarationsOnTheSameNumberWins(t *testing.T) {
 	is := is.New(t)
 	for _, full := range []bool{true, false} {
@@ -170,7 +170,7 @@
 		before := r.texts()
 		_, err = r.take(other)
 		is.True(apierror.Is(err, apierror.Conflict))
-		same := declaration(9, 5, full, "pool/p", "path/other") // the same number, something else
+		same := declaration(9, 5, full, "pool/p", "path/other") // same number, different text
 		_, err = r.take(same)
 		is.True(apierror.Is(err, apierror.Conflict))
 		for _, number := range []uint64{0, 1, 8, 9} {
@@ -187,11 +187,11 @@
 	}
 }
 
-// What does not hold together is refused whole, as it would stand after the change.
+// A declaration is validated against the configuration that would result, and rejected as a whole if that is invalid.
 func TestDeclarationIsCheckedAsItWouldStand(t *testing.T) {
 	is := is.New(t)
 	r := &declared{fields: register.Fields{}}
-	_, err := r.take(declaration(1, 0, true, "path/a")) // its pool is not there
+	_, err := r.take(declaration(1, 0, true, "path/a")) // its pool does not exist
 	is.True(apierror.Is(err, apierror.Dangling))
 	is.Equal(len(r.fields), 0)
 	_, err = r.take(declaration(1, 0, true, "pool/p", "path/a", "tenant/t"))
@@ -212,16 +212,17 @@
 	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Pool: "p", DeadlineMs: 5})), apierror.Missing))
 	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Address: "/b/", DeadlineMs: 5, Targets: []Target{{"p", 0}}})), apierror.OutOfRange))
 	is.True(apierror.Is(changed(put("path/b", Path{Name: "b", Address: "/b/", DeadlineMs: 5, Targets: []Target{{"p", 2}, {"p", -1}}})), apierror.OutOfRange))
-	is.True(apierror.Is(changed(put("tenant/u", Tenant{Name: "u", Keys: []string{"u-key", "t-key"}})), apierror.RepeatField)) // another tenant's key
+	is.True(apierror.Is(changed(put("tenant/u", Tenant{Name: "u", Keys: []string{"u-key", "t-key"}})), apierror.RepeatField)) // key of another tenant
 	is.Equal(r.texts(), before)
 	is.Equal(r.number(), uint64(1))
-	is.NoErr(changed(func(d *NumberedConfig) { // the key goes over to another tenant in one step, and one tenant may name a key twice
+	is.NoErr(changed(func(d *NumberedConfig) { // a key may move to another tenant in one change, and a tenant may list a key twice
 		d.Removed = []string{"tenant/t"}
 		d.Items = Field("tenant/u", Tenant{Name: "u", Keys: []string{"t-key", "t-key"}})
 	}))
 }
 
-// A tenant lives from the version that created it: changes and whole configurations keep its life, a new one under an old name has its own.
+// Later changes and full declarations keep a tenant's CreatedVersion. A tenant recreated under an old name must get a new one, so that access
+// keys granted to the former tenant do not apply to it.
 func TestTenantsLifeIsKept(t *testing.T) {
 	is := is.New(t)
 	r := &declared{fields: register.Fields{}, version: 6}
