--- a/config/numbered_test.go
+++ b/config/numbered_test.go
@@ -13,14 +13,14 @@
 	"asterridge/register"
 )
 
-// declared is a test register that numbered configurations are applied to.
-type declared struct {
+// testRegister is a test register that numbered configurations are applied to.
+type testRegister struct {
 	fields  register.Fields
 	version uint64
 }
 
 // number returns the current number. It panics if the number cannot be read.
-func (r *declared) number() uint64 {
+func (r *testRegister) number() uint64 {
 	number, err := Number(r.fields)
 	if err != nil {
 		panic(err)
@@ -28,7 +28,7 @@
 	return number
 }
 
-func (r *declared) take(d NumberedConfig) (register.Fields, error) {
+func (r *testRegister) apply(d NumberedConfig) (register.Fields, error) {
 	change, err := ApplyNumbered(r.fields, r.version, d)
 	if err == nil && len(change) > 0 {
 		r.fields.Apply(change)
@@ -38,7 +38,7 @@
 }
 
 // texts lists the original texts, one per line.
-func (r *declared) texts() string {
+func (r *testRegister) texts() string {
 	var out strings.Builder
 	for _, t := range Texts(r.fields) {
 		fmt.Fprintf(&out, "%s %s %s\n", t.Kind, t.Name, t.Text)
@@ -46,7 +46,7 @@
 	return out.String()
 }
 
-func (r *declared) config(is *is.I) *Config {
+func (r *testRegister) config(is *is.I) *Config {
 	is.Helper()
 	b, err := FromFields(r.fields)
 	is.NoErr(err)
@@ -81,9 +81,9 @@
 // white space between tokens, in the order of first declaration.
 func TestFullAndAmendingDeclarations(t *testing.T) {
 	is := is.New(t)
-	r := &declared{fields: register.Fields{}}
+	r := &testRegister{fields: register.Fields{}}
 	is.Equal(r.number(), uint64(0))
-	_, err := r.take(declaration(3, 0, true, "path/z", "path/a", "pool/p", "limits", "tenant/t", "path/m"))
+	_, err := r.apply(declaration(3, 0, true, "path/z", "path/a", "pool/p", "limits", "tenant/t", "path/m"))
 	is.NoErr(err)
 	is.Equal(r.number(), uint64(3))
 	is.Equal(r.texts(), `limits  {"z":[1.50,{}],"label":"","at":3}
@@ -95,7 +95,7 @@
 `)
 	amendment := declaration(10, 3, false, "path/b", "path/a", "tenant/u")
 	amendment.Removed = []string{"path/m", "path/never", "tenant/t"}
-	_, err = r.take(amendment)
+	_, err = r.apply(amendment)
 	is.NoErr(err)
 	is.Equal(r.number(), uint64(10))
 	is.Equal(r.texts(), `limits  {"z":[1.50,{}],"label":"","at":3}
@@ -108,10 +108,10 @@
 	b := r.config(is)
 	is.Equal([]int{len(b.Paths), len(b.Pools), len(b.Tenants), b.Limits.BodyBytes}, []int{3, 1, 1, 3})
 	again := declaration(11, 10, false, "path/c", "path/m") // a removed item that is declared again comes last
-	_, err = r.take(again)
+	_, err = r.apply(again)
 	is.NoErr(err)
 	is.True(strings.Contains(r.texts(), "path z {\"z\":[1.50,{}],\"label\":\"z\",\"at\":3}\npath a {\"z\":[1.50,{}],\"label\":\"a\",\"at\":10}\npath b {\"z\":[1.50,{}],\"label\":\"b\",\"at\":10}\npath c {\"z\":[1.50,{}],\"label\":\"c\",\"at\":11}\npath m"))
-	_, err = r.take(declaration(12, 11, true, "pool/q"))
+	_, err = r.apply(declaration(12, 11, true, "pool/q"))
 	is.NoErr(err)
 	is.Equal(r.texts(), "pool q {\"z\":[1.50,{}],\"label\":\"q\",\"at\":12}\n")
 	b = r.config(is)
@@ -119,10 +119,10 @@
 }
 
 // Only declared items are sent to the data plane; original texts and numbers stay in the cores.
-func TestTextsAndNumbersAreTheCoresOwn(t *testing.T) {
+func TestTextsAndNumbersAreNotSentToTheDataPlane(t *testing.T) {
 	is := is.New(t)
-	r := &declared{fields: register.Fields{}}
-	_, err := r.take(declaration(3, 0, true, "path/a", "pool/p", "limits", "tenant/t"))
+	r := &testRegister{fields: register.Fields{}}
+	_, err := r.apply(declaration(3, 0, true, "path/a", "pool/p", "limits", "tenant/t"))
 	is.NoErr(err)
 	var open []string
 	for field := range r.fields {
@@ -137,11 +137,11 @@
 // A change contains only the fields that differ, and a full declaration keeps the throttle rule.
 func TestDeclarationChangesOnlyWhatDiffers(t *testing.T) {
 	is := is.New(t)
-	r := &declared{fields: Field("hold", ThrottleRule{BaseMs: 7, CapMs: 8, Jitter: 1, SlowRatio: 3}), version: 4}
-	_, err := r.take(declaration(3, 0, true, "path/a", "pool/p"))
+	r := &testRegister{fields: Field("hold", ThrottleRule{BaseMs: 7, CapMs: 8, Jitter: 1, SlowRatio: 3}), version: 4}
+	_, err := r.apply(declaration(3, 0, true, "path/a", "pool/p"))
 	is.NoErr(err)
 	is.Equal(r.config(is).Throttle.BaseMs, 7)
-	change, err := r.take(declaration(4, 3, false, "path/b"))
+	change, err := r.apply(declaration(4, 3, false, "path/b"))
 	is.NoErr(err)
 	var fields []string
 	for field := range change {
@@ -149,7 +149,7 @@
 	}
 	slices.Sort(fields)
 	is.Equal(fields, []string{"accepted/newest/1", "number", "path/b", "text/path/b"})
-	change, err = r.take(declaration(5, 4, true, "pool/p"))
+	change, err = r.apply(declaration(5, 4, true, "pool/p"))
 	is.NoErr(err)
 	is.Equal(r.config(is).Throttle.BaseMs, 7)
 	is.True(register.IsDeleted(change["path/a"]) && register.IsDeleted(change["text/path/b"]))
@@ -161,24 +161,24 @@
 func TestOneOfTwoDeclarationsOnTheSameNumberWins(t *testing.T) {
 	is := is.New(t)
 	for _, full := range []bool{true, false} {
-		r := &declared{fields: register.Fields{}}
-		_, err := r.take(declaration(5, 0, true, "pool/p", "path/a"))
+		r := &testRegister{fields: register.Fields{}}
+		_, err := r.apply(declaration(5, 0, true, "pool/p", "path/a"))
 		is.NoErr(err)
 		one, other := declaration(9, 5, full, "pool/p", "path/one"), declaration(8, 5, full, "pool/p", "path/other")
-		_, err = r.take(one)
+		_, err = r.apply(one)
 		is.NoErr(err)
 		before := r.texts()
-		_, err = r.take(other)
+		_, err = r.apply(other)
 		is.True(apierror.Is(err, apierror.Conflict))
 		same := declaration(9, 5, full, "pool/p", "path/other") // same number, different text
-		_, err = r.take(same)
+		_, err = r.apply(same)
 		is.True(apierror.Is(err, apierror.Conflict))
 		for _, number := range []uint64{0, 1, 8, 9} {
-			_, err = r.take(declaration(number, 9, full, "pool/p"))
+			_, err = r.apply(declaration(number, 9, full, "pool/p"))
 			is.True(apierror.Is(err, apierror.OutOfRange))
 		}
 		for _, base := range []uint64{0, 5, 8, 10} {
-			_, err = r.take(declaration(11, base, full, "pool/p"))
+			_, err = r.apply(declaration(11, base, full, "pool/p"))
 			is.True(apierror.Is(err, apierror.Conflict))
 		}
 		is.Equal(r.texts(), before)
@@ -188,19 +188,19 @@
 }
 
 // A declaration is validated against the configuration that would result, and rejected as a whole if that is invalid.
-func TestDeclarationIsCheckedAsItWouldStand(t *testing.T) {
+func TestInvalidResultingConfigIsRejected(t *testing.T) {
 	is := is.New(t)
-	r := &declared{fields: register.Fields{}}
-	_, err := r.take(declaration(1, 0, true, "path/a")) // its pool does not exist
+	r := &testRegister{fields: register.Fields{}}
+	_, err := r.apply(declaration(1, 0, true, "path/a")) // its pool does not exist
 	is.True(apierror.Is(err, apierror.Dangling))
 	is.Equal(len(r.fields), 0)
-	_, err = r.take(declaration(1, 0, true, "pool/p", "path/a", "tenant/t"))
+	_, err = r.apply(declaration(1, 0, true, "pool/p", "path/a", "tenant/t"))
 	is.NoErr(err)
 	before := r.texts()
 	changed := func(change func(*NumberedConfig)) error {
 		d := declaration(2, 1, false)
 		change(&d)
-		_, err := r.take(d)
+		_, err := r.apply(d)
 		return err
 	}
 	put := func(name string, item any) func(*NumberedConfig) {
@@ -223,23 +223,23 @@
 
 // Later changes and full declarations keep a tenant's CreatedVersion. A tenant recreated under an old name must get a new one, so that access
 // keys granted to the former tenant do not apply to it.
-func TestTenantsLifeIsKept(t *testing.T) {
+func TestCreatedVersionOfTenantIsKept(t *testing.T) {
 	is := is.New(t)
-	r := &declared{fields: register.Fields{}, version: 6}
-	take := func(d NumberedConfig) {
+	r := &testRegister{fields: register.Fields{}, version: 6}
+	apply := func(d NumberedConfig) {
 		t.Helper()
-		_, err := r.take(d)
+		_, err := r.apply(d)
 		is.NoErr(err)
 	}
-	born := func(name string) uint64 { return r.config(is).Tenants[name].CreatedVersion }
-	take(declaration(1, 0, true, "tenant/t"))
-	is.Equal(born("t"), uint64(7))
-	take(declaration(2, 1, true, "tenant/u", "tenant/t"))
-	take(declaration(3, 2, false, "tenant/t"))
-	is.Equal([]uint64{born("t"), born("u")}, []uint64{7, 8})
+	createdVersion := func(name string) uint64 { return r.config(is).Tenants[name].CreatedVersion }
+	apply(declaration(1, 0, true, "tenant/t"))
+	is.Equal(createdVersion("t"), uint64(7))
+	apply(declaration(2, 1, true, "tenant/u", "tenant/t"))
+	apply(declaration(3, 2, false, "tenant/t"))
+	is.Equal([]uint64{createdVersion("t"), createdVersion("u")}, []uint64{7, 8})
 	gone := declaration(4, 3, false)
 	gone.Removed = []string{"tenant/t"}
-	take(gone)
-	take(declaration(5, 4, false, "tenant/t"))
-	is.Equal([]uint64{born("t"), born("u")}, []uint64{11, 8})
+	apply(gone)
+	apply(declaration(5, 4, false, "tenant/t"))
+	is.Equal([]uint64{createdVersion("t"), createdVersion("u")}, []uint64{11, 8})
 }
