--- a/config/config.go
+++ b/config/config.go
@@ -105,7 +105,7 @@
 	SlowRatio float64 `json:"slow_ratio"`
 }
 
-// Config is the whole configuration.
+// Config is the complete configuration of the fleet.
 type Config struct {
 	Adapters map[string]Adapter
 
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -58,11 +58,11 @@
 	f.Add([]byte(`{"tenants":[{"name":"a","name":"b"}]}`), false)
 	f.Fuzz(func(t *testing.T, text []byte, partial bool) {
 		present, _ := Parse([]byte(base), nil, false)
-		b, err := Parse(text, present, partial)
+		accepted, err := Parse(text, present, partial)
 		if err != nil {
 			return
 		}
-		again, err := FromFields(b.Fields())
+		again, err := FromFields(accepted.Fields())
 		if err != nil || again.Check() != nil {
 			t.Errorf("an accepted configuration does not survive encoding and decoding: %v", err)
 		}
--- a/config/numbered.go
+++ b/config/numbered.go
@@ -52,7 +52,7 @@
 
 // Texts returns the original texts of the configured items, by kind and in the order in which they were first declared.
 func Texts(fields register.Fields) (all []Text) {
-	places := map[string]int{}
+	positions := map[string]int{}
 	for field, raw := range fields {
 		name, isText := strings.CutPrefix(field, textPrefix)
 		var t storedText
@@ -60,14 +60,14 @@
 			continue
 		}
 		kind, rest, _ := strings.Cut(name, "/")
-		places[name] = t.Position
+		positions[name] = t.Position
 		all = append(all, Text{kind, rest, t.Text})
 	}
 	slices.SortFunc(all, func(a, b Text) int {
 		if order := strings.Compare(a.Kind, b.Kind); order != 0 {
 			return order
 		}
-		if by := places[a.Kind+"/"+a.Name] - places[b.Kind+"/"+b.Name]; by != 0 {
+		if by := positions[a.Kind+"/"+a.Name] - positions[b.Kind+"/"+b.Name]; by != 0 {
 			return by
 		}
 		return strings.Compare(a.Name, b.Name)
--- a/config/numbered_test.go
+++ b/config/numbered_test.go
@@ -48,9 +48,9 @@
 
 func (r *testRegister) config(is *is.I) *Config {
 	is.Helper()
-	b, err := FromFields(r.fields)
+	decoded, err := FromFields(r.fields)
 	is.NoErr(err)
-	return b
+	return decoded
 }
 
 // declaration returns a declaration of the named items; the text of each consists of its name and the number.
