--- a/config/config.go
+++ b/config/config.go
@@ -10,77 +10,77 @@
 	"asterridge/register"
 )
 
-// Key is the register of the configuration.
+// Key names the register that holds the configuration.
 const Key = "blueprint"
 
-// MaxText bounds an operator's configuration, in bytes.
+// MaxText is the maximum size of an operator's configuration text in bytes.
 const MaxText = 16 << 20
 
 // Tenant is a customer of the fleet.
 type Tenant struct {
 	Name           string `json:"name"`
 	Isolated       bool   `json:"walled"`
-	Weight         int    `json:"weight"`         // its part in the round robin
-	Backlog        int    `json:"backlog"`        // how many requests may wait in one proxy
-	Scope          string `json:"scope"`          // "tenant" or "pool": what a hold covers
-	CreatedVersion uint64 `json:"born,omitempty"` // the configuration's version that created it: a name given anew is another tenant (§6.3)
-	// Keys are hashes of access keys that are declared with the tenant; others are granted one by one (§2.1).
+	Weight         int    `json:"weight"`         // weight in the weighted round robin among tenants
+	Backlog        int    `json:"backlog"`        // maximum number of requests queued in one proxy
+	Scope          string `json:"scope"`          // "tenant" or "pool": what a throttle applies to
+	CreatedVersion uint64 `json:"born,omitempty"` // configuration version that created it; a reused name is another tenant (§6.3)
+	// Keys are the hashes of the access keys declared with the tenant; further keys are granted individually (§2.1).
 	Keys    []string `json:"keys,omitempty"`
-	Urgency *int     `json:"urgency,omitempty"` // goes before the path's
+	Urgency *int     `json:"urgency,omitempty"` // overrides the path's urgency
 }
 
-// The kinds of pools.
+// Pool kinds.
 const (
 	ModelPool = "model" // replicas of a language model
 	WebPool   = "web"   // web back ends
-	StorePool = "store" // a store of cached prompt prefixes
+	StorePool = "store" // stores of cached prompt prefixes
 )
 
-// Pool is a set of replicas that serve the same weights, or a web back end.
+// Pool is a set of replicas that serve the same weights, a web back end, or a store of cached prompt prefixes.
 type Pool struct {
 	Name    string `json:"name"`
-	Kind    string `json:"kind"`    // "model", "web", or "store": a store of kept prompts
-	Weights string `json:"weights"` // the accepted version; empty for web
-	// Models are served by the pool's replicas, each with a version of its own that operators name (§2.9); none: Weights speaks for all.
+	Kind    string `json:"kind"`    // ModelPool, WebPool or StorePool
+	Weights string `json:"weights"` // accepted weights version; empty for a web pool
+	// Models lists the models that the replicas serve, each with its own published version (§2.9). If empty, Weights applies.
 	Models     []string `json:"models,omitempty"`
-	MaxConns   int      `json:"max_conns,omitempty"`   // connections that one replica takes from all callers; 0: any number
-	CacheSize  int      `json:"cache_size,omitempty"`  // what one replica or store keeps of prompts
-	UnitBytes  int      `json:"unit_bytes,omitempty"`  // memory of one unit of a prompt
-	LinkMbps   float64  `json:"link_mbps,omitempty"`   // of one replica or store, for moves of kept prompts
-	MaxReaders int      `json:"max_readers,omitempty"` // that may wait for a replica's news at once; 0: nobody reads them
-	Address    string   `json:"address,omitempty"`     // of a store that is on no list
-	Zone       string   `json:"zone,omitempty"`        // of such a store
+	MaxConns   int      `json:"max_conns,omitempty"`   // connections to one replica from all callers; 0: unlimited
+	CacheSize  int      `json:"cache_size,omitempty"`  // cache capacity of one replica or store, in units (tokens)
+	UnitBytes  int      `json:"unit_bytes,omitempty"`  // cache memory per unit (token) of a prompt
+	LinkMbps   float64  `json:"link_mbps,omitempty"`   // bandwidth of one replica or store for transfers of cached prefixes
+	MaxReaders int      `json:"max_readers,omitempty"` // readers that may wait for one replica's cache updates; 0: not read
+	Address    string   `json:"address,omitempty"`     // address of a store that is not in the replica register
+	Zone       string   `json:"zone,omitempty"`        // zone of such a store
 }
 
-// Path takes requests at an address to pools.
+// Path routes the requests for a URL path to pools.
 type Path struct {
 	Name       string `json:"name"`
-	Address    string `json:"address"` // URL path; one that ends in / covers all below
-	Model      string `json:"model"`   // the model asked for; empty matches any
+	Address    string `json:"address"` // URL path; one that ends in / matches every path below it
+	Model      string `json:"model"`   // requested model; empty matches any
 	Pool       string `json:"pool"`
 	Idempotent bool   `json:"repeatable"`
-	DeadlineMs int    `json:"deadline_ms"` // how long a request may wait for its first piece
+	DeadlineMs int    `json:"deadline_ms"` // time limit for the first chunk of the response
 	MaxBody    int    `json:"max_body"`
-	Cost       int    `json:"cost"` // in the round robin
+	Cost       int    `json:"cost"` // cost of one request in the weighted round robin
 
-	Host            string   `json:"host,omitempty"`      // the host asked for; empty matches any
-	Targets         []Target `json:"targets,omitempty"`   // a split over pools, in place of Pool
-	Tries           int      `json:"tries,omitempty"`     // replicas that one request may be sent to; 0: no bound but the budget
-	LatencyTargetMs int      `json:"aim_ms,omitempty"`    // the first piece is wanted within it
-	GapMs           int      `json:"gap_ms,omitempty"`    // no longer pause is wanted between pieces
-	Urgency         int      `json:"urgency,omitempty"`   // 0 goes first
-	Resumable       bool     `json:"resumable,omitempty"` // a stream that broke off may go on at another replica (§5.7)
-	Public          bool     `json:"public,omitempty"`    // needs no access key
-	Adapter         string   `json:"adapter,omitempty"`   // that the requests run on (§6.6)
+	Host            string   `json:"host,omitempty"`      // requested host; empty matches any
+	Targets         []Target `json:"targets,omitempty"`   // weighted split over several pools; replaces Pool
+	Tries           int      `json:"tries,omitempty"`     // maximum attempts per request; 0: limited by the retry budget only
+	LatencyTargetMs int      `json:"aim_ms,omitempty"`    // latency target for the first chunk
+	GapMs           int      `json:"gap_ms,omitempty"`    // target for the longest gap between chunks
+	Urgency         int      `json:"urgency,omitempty"`   // 0 is served first
+	Resumable       bool     `json:"resumable,omitempty"` // an interrupted stream may continue on another replica (§5.7)
+	Public          bool     `json:"public,omitempty"`    // no access key required
+	Adapter         string   `json:"adapter,omitempty"`   // adapter that serves the requests (§6.6)
 }
 
-// Target is a pool with its weight among a path's pools.
+// Target is a pool with its weight in a path's traffic split.
 type Target struct {
 	Pool   string `json:"pool"`
 	Weight int    `json:"share"`
 }
 
-// Pools are the pools that a path may take requests to.
+// Pools returns the pools that the path may route requests to, with their weights.
 func (p Path) Pools() []Target {
 	if len(p.Targets) > 0 {
 		return p.Targets
@@ -88,7 +88,7 @@
 	return []Target{{p.Pool, 1}}
 }
 
-// Limits bound what clients send; 0: the program's own bound.
+// Limits bounds what clients may send. A zero field selects the built-in limit.
 type Limits struct {
 	HeaderBytes int `json:"header_bytes,omitempty"`
 	BodyBytes   int `json:"body_bytes,omitempty"`
@@ -96,16 +96,16 @@
 	IdleMs      int `json:"idle_ms,omitempty"`
 }
 
-// ThrottleRule has the settings of the shared throttles.
+// ThrottleRule holds the backoff settings of the shared throttles.
 type ThrottleRule struct {
 	BaseMs    int     `json:"base_ms"`
 	CapMs     int     `json:"cap_ms"`
-	Jitter    float64 `json:"jitter"` // 1: uniform from zero; 0: always the full step
+	Jitter    float64 `json:"jitter"` // 0: always the full backoff; 1: uniform between zero and the full backoff
 	Observe   bool    `json:"observe"`
 	SlowRatio float64 `json:"slow_ratio"`
 }
 
-// Config is the whole configuration.
+// Config is the complete configuration of the fleet.
 type Config struct {
 	Adapters map[string]Adapter
 
@@ -114,10 +114,10 @@
 	Paths    map[string]Path
 	Throttle ThrottleRule
 	Limits   Limits
-	Open     bool // declared without tenants: nobody needs an access key
+	Open     bool // declared without tenants: no request needs an access key
 }
 
-// Empty is a configuration with the usual throttle rule and nothing else.
+// Empty returns a configuration with the default throttle rule and nothing else.
 func Empty() *Config {
 	return &Config{
 		Tenants: map[string]Tenant{}, Pools: map[string]Pool{}, Paths: map[string]Path{}, Adapters: map[string]Adapter{},
@@ -125,36 +125,36 @@
 	}
 }
 
-// FromFields reads the register's content. The error is apierror.Internal if a stored item cannot be read.
+// FromFields decodes a configuration from the fields of its register. The error is apierror.Malformed if a field cannot be decoded.
 func FromFields(fields register.Fields) (*Config, error) {
-	b := Empty()
+	c := Empty()
 	for name, raw := range fields {
 		kind, rest, _ := strings.Cut(name, "/")
 		var err error
 		switch kind {
 		case "tenant":
-			err = load(b.Tenants, rest, raw)
+			err = load(c.Tenants, rest, raw)
 		case "pool":
-			err = load(b.Pools, rest, raw)
+			err = load(c.Pools, rest, raw)
 		case "path":
-			err = load(b.Paths, rest, raw)
+			err = load(c.Paths, rest, raw)
 		case "adapter":
-			err = load(b.Adapters, rest, raw)
+			err = load(c.Adapters, rest, raw)
 		case "hold":
-			err = json.Unmarshal(raw, &b.Throttle)
+			err = json.Unmarshal(raw, &c.Throttle)
 		case "limits":
-			err = json.Unmarshal(raw, &b.Limits)
+			err = json.Unmarshal(raw, &c.Limits)
 		case "open":
-			b.Open = true
+			c.Open = true
 		}
 		if err != nil {
 			return nil, apierror.Wrap(err, apierror.Malformed, "register field "+name)
 		}
 	}
-	return b, nil
+	return c, nil
 }
 
-// load reads the items of one kind.
+// load decodes one item and stores it under its name.
 func load[T any](into map[string]T, name string, raw json.RawMessage) error {
 	var item T
 	if err := json.Unmarshal(raw, &item); err != nil {
@@ -164,86 +164,87 @@
 	return nil
 }
 
-// Inherit has the tenants that were in the base keep the version that created them, and gives the others this one.
-func (b *Config) Inherit(base *Config, version uint64) {
-	for name, t := range b.Tenants {
+// Inherit copies CreatedVersion for tenants that exist in base and sets it to version for new ones.
+func (c *Config) Inherit(base *Config, version uint64) {
+	for name, t := range c.Tenants {
 		t.CreatedVersion = version
 		if before, ok := base.Tenants[name]; ok {
 			t.CreatedVersion = before.CreatedVersion
 		}
-		b.Tenants[name] = t
+		c.Tenants[name] = t
 	}
 }
 
-// Fields gives the configuration as the register's fields.
-func (b *Config) Fields() register.Fields {
+// Fields encodes the configuration as register fields.
+func (c *Config) Fields() register.Fields {
 	fields := register.Fields{}
 	put := func(name string, item any) {
 		raw, _ := json.Marshal(item) // plain structs always encode
 		fields[name] = raw
 	}
-	for name, t := range b.Tenants {
+	for name, t := range c.Tenants {
 		put("tenant/"+name, t)
 	}
-	for name, p := range b.Pools {
+	for name, p := range c.Pools {
 		put("pool/"+name, p)
 	}
-	for name, p := range b.Paths {
+	for name, p := range c.Paths {
 		put("path/"+name, p)
 	}
-	for name, a := range b.Adapters {
+	for name, a := range c.Adapters {
 		put("adapter/"+name, a)
 	}
-	put("hold", b.Throttle)
-	if b.Limits != (Limits{}) {
-		put("limits", b.Limits)
+	put("hold", c.Throttle)
+	if c.Limits != (Limits{}) {
+		put("limits", c.Limits)
 	}
-	if b.Open {
+	if c.Open {
 		put("open", true)
 	}
 	return fields
 }
 
-// Delta gives the change from one content to another.
-func Delta(old, now register.Fields) register.Fields {
+// Delta returns the change that turns the fields of old into those of current. Deleted fields map to nil.
+func Delta(old, current register.Fields) register.Fields {
 	change := register.Fields{}
-	for name, raw := range now {
+	for name, raw := range current {
 		if string(old[name]) != string(raw) {
 			change[name] = raw
 		}
 	}
 	for name := range old {
-		if _, others := now[name]; !others {
+		if _, kept := current[name]; !kept {
 			change[name] = nil
 		}
 	}
 	return change
 }
 
-// Check looks for dangling references, and for what cannot stand side by side.
-func (b *Config) Check() error {
-	met := map[string]string{}
-	for _, name := range slices.Sorted(maps.Keys(b.Paths)) {
-		p := b.Paths[name]
-		reject := func(c apierror.Code, field, format string, args ...any) error {
-			f := apierror.New(c, format, args...)
-			f.Field = "paths." + name + "." + field
-			return f
+// Check reports dangling references, values out of range, and conflicts such as two paths that match the same requests or two tenants with
+// the same access key.
+func (c *Config) Check() error {
+	pathsByMatch := map[string]string{}
+	for _, name := range slices.Sorted(maps.Keys(c.Paths)) {
+		p := c.Paths[name]
+		reject := func(code apierror.Code, field, format string, args ...any) error {
+			rejection := apierror.New(code, format, args...)
+			rejection.Field = "paths." + name + "." + field
+			return rejection
 		}
-		sum := 0
+		weightSum := 0
 		for _, target := range p.Pools() {
-			if _, ok := b.Pools[target.Pool]; !ok {
+			if _, ok := c.Pools[target.Pool]; !ok {
 				return reject(apierror.Dangling, "pool", "there is no pool %q", target.Pool)
 			}
-			if b.Pools[target.Pool].Kind == StorePool {
+			if c.Pools[target.Pool].Kind == StorePool {
 				return reject(apierror.Dangling, "pool", "pool %q is a store and serves no requests", target.Pool)
 			}
 			if target.Weight < 0 {
 				return reject(apierror.OutOfRange, "targets", "pool %q has a share below 0", target.Pool)
 			}
-			sum += target.Weight
+			weightSum += target.Weight
 		}
-		if sum == 0 {
+		if weightSum == 0 {
 			return reject(apierror.OutOfRange, "targets", "the shares sum to 0")
 		}
 		if p.DeadlineMs <= 0 {
@@ -252,22 +253,22 @@
 		if p.Address == "" {
 			return reject(apierror.Missing, "address", "a path needs an address")
 		}
-		at := p.Host + " " + p.Address + " " + p.Model
-		if other, taken := met[at]; taken {
+		match := p.Host + " " + p.Address + " " + p.Model
+		if other, taken := pathsByMatch[match]; taken {
 			return reject(apierror.RepeatField, "address", "path %q has the same host, address and model", other)
 		}
-		met[at] = name
+		pathsByMatch[match] = name
 	}
 	owners := map[string]string{}
-	for _, name := range slices.Sorted(maps.Keys(b.Tenants)) {
-		for _, key := range b.Tenants[name].Keys {
+	for _, name := range slices.Sorted(maps.Keys(c.Tenants)) {
+		for _, key := range c.Tenants[name].Keys {
 			if other, taken := owners[key]; taken && other != name {
-				f := apierror.New(apierror.RepeatField, "tenant %q has the same key", other)
-				f.Field = "tenants." + name + ".keys"
-				return f
+				rejection := apierror.New(apierror.RepeatField, "tenant %q has the same key", other)
+				rejection.Field = "tenants." + name + ".keys"
+				return rejection
 			}
 			owners[key] = name
 		}
 	}
-	return b.checkAdapters()
+	return c.checkAdapters()
 }
