--- a/rpc/network.go
+++ b/rpc/network.go
@@ -13,11 +13,11 @@
 
 const (
 	dialTimeout = time.Second
-	// unacknowledgedTimeout is how long the kernel waits for an acknowledgement of what it has sent before it drops the connection.
+	// unacknowledgedTimeout is how long sent data may stay unacknowledged before the kernel drops the connection (TCP_USER_TIMEOUT).
 	unacknowledgedTimeout = 3 * time.Second
 )
 
-// Network is what a process needs of the network. TCP is the machine's; the simulator has one of its own.
+// Network opens and accepts connections. TCP implements it on the operating system; the simulator has its own implementation.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
@@ -25,10 +25,10 @@
 
 var _ Network = (*TCP)(nil)
 
-// TCP is the machine's own network.
+// TCP is the Network of the operating system.
 type TCP struct{ net.Dialer }
 
-// DialContext connects within a second. A peer that no longer acknowledges what is sent is noticed within unacknowledgedTimeout.
+// DialContext connects within dialTimeout. The connection fails if the peer leaves sent data unacknowledged for unacknowledgedTimeout.
 func (t *TCP) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -37,20 +37,20 @@
 		return nil, err
 	}
 	if err := setSocketOption(conn, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout.Milliseconds())); err != nil {
-		_ = conn.Close() // the first error counts
+		_ = conn.Close() // the error of setSocketOption is the one to report
 		return nil, err
 	}
 	return conn, nil
 }
 
-// Listen opens a TCP port.
+// Listen listens on a TCP address.
 func (*TCP) Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	return listener, apierror.Wrap(err, apierror.Settings, "listen on "+address)
 }
 
-// BoundSend limits how long the kernel tries to deliver what it has taken, and how many bytes it takes. Connections that are no sockets of
-// this machine may offer a method SetUserTimeout instead. The error is apierror.Internal for any other connection.
+// BoundSend limits how long sent data may stay unacknowledged (TCP_USER_TIMEOUT) and the size of the kernel's send buffer. Connections that
+// are not TCP sockets, such as the simulator's, may have a method SetUserTimeout instead. Any other connection gives apierror.Internal.
 func BoundSend(conn net.Conn, unacknowledged time.Duration, buffer int) error {
 	if other, ok := conn.(interface{ SetUserTimeout(time.Duration) }); ok {
 		other.SetUserTimeout(unacknowledged)
@@ -58,7 +58,7 @@
 	}
 	socket, ok := conn.(*net.TCPConn)
 	if !ok {
-		return apierror.New(apierror.Internal, "a connection of type %T", conn)
+		return apierror.New(apierror.Internal, "cannot set socket options on a connection of type %T", conn)
 	}
 	if err := socket.SetWriteBuffer(buffer); err != nil {
 		return apierror.Wrap(err, apierror.Internal, "send buffer")
@@ -66,7 +66,7 @@
 	return setSocketOption(socket, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
 }
 
-// setSocketOption sets one of a TCP socket's options.
+// setSocketOption sets one integer option of a TCP socket.
 func setSocketOption(conn net.Conn, level, name, value int) error {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/rpc/network_test.go
+++ b/rpc/network_test.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// The kernel is told how long to go on with what was not acknowledged, and how much to take.
-func TestBoundSetsTheSocketsOptions(t *testing.T) {
+// BoundSend sets TCP_USER_TIMEOUT and the send buffer size on the socket.
+func TestBoundSendSetsSocketOptions(t *testing.T) {
 	is, network := is.New(t), &TCP{}
 	l, err := network.Listen("127.0.0.1:0")
 	is.NoErr(err)
@@ -28,6 +28,6 @@
 		is.Equal(ms, 700)
 		size, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_SNDBUF)
 		is.NoErr(err)
-		is.True(size <= 2*256<<10) // the kernel counts its own overhead twice
+		is.True(size <= 2*256<<10) // the kernel doubles the value to allow for its own overhead
 	}))
 }
--- a/rpc/rpc.go
+++ b/rpc/rpc.go
@@ -1,10 +1,9 @@
-// Package rpc has the calls between the fleet's processes: HTTP/1.1 with JSON, through go-kit endpoints. Handler serves a function at an
-// endpoint, Call calls it. Messages bear the fleet's name and the protocol's version; a message from another fleet or of another version is
-// rejected. Within a version fields are only added, and unknown ones are ignored, so that two builds run side by side. Errors cross the
-// wire as package apierror writes them.
+// Package rpc implements calls between the processes of a fleet: JSON over HTTP/1.1, through go-kit endpoints. Handler serves a function at
+// an endpoint, Call calls it. Messages carry the fleet's name and the protocol version; messages from another fleet or of another version
+// are rejected. Within a version, fields are only added and unknown fields are ignored, so that two builds can run side by side. Errors are
+// encoded as apierror.Body.
 //
-// The package also has what the other packages need of the network: Network, which the simulator implements too, and bounds on connections
-// whose peer no longer answers.
+// The package also defines Network, which the simulator implements too, and time limits for connections whose peer no longer responds.
 package rpc
 
 import (
@@ -32,7 +31,7 @@
 	jsonType        = "application/json; charset=utf-8"
 	maxMessageBytes = 64 << 20
 	maxErrorBytes   = 1 << 16
-	// idleConnections and idleTimeout bound the connections that a client keeps to each peer.
+	// idleConnections and idleTimeout limit the idle connections that a client keeps open to each peer.
 	idleConnections = 16
 	idleTimeout     = 20 * time.Second
 )
@@ -43,13 +42,13 @@
 	HTTP  *http.Client
 }
 
-// NewClient makes a client over a network.
+// NewClient returns a client that connects through a network.
 func NewClient(fleet string, network Network) *Client {
 	return &Client{Fleet: fleet, HTTP: NewHTTPClient(network, idleConnections, idleTimeout)}
 }
 
-// NewHTTPClient makes an HTTP client over a network that keeps some idle connections to each peer for a while. It takes a redirect as the
-// answer: what is asked of one process or replica is asked of no other.
+// NewHTTPClient returns an HTTP client that keeps up to idleConnections idle connections to each peer, each for up to idleTimeout. It does
+// not follow redirects but returns them as the response: a request to one process or replica is never sent to another.
 func NewHTTPClient(network Network, idleConnections int, idleTimeout time.Duration) *http.Client {
 	return &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -61,9 +60,8 @@
 	}
 }
 
-// Call sends a request to a path of another process and reads its response. An error of the other side comes back as it was
-// (apierror.Error); the error is apierror.Unreachable if there was no response that could be read, so that the request may or may not have
-// been handled.
+// Call sends a request to a path of another process and decodes the response. An error returned by the peer keeps its code
+// (apierror.Error). The error is apierror.Unreachable if no readable response arrived; the request may or may not have been handled then.
 func Call[Response any](ctx context.Context, client *Client, address, path string, request any) (Response, error) {
 	var zero Response
 	target, err := url.Parse("http://" + address + path)
@@ -99,19 +97,19 @@
 	if r.StatusCode != http.StatusOK {
 		var body apierror.Body
 		if err := json.NewDecoder(io.LimitReader(r.Body, maxErrorBytes)).Decode(&body); err != nil {
-			return nil, apierror.New(apierror.Unreachable, "%s answered %s", address, r.Status)
+			return nil, apierror.New(apierror.Unreachable, "%s responded %s without a readable error body", address, r.Status)
 		}
 		return nil, apierror.FromBody(body, r.StatusCode)
 	}
 	var response Response
 	if err := json.NewDecoder(r.Body).Decode(&response); err != nil {
-		return nil, apierror.Wrap(err, apierror.Unreachable, "read answer")
+		return nil, apierror.Wrap(err, apierror.Unreachable, "decode response")
 	}
 	return response, nil
 }
 
-// Handler serves a function at an endpoint. The errors of a message that is not handed on are apierror.WrongFleet, OtherVersion, Oversize
-// and Malformed.
+// Handler serves a function at an endpoint. Messages that are rejected before they reach the function get apierror.WrongFleet, OtherVersion,
+// Oversize or Malformed.
 func Handler[Request, Response any](fleet string, handle func(context.Context, Request) (Response, error)) http.Handler {
 	var served endpoint.Endpoint = func(ctx context.Context, request any) (any, error) {
 		return handle(ctx, request.(Request))
@@ -129,10 +127,10 @@
 	}
 	raw, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes+1))
 	if err != nil {
-		return nil, apierror.Wrap(err, apierror.Malformed, "read body")
+		return nil, apierror.Wrap(err, apierror.Malformed, "read request body")
 	}
 	if len(raw) > maxMessageBytes {
-		return nil, apierror.New(apierror.Oversize, "message over %d bytes", maxMessageBytes)
+		return nil, apierror.New(apierror.Oversize, "message exceeds %d bytes", maxMessageBytes)
 	}
 	var request Request
 	if len(raw) == 0 {
@@ -144,18 +142,18 @@
 	return request, nil
 }
 
-// encodeResponse writes a response. That a caller has gone meanwhile is nobody's error.
+// encodeResponse writes a response. A failed write is ignored: the client has disconnected.
 func encodeResponse(_ context.Context, w http.ResponseWriter, response any) error {
 	raw, err := json.Marshal(response)
 	if err != nil {
-		return apierror.Wrap(err, apierror.Internal, "encode answer")
+		return apierror.Wrap(err, apierror.Internal, "encode response")
 	}
 	w.Header().Set("Content-Type", jsonType)
-	_, _ = w.Write(raw) // see above
+	_, _ = w.Write(raw) // fails only if the client has disconnected
 	return nil
 }
 
-// EncodeError writes an error as its code's status and body, and when to come back if the error says so.
+// EncodeError writes an error with its code's HTTP status and its body, and a Retry-After header if the error has a retry delay.
 func EncodeError(_ context.Context, err error, w http.ResponseWriter) {
 	coded := apierror.Of(err)
 	w.Header().Set("Content-Type", jsonType)
@@ -163,10 +161,10 @@
 		w.Header().Set("Retry-After", RetryAfter(coded.Again))
 	}
 	w.WriteHeader(coded.Code.Status)
-	_ = json.NewEncoder(w).Encode(apierror.ToBody(err)) // a caller that has gone has its own error
+	_ = json.NewEncoder(w).Encode(apierror.ToBody(err)) // fails only if the client has disconnected
 }
 
-// HandleReady answers the readiness check at GET /ready: 200 or 503.
+// HandleReady adds the readiness check GET /ready, which responds 200 or 503.
 func HandleReady(mux *http.ServeMux, ready func() bool) {
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
 		if !ready() {
@@ -175,7 +173,7 @@
 	})
 }
 
-// RetryAfter writes a duration as a Retry-After header has it: whole seconds, rounded up.
+// RetryAfter formats a duration for a Retry-After header: whole seconds, rounded up.
 func RetryAfter(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
--- a/rpc/sleep.go
+++ b/rpc/sleep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sleep waits, or gives the context's error if it ends before. No timer is made for a wait that is over already: one that is due when it is
-// made can crash the race detector inside a synctest bubble (docs/results.md).
+// Sleep waits for d, or returns the context's error if the context ends first. It creates no timer if d is zero or negative: a timer that is
+// already due when it is created can crash the race detector inside a synctest bubble (docs/results.md).
 func Sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -21,8 +21,7 @@
 	}
 }
 
-// Every calls run at each interval until the context ends. A call that takes longer than the interval delays the next one, which then begins
-// at once.
+// Every calls run once per interval until the context ends. After a call that takes longer than the interval, the next one starts at once.
 func Every(ctx context.Context, interval time.Duration, run func()) {
 	next := time.Now().Add(interval)
 	for Sleep(ctx, time.Until(next)) == nil {
--- a/rpc/sleep_test.go
+++ b/rpc/sleep_test.go
@@ -11,7 +11,7 @@
 	"asterridge/rpc"
 )
 
-// Calls come at each interval; one that takes longer delays the next, which begins at once, and the intervals count from there.
+// Every calls its function once per interval. After a call that takes longer, the next one starts at once and the intervals count from there.
 func TestEveryCallsAtEachInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -28,12 +28,12 @@
 			}
 		})
 		is.Equal(calls, []time.Duration{1000 * time.Millisecond, 2000 * time.Millisecond, 4500 * time.Millisecond, 5500 * time.Millisecond})
-		is.Equal(time.Since(start), 5500*time.Millisecond) // it ends with the context
+		is.Equal(time.Since(start), 5500*time.Millisecond) // Every returns when the context ends
 	})
 }
 
-// A wait that is over already takes no time, and tells whether the context has ended.
-func TestSleepOfNoTime(t *testing.T) {
+// A zero or negative wait returns at once, and reports whether the context has ended.
+func TestSleepWithoutDurationReturnsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(context.Background())
