--- a/daemon/connections.go
+++ b/daemon/connections.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// ConnectionTimeouts are how long a connection may be idle, and how long the header of a request may take to arrive.
+// ConnectionTimeouts limits how long a connection may be idle and how long the header of a request may take to arrive.
 type ConnectionTimeouts struct{ Header, Idle time.Duration }
 
-// connectionSet has the open connections of a server.
+// connectionSet tracks the open connections of a server.
 type connectionSet struct {
 	mu   sync.Mutex
 	open map[*trackedConn]struct{}
@@ -29,7 +29,7 @@
 	delete(s.open, c)
 }
 
-// interruptIdle ends the connections from which nothing of a request was read, and gives how many are still open.
+// interruptIdle interrupts the connections on which no byte of a request has been read, and returns the number of open connections.
 func (s *connectionSet) interruptIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,7 @@
 	return len(s.open)
 }
 
-// trackingListener wraps the connections that it accepts.
+// trackingListener wraps accepted connections in a trackedConn and adds them to a connectionSet.
 type trackingListener struct {
 	net.Listener
 	connections *connectionSet
@@ -56,7 +56,7 @@
 	return wrapped, nil
 }
 
-// trackedConn closes itself when it has been idle, or a header has been under way, for too long.
+// trackedConn enforces the ConnectionTimeouts of one connection.
 type trackedConn struct {
 	net.Conn
 	connections *connectionSet
@@ -64,15 +64,15 @@
 	mu     sync.Mutex
 	timer  *time.Timer // runs while the connection is idle or a header is arriving
 	header time.Duration
-	idle   bool // no byte of the next request was read
-	// headerEnd is when the header that is arriving has to be whole; zero while none is.
+	idle   bool // no byte of the next request has been read
+	// headerEnd is the deadline of the header that is arriving; zero if none is.
 	headerEnd time.Time
-	// interrupted: the read under way fails unless it has bytes already.
+	// interrupted is true if the current or next Read fails unless it already has bytes.
 	interrupted bool
 }
 
-// interruptIdle ends the connection unless something of a request was read. The read that waits for it fails, and so the server closes it;
-// a read that has bytes at the same moment goes on.
+// interruptIdle ends the connection unless a byte of a request has been read: the pending read fails, and the server then closes the
+// connection. A read that gets bytes at the same moment succeeds, and its request is served.
 func (c *trackedConn) interruptIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,20 +81,20 @@
 	}
 }
 
-// interrupt has the read under way fail, or the next one; c.mu is held.
+// interrupt makes the pending read fail, or the next one if none is pending. The caller holds c.mu.
 func (c *trackedConn) interrupt() {
 	c.interrupted = true
-	_ = c.Conn.SetReadDeadline(time.Unix(0, 1)) // long past; a connection that is closed already is what is wanted
+	_ = c.Conn.SetReadDeadline(time.Unix(0, 1)) // a time in the past; fails only if the connection is closed already
 }
 
-// Close closes the connection.
+// Close closes the connection and removes it from its connectionSet.
 func (c *trackedConn) Close() error {
 	c.connections.remove(c)
 	c.stopIdle()
 	return c.Conn.Close()
 }
 
-// startIdle begins to wait for a request.
+// startIdle starts the idle timer of a connection that waits for a request.
 func (c *trackedConn) startIdle(times ConnectionTimeouts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,8 +103,8 @@
 	c.timer = time.AfterFunc(times.Idle, c.expire)
 }
 
-// expire ends the connection whose time is over: an idle one by its next read, one whose header does not come at once. The time of a header
-// that began just now has not run out.
+// expire runs when the timer fires. It interrupts an idle connection through its pending read, and closes a connection whose header is late
+// at once. It does nothing if a header started to arrive just before the timer fired, as that header's deadline is still to come.
 func (c *trackedConn) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,11 +112,11 @@
 	case c.idle:
 		c.interrupt()
 	case !c.headerEnd.IsZero() && !time.Now().Before(c.headerEnd):
-		_ = c.Conn.Close() // a connection that is closed already is what is wanted
+		_ = c.Conn.Close() // fails only if the connection is closed already
 	}
 }
 
-// stopIdle ends the wait: a whole header has arrived, or the connection is closed.
+// stopIdle stops the timer: a complete header has arrived, or the connection is closed.
 func (c *trackedConn) stopIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,10 +130,10 @@
 	}
 }
 
-// NetConn gives the connection below.
+// NetConn returns the wrapped connection.
 func (c *trackedConn) NetConn() net.Conn { return c.Conn }
 
-// CloseWrite is what net/http ends a connection with whose other side may still be sending.
+// CloseWrite closes the sending direction. net/http uses it to end a connection whose peer may still be sending.
 func (c *trackedConn) CloseWrite() error {
 	if half, canHalf := c.Conn.(interface{ CloseWrite() error }); canHalf {
 		return half.CloseWrite()
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// Read notes when the first byte of a request arrives: from then on its header has its own time.
+// Read reads from the connection. The first byte of a request ends the idle time and starts the time limit of the request's header.
 func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
@@ -153,7 +153,7 @@
 		}
 		if c.interrupted {
 			c.interrupted = false
-			_ = c.Conn.SetReadDeadline(time.Time{}) // the request is served; as above
+			_ = c.Conn.SetReadDeadline(time.Time{}) // the request is served; fails only if the connection is closed already
 		}
 	}
 	return n, err
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is what every process of the fleet is made of: its host (name, address, network, log), its settings, a server that ends
-// in order, figures for scraping, and its part in the gossip about which processes run.
+// Package daemon has what every process of the fleet needs: its identity and environment (Host), settings, signal handling, an HTTP server
+// with graceful shutdown, Prometheus metrics, and the endpoints of the gossip failure detector.
 package daemon
 
 import (
@@ -10,21 +10,22 @@
 	"asterridge/rpc"
 )
 
-// Host is where a process runs, and whom it contacts first.
+// Host describes a process's identity and environment, and which other processes it contacts first.
 type Host struct {
 	Name    string // unique in the fleet
 	Fleet   string // messages from another fleet are rejected
 	Zone    string
-	Address string // ip:port at which other machines reach it
+	Address string // ip:port at which other machines reach this process
 	Seeds   []string
-	// BootstrapPeers are the addresses of the cores that make the first list of members; nil: this core's own and its seeds.
+	// BootstrapPeers are the addresses of the cores that form the initial membership; nil means this core's own address and its seeds.
 	BootstrapPeers []string
-	// Bootstrapped: the fleet was started before, so that an empty disk never makes a first list (docs/design.md §2.6).
+	// Bootstrapped is true if the fleet was started before: a core with an empty disk must not form an initial membership then
+	// (docs/design.md §2.6).
 	Bootstrapped bool
-	// GossipInterval is the time between two heartbeats; 0: 500 ms.
+	// GossipInterval is the time between two heartbeats; 0 means 500 ms.
 	GossipInterval time.Duration
 	Net            rpc.Network
 	Log            zerolog.Logger
-	// Clock is the wall clock, which is shown to operators and decides nothing; nil: the machine's.
+	// Clock is the wall clock for times shown to operators; no decision depends on it. nil means the machine's clock.
 	Clock func() time.Time
 }
--- a/daemon/fuzz_test.go
+++ b/daemon/fuzz_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Whatever stands in a settings file, it is read, or refused in words.
+// Any content of a settings file is either accepted with valid values or rejected with an error message.
 func FuzzSettingsFile(f *testing.F) {
 	f.Add([]byte(`{"name":"core-1","zone":"z","address":"10.0.0.1:7000","seeds":"10.0.0.2:7000, 10.0.0.3:7000","slots":3}`))
 	f.Add([]byte(`{"name":["a"],"slots":"many","log":true}`))
@@ -23,7 +23,7 @@
 			t.Errorf("read %d slots, name %q", *slots, s.Host.Name)
 		}
 		if err != nil && err.Error() == "" {
-			t.Error("refused without words")
+			t.Error("rejected without an error message")
 		}
 	})
 }
--- a/daemon/gossip.go
+++ b/daemon/gossip.go
@@ -13,7 +13,7 @@
 
 const (
 	defaultGossipInterval = 500 * time.Millisecond
-	// gossipWatchers is how many nodes watch each node's heartbeats.
+	// gossipWatchers is the number of nodes that watch each node's heartbeats.
 	gossipWatchers = 3
 )
 
@@ -32,7 +32,7 @@
 	return rpc.Call[gossip.SuspicionReply](ctx, t.client, address, "/ring/doubt", suspicion)
 }
 
-// NewDetector makes a process's failure detector; HandleGossip opens its endpoints.
+// NewDetector returns a process's failure detector. HandleGossip adds its endpoints.
 func NewDetector(host Host, role string, client *rpc.Client) *gossip.Detector {
 	interval := host.GossipInterval
 	if interval == 0 {
@@ -55,7 +55,7 @@
 	mux.Handle("POST /ring/doubt", rpc.Handler(fleet, detector.HandleSuspicion))
 }
 
-// NodeRows shows the nodes that a failure detector knows.
+// NodeRows returns one row for each node that a failure detector knows, as operators see it.
 func NodeRows(detector *gossip.Detector) (rows []router.Row) {
 	for _, node := range detector.Nodes() {
 		rows = append(rows, router.Row{"name": node.Name, "role": node.Role, "zone": node.Zone, "address": node.Address,
--- a/daemon/metrics.go
+++ b/daemon/metrics.go
@@ -7,23 +7,23 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metricsPrefix begins the names of all figures.
+// metricsPrefix is the prefix of all metric names.
 const metricsPrefix = "asterridge_"
 
-// Gauge is one figure.
+// Gauge is one value of a Prometheus gauge.
 type Gauge struct {
 	Name  string // without the prefix
 	Value float64
-	// Label is the name and the value of its only label; empty if it has none.
+	// Label is the name and the value of the gauge's only label; both are empty if it has none.
 	Label [2]string
 }
 
-// Gauges gives the figures of the moment when it is called.
+// Gauges returns the current values when it is called.
 type Gauges func() []Gauge
 
 var _ prometheus.Collector = Gauges(nil)
 
-// Describe implements prometheus.Collector. It sends nothing: which figures there are depends on what has happened.
+// Describe implements prometheus.Collector. It sends no descriptors, because the set of metrics changes at run time.
 func (Gauges) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
@@ -38,14 +38,14 @@
 	}
 }
 
-// HandleMetrics answers GET /metrics in the text format of Prometheus.
+// HandleMetrics adds GET /metrics, which serves the gauges in the Prometheus text format.
 func HandleMetrics(mux *http.ServeMux, gauges Gauges) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(gauges)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 }
 
-// BoolValue is 1 for true and 0 for false.
+// BoolValue converts a bool to a gauge value: 1 for true, 0 for false.
 func BoolValue(b bool) float64 {
 	if b {
 		return 1
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -13,15 +13,15 @@
 const (
 	readHeaderTimeout = 10 * time.Second
 	maxHeaderBytes    = 64 << 10
-	// drainInterval is the time between two looks at the connections that are left.
+	// drainInterval is how often Shutdown checks for open connections.
 	drainInterval = 10 * time.Millisecond
 	// IdleTimeout is how long a connection to a daemon may be idle.
 	IdleTimeout = 2 * time.Minute
-	// CloseTimeout is how long running answers may take when a daemon closes its listeners, where its options do not say.
+	// CloseTimeout is how long requests in progress may take once a daemon closes its listeners, unless its options give another limit.
 	CloseTimeout = time.Second
 )
 
-// Serve answers on a listener until the context ends, and then lets running answers finish for the grace.
+// Serve handles requests on a listener until the context ends. Requests in progress then have the grace period to finish.
 func Serve(ctx context.Context, listener net.Listener, handler http.Handler, grace time.Duration) error {
 	timeouts := func() ConnectionTimeouts { return ConnectionTimeouts{Header: readHeaderTimeout, Idle: IdleTimeout} }
 	server := NewServer(&http.Server{Handler: handler, MaxHeaderBytes: maxHeaderBytes}, listener, timeouts)
@@ -39,22 +39,22 @@
 	return nil
 }
 
-// Server is an http.Server that answers each request which it has read, also when it is shut down and when a connection has been idle for too
-// long.
+// Server is an http.Server that responds to every request that it has read, even during shutdown or when the idle timeout of the connection
+// expires.
 //
-// http.Server.Shutdown and SetKeepAlivesEnabled close a connection as long as the header of its next request was not read to its end and
-// noted, which is some time after its bytes were read: such a request is handled, and its client has no answer. A Server ends a connection by
-// way of its next read instead, which either brings bytes, and then the request is served, or fails without any.
+// http.Server.Shutdown and SetKeepAlivesEnabled close a connection until the complete header of its next request has been read and the
+// connection marked active, which is some time after the bytes were read. A request in between is handled, but its client gets no response.
+// A Server instead makes the connection's next read fail. That read either returns bytes, and the request is served, or fails without any.
 type Server struct {
 	http        *http.Server
 	listener    net.Listener
 	connections *connectionSet
 	draining    atomic.Bool
-	accepting   chan struct{} // closed when no connection is accepted any more
+	accepting   chan struct{} // closed when the server has stopped accepting connections
 }
 
-// NewServer makes a server of a listener's connections. It takes over the http.Server, whose own time-outs must be zero: timeouts is asked
-// anew for each request.
+// NewServer returns a Server for the connections of a listener. It takes over the http.Server, whose own timeouts must be zero. It calls
+// timeouts again before each request.
 func NewServer(server *http.Server, listener net.Listener, timeouts func() ConnectionTimeouts) *Server {
 	connections := newConnectionSet()
 	s := &Server{http: server, listener: trackingListener{listener, connections}, connections: connections, accepting: make(chan struct{})}
@@ -74,23 +74,23 @@
 	return s
 }
 
-// Serve accepts connections until Shutdown is called or the listener fails, whose error it returns.
+// Serve accepts connections until Shutdown is called or the listener fails, and returns the listener's error.
 func (s *Server) Serve() error {
 	defer close(s.accepting)
 	return s.http.Serve(s.listener)
 }
 
-// Drain has each answer that begins from now on end its connection. Connections are accepted as before.
+// Drain makes every response that starts from now on close its connection. New connections are still accepted.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown accepts no more connections, and ends each that is open once no request is on it. What is left when the context ends is cut off.
-// It is called once Serve was.
+// Shutdown stops accepting connections and closes each open connection once it has no request in progress. Connections that are still open
+// when the context ends are closed. Shutdown may only be called after Serve.
 func (s *Server) Shutdown(ctx context.Context) {
 	_ = s.listener.Close() // the server may have closed it after a failure
 	<-s.accepting
 	for s.connections.interruptIdle() > 0 && rpc.Sleep(ctx, drainInterval) == nil {
 	}
-	_ = s.http.Close() // what is left is cut off
+	_ = s.http.Close() // closes the remaining connections; its error does not matter during shutdown
 }
 
 func (s *Server) closeWhileDraining(next http.Handler) http.Handler {
--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -14,13 +14,13 @@
 	"asterridge/sim"
 )
 
-// A request on a kept connection that was read just when a daemon closes its listener, or whose connection had been idle for just as long as
-// it may, is answered.
+// A request on a keep-alive connection gets its response even if it was read just as the daemon shut down or as the connection's idle
+// timeout expired. http.Server alone closes such a connection without a response.
 func TestServeAnswersARequestThatWasReadBeforeItsConnectionEnds(t *testing.T) {
 	const grace = 8 * time.Second
 	for name, end := range map[string]func(stop func()){
-		"the daemon stops":           func(stop func()) { stop() },
-		"idle for as long as it may": func(func()) {},
+		"the daemon stops":         func(stop func()) { stop() },
+		"the idle timeout expires": func(func()) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -42,7 +42,7 @@
 				time.Sleep(daemon.IdleTimeout - time.Millisecond)
 				listener.Stall()
 				is.NoErr(client.Send("body"))
-				synctest.Wait() // it was read
+				synctest.Wait() // the server has read the request
 				end(stop)
 				time.Sleep(grace / 4)
 				listener.Resume()
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -19,7 +19,7 @@
 	"asterridge/rpc"
 )
 
-// Settings are a program's flags, which a settings file may give too; a flag beats the file.
+// Settings are a program's flags. A settings file may set them too; flags on the command line take precedence.
 type Settings struct {
 	flags        *flag.FlagSet
 	usage        func()
@@ -31,7 +31,7 @@
 	checks       []func() error
 }
 
-// NewSettings has the flags that every daemon knows.
+// NewSettings returns settings with the flags that all daemons share.
 func NewSettings(program, purpose string) *Settings {
 	s := &Settings{flags: flag.NewFlagSet(program, flag.ContinueOnError)}
 	s.usage = func() {
@@ -49,10 +49,10 @@
 	return s
 }
 
-// Text adds a flag.
+// Text adds a flag that takes a string.
 func (s *Settings) Text(name, value, usage string) *string { return s.flags.String(name, value, usage) }
 
-// Integer adds a flag with a range.
+// Integer adds a flag that takes an integer from least to most.
 func (s *Settings) Integer(name string, value, least, most int, usage string) *int {
 	n := s.flags.Int(name, value, usage)
 	s.checks = append(s.checks, func() error {
@@ -71,7 +71,7 @@
 	return text
 }
 
-// Require marks flags that may not stay empty.
+// Require marks flags that must not be empty.
 func (s *Settings) Require(names ...string) {
 	for _, name := range names {
 		s.checks = append(s.checks, func() error {
@@ -103,9 +103,9 @@
 	return nil
 }
 
-// Read takes the command line and the file. Errors name the field.
+// Read parses the command line and the settings file. Its errors name the field.
 func (s *Settings) Read(args []string) error {
-	s.flags.SetOutput(io.Discard) // one line of our own, without the whole list of flags
+	s.flags.SetOutput(io.Discard) // errors are reported as one line, without the list of flags
 	err := s.flags.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
 		s.flags.SetOutput(os.Stdout)
@@ -163,16 +163,16 @@
 	return s.Host.Address
 }
 
-// Listen opens the port that other machines reach.
+// Listen listens on the address of -listen, or of -address if that is empty.
 func (s *Settings) Listen() (net.Listener, error) { return s.Host.Net.Listen(s.listenAt()) }
 
-// readFile takes the settings of the file that the command line does not give.
+// readFile applies the settings of the file that are not set on the command line.
 func (s *Settings) readFile() error { return s.parseFile(s.flags.Set) }
 
-// checkFile reports whether the settings file can be read; what is in force stays. Ranges are looked at by the next start only.
+// checkFile reports whether the settings file can be read, without applying it. Ranges are checked only at the next start.
 func (s *Settings) checkFile() error { return s.parseFile(func(string, string) error { return nil }) }
 
-// parseFile hands each setting of the file that the command line does not give to take.
+// parseFile calls take with each setting of the file that is not set on the command line.
 func (s *Settings) parseFile(take func(name, value string) error) error {
 	if *s.settingsFile == "" {
 		return nil
@@ -214,7 +214,7 @@
 	return apierror.Wrap(err, apierror.Settings, filepath.Base(*s.settingsFile))
 }
 
-// formatMessage writes a line's message; a line without one begins with its fields.
+// formatMessage formats a log line's message, and returns "" if it has none so that the line starts with its fields.
 func formatMessage(message any) string {
 	if message == nil {
 		return ""
@@ -222,7 +222,7 @@
 	return fmt.Sprint(message)
 }
 
-// Logger writes one line for each event: what happened, in words, and then key=value.
+// Logger returns a logger that writes one line per event: the message followed by key=value fields.
 func Logger(w io.Writer, level zerolog.Level) zerolog.Logger {
 	lines := zerolog.ConsoleWriter{Out: w, NoColor: true, TimeFormat: "2006-01-02T15:04:05.000Z07:00",
 		FormatLevel:     func(l any) string { return fmt.Sprintf("level=%v", l) },
@@ -232,7 +232,7 @@
 	return zerolog.New(lines).Level(level).With().Timestamp().Logger()
 }
 
-// Main reads the settings, runs the daemon until it is told to stop, and exits: 0 after a stop, 2 for bad settings, 1 for a failure.
+// Main reads the settings, runs the daemon and exits: with status 0 after a requested stop, 1 after a failure, 2 for invalid settings.
 func Main(s *Settings, run func(ctx context.Context) error) {
 	signals := CatchSignals()
 	err := s.Read(os.Args[1:])
--- a/daemon/settings_test.go
+++ b/daemon/settings_test.go
@@ -12,7 +12,7 @@
 	"asterridge/golden"
 )
 
-// Each wrong flag or setting is named in one line.
+// Each invalid flag or setting is reported in one line that names it.
 func TestGoldenOfSettings(t *testing.T) {
 	folder := t.TempDir()
 	file := func(text string) string {
@@ -49,8 +49,8 @@
 	golden.Compare(t, "testdata/settings.txt", out.String())
 }
 
-// The examples are read by the same checks.
-func TestExampleSettingsAreGood(t *testing.T) {
+// The settings files under examples/ pass the checks of the daemons.
+func TestExampleSettingsAreValid(t *testing.T) {
 	is := is.New(t)
 	files, err := filepath.Glob("../examples/*/settings/*.json")
 	is.NoErr(err)
--- a/daemon/signals.go
+++ b/daemon/signals.go
@@ -16,19 +16,19 @@
 	exitBadSettings = 2
 )
 
-// Signals takes a process's signals over from their default actions, which would end it at once and cut what it serves. It keeps them from
-// CatchSignals on until the process is gone, in every phase between: they are never given back.
+// Signals handles a process's signals in place of their default actions, which would end it at once and abort the requests in progress. It
+// does so from CatchSignals until the process exits; the default actions are never restored.
 //
-// SIGTERM and SIGINT tell the process to stop; what follows the first of them changes nothing. SIGHUP tells it to read its settings again.
-// SIGPIPE is ignored: a log that nobody reads is lost, the process is not.
+// SIGTERM and SIGINT tell the process to stop; later ones have no effect. SIGHUP makes it read its settings again. SIGPIPE is ignored, so
+// that a closed log pipe loses the log but does not end the process.
 type Signals struct {
 	stop   chan os.Signal
 	reload chan os.Signal
 }
 
-// CatchSignals is the first thing that a daemon does. The signals that come before Run are acted upon by Run.
+// CatchSignals starts to receive signals. A daemon calls it first of all; signals that arrive before Run are handled by Run.
 func CatchSignals() *Signals {
-	// One place each: a signal that is pending already says the same, and a flood of one kind does not crowd out the other.
+	// Each channel buffers one signal: a second one of the same kind adds nothing, and many of one kind cannot displace the other kind.
 	s := &Signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGINT, syscall.SIGTERM)
 	signal.Notify(s.reload, syscall.SIGHUP)
@@ -36,8 +36,8 @@
 	return s
 }
 
-// Run calls work, and gives the process's exit status once work has returned: 0 without an error, else 1. The context of work ends when the
-// process is told to stop; reload is called at each SIGHUP, also after that. A process that was told to stop before Run does not begin work.
+// Run calls work and returns the process's exit status: 0 if work returned no error, else 1. The context of work ends when the process is
+// told to stop. reload is called at each SIGHUP, even after that. If the process was told to stop before Run, work is not called.
 func (s *Signals) Run(log zerolog.Logger, reload func() error, work func(ctx context.Context) error) (status int) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -59,21 +59,21 @@
 	return exitStopped
 }
 
-// awaitStop ends the context of work at the first signal to stop. Later ones stay where they are.
+// awaitStop ends the context of work at the first stop signal. Later ones are ignored.
 func (s *Signals) awaitStop(log zerolog.Logger, stop context.CancelFunc) {
 	received := <-s.stop
-	stop() // before the line, which may take long to write
+	stop() // before logging, as the write to the log may block
 	logStop(log, received)
 }
 
-// handleReloads reads the settings again at each SIGHUP until the process is gone.
+// handleReloads calls reload at each SIGHUP until the process exits.
 func (s *Signals) handleReloads(log zerolog.Logger, reload func() error) {
 	for range s.reload {
 		log.Info().AnErr("failure", reload()).Msg("settings read again")
 	}
 }
 
-// logStop writes which signal told the process to stop. A process that ends without this line and "process ended" was killed or failed.
+// logStop logs which signal stopped the process. If neither this line nor "process ended" is in the log, the process was killed or failed.
 func logStop(log zerolog.Logger, received os.Signal) {
 	log.Info().Str("signal", received.String()).Msg("stop requested")
 }
