--- a/disk/disk.go
+++ b/disk/disk.go
@@ -1,4 +1,5 @@
-// Package disk keeps one file for each version, written aside and renamed (docs/design.md §2.5).
+// Package disk stores files with checksums and replaces them atomically: a file is written under a temporary name and then renamed
+// (docs/design.md §2.5).
 package disk
 
 import (
@@ -9,41 +10,41 @@
 	"asterridge/apierror"
 )
 
-// Disk is a flat set of folders with files. When Put returns nil, the file and all names of its folder survive a loss of power. When it
-// returns an error, the file may be there all the same, and may come or go with a loss of power.
+// Disk is a set of folders, one level deep, that hold files. When Put returns nil, the file and all names in its folder survive a power
+// loss. When Put returns an error, the file may exist nevertheless, and may appear or disappear after a power loss.
 type Disk interface {
 	Put(folder, name string, data []byte) error
 	Get(folder, name string) ([]byte, error)
 	List(folder string) ([]string, error) // "" lists the folders
-	// Drop removes a file, if it is there. The removal survives a loss of power only after the next Put or Sync of the folder.
+	// Drop removes a file if it exists. The removal survives a power loss only after the next Put or Sync of the folder.
 	Drop(folder, name string) error
-	// Sync has the names of a folder, as they are now, survive a loss of power.
+	// Sync makes the current names in a folder survive a power loss.
 	Sync(folder string) error
 }
 
-// castagnoli is the polynomial of the checksums.
+// castagnoli is the CRC-32 table for the checksums.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Seal puts a checksum line before the data.
+// Seal returns the data with a first line that holds its checksum and size.
 func Seal(data []byte) []byte {
 	head := fmt.Sprintf("asterridge1 %08x %d\n", crc32.Checksum(data, castagnoli), len(data))
 	return append([]byte(head), data...)
 }
 
-// Open checks a sealed file and gives its data. The error is apierror.Torn if the seal does not fit.
+// Open verifies the checksum and size of a sealed file and returns its data. The error is apierror.Torn if they do not match.
 func Open(sealed []byte) ([]byte, error) {
 	end := bytes.IndexByte(sealed, '\n')
 	if end < 0 {
-		return nil, apierror.New(apierror.Torn, "no first line")
+		return nil, apierror.New(apierror.Torn, "file has no checksum line")
 	}
 	var sum uint32
 	var size int
 	if _, err := fmt.Sscanf(string(sealed[:end]), "asterridge1 %x %d", &sum, &size); err != nil {
-		return nil, apierror.New(apierror.Torn, "foreign first line")
+		return nil, apierror.New(apierror.Torn, "file does not start with a checksum line")
 	}
 	data := sealed[end+1:]
 	if len(data) != size || crc32.Checksum(data, castagnoli) != sum {
-		return nil, apierror.New(apierror.Torn, "checksum does not fit")
+		return nil, apierror.New(apierror.Torn, "size or checksum does not match the data")
 	}
 	return data, nil
 }
--- a/disk/disk_test.go
+++ b/disk/disk_test.go
@@ -10,7 +10,7 @@
 	"asterridge/apierror"
 )
 
-func TestFolderKeepsSealedFilesAndNamesTornOnes(t *testing.T) {
+func TestFolderReadsSealedFilesAndReportsTornOnes(t *testing.T) {
 	is := is.New(t)
 	d, err := NewFolder(filepath.Join(t.TempDir(), "data"))
 	is.NoErr(err)
@@ -18,7 +18,7 @@
 	got, err := d.Get("k", "v.1")
 	is.NoErr(err)
 	is.Equal(string(got), `{"a":1}`)
-	is.NoErr(d.Put("k", "v.1", nil)) // written again, and empty
+	is.NoErr(d.Put("k", "v.1", nil)) // overwritten with empty data
 	got, err = d.Get("k", "v.1")
 	is.NoErr(err)
 	is.Equal(len(got), 0)
@@ -34,11 +34,11 @@
 	is.NoErr(os.WriteFile(filepath.Join(d.Root, "k", ".aside-7"), sealed, 0o644))
 	names, err := d.List("k")
 	is.NoErr(err)
-	is.Equal(names, []string{"v.1", "v.3"}) // what a crash left aside is gone
+	is.Equal(names, []string{"v.1", "v.3"}) // List skips and removes the temporary file of a crashed write
 	folders, err := d.List("")
 	is.NoErr(err)
 	is.Equal(folders, []string{"k"})
 	is.NoErr(os.RemoveAll(d.Root))
-	is.NoErr(os.WriteFile(d.Root, nil, 0o644)) // no folder any more: every write fails, none is a false yes
+	is.NoErr(os.WriteFile(d.Root, nil, 0o644)) // the root is no longer a folder: writes must report an error
 	is.True(apierror.Is(d.Put("k", "v.1", nil), apierror.DiskFailed))
 }
--- a/disk/files.go
+++ b/disk/files.go
@@ -5,8 +5,7 @@
 	"os"
 )
 
-// Files are the operations of a file system that a Folder is made of. Names that do not exist are reported by errors that are
-// fs.ErrNotExist.
+// Files has the file system operations that a Folder uses. If a name does not exist, the error matches fs.ErrNotExist.
 type Files interface {
 	MkdirAll(path string) error
 	CreateTemp(folder, prefix string) (File, error)
@@ -14,11 +13,11 @@
 	Remove(path string) error
 	ReadFile(path string) ([]byte, error)
 	ReadDir(path string) ([]Entry, error)
-	// SyncDir has the names of a folder survive a loss of power.
+	// SyncDir makes the names in a folder survive a power loss.
 	SyncDir(path string) error
 }
 
-// File is a file that is being written.
+// File is a file that is open for writing.
 type File interface {
 	Name() string
 	Write(data []byte) (int, error)
@@ -26,13 +25,13 @@
 	Close() error
 }
 
-// Entry is a name in a folder.
+// Entry is a file or a folder within a folder.
 type Entry struct {
 	Name string
 	Dir  bool
 }
 
-// systemFiles is the file system of the machine.
+// systemFiles implements Files on the operating system's file system.
 type systemFiles struct{}
 
 // MkdirAll implements Files.
@@ -51,7 +50,7 @@
 func (systemFiles) CreateTemp(folder, prefix string) (File, error) {
 	file, err := os.CreateTemp(folder, prefix)
 	if err != nil {
-		return nil, err // not a nil *os.File in an interface that is not nil
+		return nil, err // returning file here would give a non-nil interface that holds a nil *os.File
 	}
 	return file, nil
 }
--- a/disk/folder.go
+++ b/disk/folder.go
@@ -9,32 +9,32 @@
 	"asterridge/apierror"
 )
 
-// tempPrefix begins the names of files that are being written.
+// tempPrefix is the name prefix of files that are being written.
 const tempPrefix = ".aside-"
 
-// Folder is a Disk in one data folder of a file system.
+// Folder implements Disk in a data folder of a file system.
 type Folder struct {
 	Root  string
 	files Files
 
 	mu      sync.Mutex
-	durable map[string]bool // folders whose own names survive a loss of power
+	durable map[string]bool // folders whose own names survive a power loss
 }
 
-// NewFolder opens a data folder of the machine, and makes it if need be.
+// NewFolder opens a data folder on the operating system's file system, and creates it if necessary.
 func NewFolder(root string) (*Folder, error) { return NewFolderOn(systemFiles{}, root) }
 
-// NewFolderOn opens a data folder of any file system, and makes it if need be. The error is apierror.DiskFailed.
+// NewFolderOn opens a data folder on any file system, and creates it if necessary. The error is apierror.DiskFailed.
 func NewFolderOn(files Files, root string) (*Folder, error) {
 	d := &Folder{Root: root, files: files, durable: map[string]bool{}}
 	if err := files.MkdirAll(root); err != nil {
-		return nil, apierror.Wrap(err, apierror.DiskFailed, "make data folder")
+		return nil, apierror.Wrap(err, apierror.DiskFailed, "create data folder")
 	}
 	entries, err := files.ReadDir(root)
 	if err != nil {
 		return nil, apierror.Wrap(err, apierror.DiskFailed, "list data folder")
 	}
-	// A process before this one may have made folders and died before they were synced.
+	// An earlier process may have created folders and crashed before it synced their names.
 	for _, path := range []string{root, filepath.Dir(root)} {
 		if err := d.syncDir(path); err != nil {
 			return nil, err
@@ -46,7 +46,7 @@
 	return d, nil
 }
 
-// Put writes the file under another name, syncs it, renames it and syncs the folder.
+// Put writes the data to a temporary file, syncs it, renames it to name and syncs the folder.
 func (d *Folder) Put(folder, name string, data []byte) error {
 	if err := d.ensure(folder); err != nil {
 		return err
@@ -67,13 +67,14 @@
 		err = d.files.Rename(temp.Name(), filepath.Join(path, name))
 	}
 	if err != nil {
-		_ = d.files.Remove(temp.Name()) // else the next process does it
+		_ = d.files.Remove(temp.Name()) // if this fails, a later List removes it
 		return apierror.Wrap(err, apierror.DiskFailed, "write "+name)
 	}
 	return d.syncDir(path)
 }
 
-// ensure makes a folder whose name survives a loss of power. A folder that is there is not enough: the sync after it was made may have failed.
+// ensure creates a folder and makes its name survive a power loss. That the folder exists is not enough: the sync after its creation may have
+// failed.
 func (d *Folder) ensure(folder string) error {
 	d.mu.Lock()
 	durable := d.durable[folder]
@@ -82,7 +83,7 @@
 		return nil
 	}
 	if err := d.files.MkdirAll(filepath.Join(d.Root, folder)); err != nil {
-		return apierror.Wrap(err, apierror.DiskFailed, "make folder")
+		return apierror.Wrap(err, apierror.DiskFailed, "create folder")
 	}
 	if err := d.syncDir(d.Root); err != nil {
 		return err
@@ -93,15 +94,15 @@
 	return nil
 }
 
-// syncDir syncs the names of a folder.
+// syncDir syncs the names in a folder given by its path.
 func (d *Folder) syncDir(path string) error {
 	return apierror.Wrap(d.files.SyncDir(path), apierror.DiskFailed, "sync folder")
 }
 
-// Sync syncs a folder's names.
+// Sync makes the current names in a folder survive a power loss.
 func (d *Folder) Sync(folder string) error { return d.syncDir(filepath.Join(d.Root, folder)) }
 
-// Get reads a file and checks its seal. The errors are apierror.NotFound, Torn and DiskFailed.
+// Get reads a file and verifies its checksum. The errors are apierror.NotFound, Torn and DiskFailed.
 func (d *Folder) Get(folder, name string) ([]byte, error) {
 	sealed, err := d.files.ReadFile(filepath.Join(d.Root, folder, name))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -113,7 +114,7 @@
 	return Open(sealed)
 }
 
-// List names the files of a folder, or the folders; files that were left half written are removed.
+// List returns the names of the files in a folder, or of all folders if folder is empty. It removes temporary files of interrupted writes.
 func (d *Folder) List(folder string) ([]string, error) {
 	entries, err := d.files.ReadDir(filepath.Join(d.Root, folder))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -128,7 +129,7 @@
 			continue
 		}
 		if entry.Name[0] == '.' {
-			_ = d.files.Remove(filepath.Join(d.Root, folder, entry.Name)) // else the next listing does it
+			_ = d.files.Remove(filepath.Join(d.Root, folder, entry.Name)) // if this fails, the next List removes it
 			continue
 		}
 		names = append(names, entry.Name)
