--- a/protocol/agent_status.go
+++ b/protocol/agent_status.go
@@ -2,14 +2,14 @@
 
 import "asterridge/router"
 
-// AgentStatus is what an agent reports of itself and its proxy with each watch request to a core.
+// AgentStatus is what an agent reports about itself and its proxy with each watch request to a core.
 type AgentStatus struct {
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
-	// Current is true while the agent may vouch for its proxy's configuration (docs/design.md §3.2).
+	// Current is true while the agent can confirm that its proxy's configuration is current (docs/design.md §3.2).
 	Current bool `json:"current"`
-	// NotCurrentReason says in words why it is not; empty while it is.
+	// NotCurrentReason explains to an operator why Current is false; empty while it is true.
 	NotCurrentReason string `json:"why,omitempty"`
-	// Proxy is the status of the proxy beside the agent; nil while none is connected.
+	// Proxy is the status of the agent's proxy; nil while none is connected.
 	Proxy *router.Status `json:"proxy,omitempty"`
 }
--- a/protocol/doc.go
+++ b/protocol/doc.go
@@ -1,3 +1,4 @@
-// Package protocol has what cores and agents must agree on: messages that both sides know, the registers that are sent to agents, and the
-// times that the arithmetic of currency rests on (docs/design.md §3.2). Messages of one kind of process alone stay with its package.
+// Package protocol defines what cores and agents must agree on: the messages that both use, the registers that are sent to agents, and the
+// time limits that decide whether a configuration is current (docs/design.md §3.2). Messages that only one kind of process uses are defined
+// in that process's package.
 package protocol
--- a/protocol/registers.go
+++ b/protocol/registers.go
@@ -6,13 +6,13 @@
 	"asterridge/config"
 )
 
-// IdentityFolder is the folder of a process's disk that holds what concerns the process itself.
+// IdentityFolder is the folder of a process's disk that holds the process's own data, as opposed to registers.
 const IdentityFolder = "self"
 
-// ThrottlePrefix begins the keys of the registers that hold throttles, one for each scope.
+// ThrottlePrefix is the key prefix of the registers that hold throttles, one for each scope.
 const ThrottlePrefix = "hold/"
 
-// IsPublished reports whether a register is sent to the agents. Their currency counts every register of this kind (docs/design.md §3.2).
+// IsPublished reports whether a register is sent to the agents. An agent is current only if all of these are (docs/design.md §3.2).
 func IsPublished(key string) bool {
 	switch key {
 	case config.Key, config.ModelsKey, config.LoadsKey, config.RetirementKey, config.ReplicasKey, config.MembersKey:
--- a/protocol/throttles.go
+++ b/protocol/throttles.go
@@ -6,8 +6,8 @@
 	"asterridge/watch"
 )
 
-// MergeThrottles merges the throttles of a watch response into the table. Cores exchange throttles among themselves by it, and agents
-// take them from cores.
+// MergeThrottles merges the throttles of a watch response into the table. Cores use it for throttles from other cores, agents for those
+// from cores.
 func MergeThrottles(table *throttle.Table, response watch.Response) {
 	for _, update := range response.Updates {
 		if update.Key == router.ThrottleKey {
--- a/protocol/timing.go
+++ b/protocol/timing.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// The times that cores and agents agree on (docs/design.md §3.2 has the arithmetic).
+// The time limits that cores and agents must agree on (derived in docs/design.md §3.2).
 const (
-	// FreshLimit is T: how old a majority's answers may be for an agent to be current, where the deployment gives no bound of its own.
+	// FreshLimit is T: the greatest age of a majority's responses at which an agent is current, unless the deployment sets its own limit.
 	FreshLimit = 1200 * time.Millisecond
-	// UndecidedLimit is U: how long an agent stays current beside a version that may or may not be committed.
+	// UndecidedLimit is U: how long an agent stays current while it knows of a version that is in doubt.
 	UndecidedLimit = 500 * time.Millisecond
-	// ProxyTimeout is the age of its agent's last request at which a proxy no longer counts as running.
+	// ProxyTimeout is how long after its agent's last request a proxy still counts as running.
 	ProxyTimeout = 3 * time.Second
-	// QuorumTimeout is how long an owner waits for a majority's answers.
+	// QuorumTimeout is how long an owner waits for the responses of a majority.
 	QuorumTimeout = 1500 * time.Millisecond
-	// OperationTimeout bounds an operation that is sent to a core: that core may forward it to the owner, which waits for a majority.
+	// OperationTimeout limits an operation that is sent to a core: that core may forward it to the owner, which waits for a majority.
 	OperationTimeout = 2 * QuorumTimeout
 	// DefaultWatchWait is how long a watch request is held open when there is no update.
 	DefaultWatchWait = 100 * time.Millisecond
 	// HelloInterval is the time between two attempts to find the members.
 	HelloInterval = 200 * time.Millisecond
-	// HelloTimeout bounds one hello, so that a core that does not answer delays nobody for longer.
+	// HelloTimeout limits one hello, so that a core that does not respond cannot delay the sender for longer.
 	HelloTimeout = time.Second
-	// CacheReaderInterval is the time between two looks at which core reads which replica's cache updates.
+	// CacheReaderInterval is how often the cores determine which of them reads which replica's cache updates.
 	CacheReaderInterval = 500 * time.Millisecond
 )
