--- a/deployment/bounds.go
+++ b/deployment/bounds.go
@@ -1,5 +1,5 @@
-// Package deployment derives the options of the fleet's programs from what a deployment promises to its users. Sizes and times come from here,
-// never from a deployment's name.
+// Package deployment derives the options of agents, proxies and cores from the limits that a deployment guarantees to its users. Sizes and
+// times are derived from these limits only, never from a deployment's name.
 package deployment
 
 import (
@@ -13,63 +13,64 @@
 	"asterridge/proxy"
 )
 
-// Bounds are what a deployment promises to its users (docs/design.md §3.2, §6.2). A zero bound is one that it does not give.
+// Bounds are the limits that a deployment guarantees to its users (docs/design.md §3.2, §6.2). A zero value means no guarantee.
 type Bounds struct {
-	// RevocationClosed: a revoked access key is refused everywhere within KeyRevocation, also by a proxy that is cut off.
+	// RevocationClosed is true if a revoked access key must be rejected everywhere within KeyRevocation, even by a proxy that cannot reach
+	// the cores.
 	RevocationClosed bool
 	KeyRevocation    time.Duration
-	// ConfigApply is the time within which an accepted configuration is used.
+	// ConfigApply is the time within which an accepted configuration takes effect.
 	ConfigApply time.Duration
-	// ModelVersion is the time after which no request begins on a version before the published one.
+	// ModelVersion is the time after the publication of a model version from which no request starts on an older one.
 	ModelVersion time.Duration
-	// Lease is the least time between the orders of two holders of a singleton role.
+	// Lease is the minimum time between the orders of two successive holders of a singleton role.
 	Lease time.Duration
-	// Drain is the time after which a draining replica gets no more work.
+	// Drain is the time after which a draining replica gets no more requests.
 	Drain time.Duration
-	// Grace is the time from the signal to stop to the end of the process.
+	// Grace is the time from the stop signal to the end of the process.
 	Grace time.Duration
-	// RetryRatio and RetrySlack bound the second attempts of the fleet: that part of the first ones, and so many beyond it.
+	// RetryRatio and RetrySlack limit the fleet's retries to RetryRatio times the first attempts plus RetrySlack.
 	RetryRatio float64
 	RetrySlack float64
 	// GossipInterval is the time between two heartbeats.
 	GossipInterval time.Duration
 	// MemoryMB is the memory of one process.
 	MemoryMB int
-	// Tolerance is what may be lost at once.
+	// Tolerance is the set of simultaneous failures that the deployment survives.
 	Tolerance membership.Tolerance
 }
 
 const (
-	// staleMargin is taken off the bound on revoked keys: for the last look, the send, and the replica's own start.
+	// staleMargin is subtracted from KeyRevocation to leave time for the last check, the sending of a request, and its start on the replica.
 	staleMargin = time.Second
-	// maxStale bounds staleness where revocation is open.
+	// maxStale limits staleness in every case; it is the only limit if RevocationClosed is false.
 	maxStale = 10 * time.Second
-	// modelVersionMargin is taken off the bound on old versions: for the update to arrive, and the way to the replica.
+	// modelVersionMargin is subtracted from ModelVersion to leave time for the update to arrive and for the request to reach the replica.
 	modelVersionMargin = time.Second
-	// watchWait is how long watch requests of agents and proxies are held open, coreWatchWait those between cores.
+	// watchWait is how long watch requests of agents and proxies are held open; coreWatchWait is the same for those between cores.
 	watchWait     = 700 * time.Millisecond
 	coreWatchWait = 200 * time.Millisecond
-	// The grace by proxyStopDivisor is left when a proxy cuts its last requests, by agentStopDivisor when an agent no longer waits for its
-	// proxy. The users' rule allows no cut before the last sixth (docs/platform.md, LOST).
+	// A proxy aborts its remaining requests when 1/proxyStopDivisor of the grace period is left, and an agent stops waiting for its proxy when
+	// 1/agentStopDivisor is left. Requests may not be aborted before the last sixth of the grace period (docs/platform.md, LOST).
 	proxyStopDivisor = 8
 	agentStopDivisor = 10
-	// The grace by agentCloseDivisor and by coreCloseDivisor is what running answers may take when the process closes its listeners, up to
-	// daemon.CloseTimeout.
+	// Requests in progress get 1/agentCloseDivisor (agent) or 1/coreCloseDivisor (core) of the grace period when the process closes its
+	// listeners, but at most daemon.CloseTimeout.
 	agentCloseDivisor = 20
 	coreCloseDivisor  = 4
-	// readinessLinger covers two of the platform's checks of readiness.
+	// readinessLinger is long enough for two of the platform's readiness checks.
 	readinessLinger = 2200 * time.Millisecond
-	// claimRetention is how long clients' idempotency keys are remembered.
+	// claimRetention is how long the idempotency keys of clients are kept.
 	claimRetention = time.Hour
-	// bodyMemoryShare is the part of the memory that holds clients' bodies: a quarter.
+	// bodyMemoryShare is the divisor for the part of a proxy's memory that may hold request bodies: a quarter.
 	bodyMemoryShare = 4
-	// pendingMemoryDivisor gives the part of a core's memory that holds the changes which wait for one member's answer: a sixteenth.
+	// pendingMemoryDivisor is the divisor for the part of a core's memory for changes that wait for one member's response: a sixteenth.
 	pendingMemoryDivisor = 16
-	// indexEntriesPerMB sizes the prefix index.
+	// indexEntriesPerMB is the number of prefix index entries per megabyte of memory.
 	indexEntriesPerMB = 100
 )
 
-// maxStaleness is how long a proxy serves by what it knows without hearing a majority of the cores (T and U).
+// maxStaleness is how long a proxy may serve requests without news from a majority of the cores (used for both T and U).
 func (b Bounds) maxStaleness() time.Duration {
 	if !b.RevocationClosed {
 		return maxStale
@@ -82,7 +83,7 @@
 	return max(b.ModelVersion/2, b.ModelVersion-modelVersionMargin)
 }
 
-// Agent gives an agent's options.
+// Agent returns an agent's options.
 func (b Bounds) Agent() agent.Options {
 	return agent.Options{
 		FreshLimit:     b.maxStaleness(),
@@ -93,7 +94,7 @@
 	}
 }
 
-// Proxy gives a proxy's options.
+// Proxy returns a proxy's options.
 func (b Bounds) Proxy() proxy.Options {
 	return proxy.Options{
 		Grace:           b.Grace - b.Grace/proxyStopDivisor,
@@ -107,7 +108,7 @@
 	}
 }
 
-// Core gives a core's options.
+// Core returns a core's options.
 func (b Bounds) Core() controlplane.Options {
 	return controlplane.Options{
 		ClaimRetention:  claimRetention,
--- a/deployment/bounds_test.go
+++ b/deployment/bounds_test.go
@@ -10,8 +10,8 @@
 	"asterridge/protocol"
 )
 
-// What follows from a deployment's bounds: where revoked keys are to be refused everywhere, a proxy serves without news for less than that
-// takes; else for long; old versions end before their bound, and daemons before theirs.
+// The options keep within the deployment's limits: if revoked keys must be rejected everywhere, a proxy serves without news for less than
+// KeyRevocation, else for up to 10 s; old versions end before ModelVersion, and a core leaves before the grace period ends.
 func TestOptionsFollowFromBounds(t *testing.T) {
 	is := is.New(t)
 	b := Bounds{RevocationClosed: true, KeyRevocation: 5 * time.Second, ModelVersion: 15 * time.Second, Lease: 3 * time.Second, Grace: 8 * time.Second, MemoryMB: 284, Tolerance: membership.Tolerance{Machines: 2}}
@@ -30,11 +30,11 @@
 	b.RevocationClosed, b.KeyRevocation = true, time.Minute
 	is.Equal(b.Agent().FreshLimit, 10*time.Second)
 	b.KeyRevocation = time.Second
-	is.Equal(b.Agent().FreshLimit, protocol.FreshLimit) // no less than links need
+	is.Equal(b.Agent().FreshLimit, protocol.FreshLimit) // never below the default, which allows for network delays
 }
 
-// Whatever the grace: a proxy cuts nothing before its last sixth, the agent outlasts its proxy, and each process has ended before the grace has.
-func TestStopFitsIntoTheGrace(t *testing.T) {
+// For any grace period, a proxy aborts no request before the last sixth, the agent runs longer than its proxy, and every process ends in time.
+func TestShutdownFitsIntoGracePeriod(t *testing.T) {
 	is := is.New(t)
 	for _, grace := range []time.Duration{900 * time.Millisecond, 2 * time.Second, 8 * time.Second, time.Minute} {
 		b := Bounds{Grace: grace}
