--- a/apierror/apierror.go
+++ b/apierror/apierror.go
@@ -1,4 +1,4 @@
-// Package apierror names and numbers every error of the fleet (docs/codes.md).
+// Package apierror defines the errors of the fleet: their codes (docs/codes.md), the error type that carries a code, and its JSON form.
 package apierror
 
 import (
@@ -11,17 +11,17 @@
 	"github.com/samber/oops"
 )
 
-// Execution says what is known of a request's execution when an error ends it.
+// Execution tells what is known about the execution of a request that ended with an error.
 type Execution string
 
-// What is known, as the header X-Ran spells it.
+// The values of Execution, as written in the header X-Ran.
 const (
-	NotRun  Execution = "no"      // a promise: no replica has begun it
-	DidRun  Execution = "yes"     // it was executed, at least in part
+	NotRun  Execution = "no"      // guaranteed: no replica has started it
+	DidRun  Execution = "yes"     // it was executed at least partly
 	Unknown Execution = "unknown" // it may have been executed
 )
 
-// Code is one row of the table of result codes.
+// Code is one entry in the table of result codes.
 type Code struct {
 	Number   int
 	Name     string
@@ -30,17 +30,17 @@
 	Text     string
 }
 
-// table is the codes by number.
+// table has all codes by number.
 var table = map[int]Code{}
 
-// code adds a row to the table.
+// code creates a Code and adds it to the table.
 func code(number int, name string, status int, executed Execution, text string) Code {
 	c := Code{Number: number, Name: name, Status: status, Executed: executed, Text: text}
 	table[number] = c
 	return c
 }
 
-// The codes. Numbers are never given a second meaning.
+// The result codes. A number is never reused with another meaning.
 var (
 	Malformed    = code(100, "malformed", 400, NotRun, "not well-formed JSON or HTTP")
 	UnknownField = code(101, "unknown_field", 400, NotRun, "a field that does not exist here")
@@ -101,7 +101,7 @@
 	Internal = code(500, "internal", 500, Unknown, "a fault of this program")
 )
 
-// Codes gives the whole table in order of number.
+// Codes returns all codes, sorted by number.
 func Codes() []Code {
 	all := make([]Code, 0, len(table))
 	for _, c := range table {
@@ -111,16 +111,16 @@
 	return all
 }
 
-// Error is an error with its code.
+// Error is an error with a code.
 type Error struct {
 	Code  Code
-	Field string        // path of the field at fault, if any
-	At    int           // its position in the input, from 1; 0 if none
-	Again time.Duration // when to come back, if known
+	Field string        // path of the invalid field, if any
+	At    int           // byte position of the fault in the input, from 1; 0 if none
+	Again time.Duration // delay before a retry, if known
 	err   error
 }
 
-// Error gives the code, the place, and what each layer said, the outermost first.
+// Error returns the code, the field and position, and the messages of all wrapped layers, the outermost first.
 func (f *Error) Error() string {
 	text := fmt.Sprintf("%d %s", f.Code.Number, f.Code.Name)
 	if f.Field != "" {
@@ -135,18 +135,18 @@
 	return text
 }
 
-// Unwrap gives what the error was made of.
+// Unwrap returns the wrapped error.
 func (f *Error) Unwrap() error { return f.err }
 
-// StatusCode lets go-kit's transports answer with the code's status.
+// StatusCode returns the code's HTTP status, which go-kit's HTTP transport uses for the response.
 func (f *Error) StatusCode() int { return f.Code.Status }
 
-// New makes an error with a code.
+// New returns an error with a code and a formatted message.
 func New(c Code, format string, args ...any) *Error {
 	return &Error{Code: c, err: oops.Code(c.Name).Errorf(format, args...)}
 }
 
-// Wrap adds words and a code to an error; one that has a code already keeps it. A nil error stays nil.
+// Wrap adds a message and a code to an error. An error that has a code already keeps that code. Wrap returns nil if err is nil.
 func Wrap(err error, c Code, what string) error {
 	if err == nil {
 		return nil
@@ -160,7 +160,7 @@
 	return &Error{Code: c, err: oops.Code(c.Name).Wrapf(err, "%s", what)}
 }
 
-// Of finds the coded error in an error; one without a code is Internal.
+// Of returns the Error in err's chain. An error without a code is treated as Internal.
 func Of(err error) *Error {
 	var f *Error
 	if errors.As(err, &f) {
@@ -169,12 +169,12 @@
 	return &Error{Code: Internal, err: err}
 }
 
-// Is reports whether an error bears the code.
+// Is reports whether an error has the code.
 func Is(err error, c Code) bool {
 	return err != nil && Of(err).Code.Number == c.Number
 }
 
-// Body is an error on the wire.
+// Body is the JSON form of an error in a response.
 type Body struct {
 	Error struct {
 		Number  int       `json:"number"`
@@ -187,7 +187,7 @@
 	} `json:"error"`
 }
 
-// ToBody makes the wire form of an error.
+// ToBody converts an error to its JSON form.
 func ToBody(err error) Body {
 	f := Of(err)
 	var b Body
@@ -200,11 +200,11 @@
 	return b
 }
 
-// FromBody makes an error from its wire form; status is that of the answer.
+// FromBody converts the JSON form back to an error. status is the HTTP status of the response, for bodies with an unknown code.
 func FromBody(b Body, status int) error {
 	c, ok := table[b.Error.Number]
 	if !ok {
-		return New(Internal, "the other side answered %d %s", status, http.StatusText(status))
+		return New(Internal, "the peer responded %d %s with an unknown result code", status, http.StatusText(status))
 	}
 	f := New(c, "%s", b.Error.Message)
 	f.Field, f.At, f.Again = b.Error.Field, b.Error.At, time.Duration(b.Error.AgainMs)*time.Millisecond
--- a/apierror/apierror_test.go
+++ b/apierror/apierror_test.go
@@ -14,7 +14,7 @@
 	"asterridge/golden"
 )
 
-// The page is the table: it cannot drift.
+// docs/codes.md lists exactly the codes of the table.
 func TestCodesPageIsTheTable(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# Result codes\n\nEvery error has a number that never changes its meaning. Callers find it in the header `X-Result-Code` and in the body\n" +
@@ -33,7 +33,8 @@
 	golden.Compare(t, "../docs/codes.md", b.String())
 }
 
-func TestWrapKeepsTheFirstCodeAndGivesAllWords(t *testing.T) {
+// Wrap keeps the innermost code, field and position, and the text has the messages of all layers.
+func TestWrapKeepsInnermostCodeAndAllMessages(t *testing.T) {
 	is := is.New(t)
 	inner := New(Dangling, "no pool %q", "x")
 	inner.Field, inner.At = "paths[0].pool", 17
@@ -47,7 +48,7 @@
 	is.NoErr(Wrap(nil, Malformed, "nothing"))
 }
 
-// testTexts joins all approved golden files and all tests but this one.
+// testTexts returns the contents of all golden files and all test files except this one and check_test.go.
 func testTexts(t *testing.T) string {
 	var all strings.Builder
 	for _, pattern := range []string{"../*/testdata/*.txt", "../cmd/*/testdata/*.txt", "../*/*_test.go", "../cmd/*/*_test.go"} {
@@ -64,7 +65,7 @@
 	return all.String()
 }
 
-// goNames reads the codes' Go names, by number, from the table's own source.
+// goNames reads the codes' Go names, by number, from the source of the table.
 func goNames(t *testing.T) map[string]string {
 	raw, err := os.ReadFile("apierror.go")
 	is.New(t).NoErr(err)
