--- a/cmd/asterridgectl/asterridgectl_test.go
+++ b/cmd/asterridgectl/asterridgectl_test.go
@@ -9,7 +9,8 @@
 	"asterridge/golden"
 )
 
-func TestGoldenOfCommands(t *testing.T) {
+// Each command line parses to the recorded query, order or syntax error.
+func TestCommandsParseAsRecorded(t *testing.T) {
 	var out strings.Builder
 	for _, line := range []string{
 		`show holds`, `show holds where scope = "x y" and remaining_ms > 500`, `show backlog where waiting != 0`, `why request ABC`, `why hold a`,
@@ -39,8 +40,9 @@
 	golden.Compare(t, "testdata/commands.txt", out.String())
 }
 
+// parse returns on any input without a panic.
 func FuzzParse(f *testing.F) {
 	f.Add(`show holds where scope = "x" and a > 1`)
 	f.Add(`set tenant a weight = 3, walled = true`)
-	f.Fuzz(func(_ *testing.T, line string) { _, _ = parse(line) })
+	f.Fuzz(func(_ *testing.T, line string) { _, _ = parse(line) }) // only a panic or a hang fails this test
 }
--- a/cmd/asterridgectl/main.go
+++ b/cmd/asterridgectl/main.go
@@ -1,4 +1,4 @@
-// Command asterridgectl is the operators' language: queries on the fleet's state, and orders.
+// Command asterridgectl is the command line for operators: it queries the fleet's state and sends orders to it.
 package main
 
 import (
@@ -54,7 +54,7 @@
 		set.PrintDefaults()
 	}
 	set.Usage = func() { explain(os.Stderr) }
-	_ = set.Parse(os.Args[1:]) // ExitOnError
+	_ = set.Parse(os.Args[1:]) // never returns an error: with flag.ExitOnError the process exits instead
 	s := &session{wire: rpc.NewClient(*fleet, &rpc.TCP{}), key: *key, out: os.Stdout, jSON: *format == "json", explain: explain}
 	for _, core := range strings.Split(*cores, ",") {
 		if core = strings.TrimSpace(core); core != "" {
@@ -70,7 +70,7 @@
 	}
 	prompt := func() {}
 	if at, err := os.Stdin.Stat(); err == nil && at.Mode()&os.ModeCharDevice != 0 {
-		prompt = func() { fmt.Print("asterridge> ") } // somebody types
+		prompt = func() { fmt.Print("asterridge> ") } // standard input is a terminal
 	}
 	lines, worst := bufio.NewScanner(os.Stdin), 0
 	for prompt(); lines.Scan(); prompt() {
@@ -84,18 +84,19 @@
 	os.Exit(worst)
 }
 
+// session executes commands against the cores of one fleet.
 type session struct {
 	wire  *rpc.Client
 	cores []string
-	// key is the operator's own idempotency key, and after a colon the version known before the order was first sent; empty: one is drawn
-	// for each order.
+	// key is an idempotency key given by the operator, followed by a colon and the version known before the order was first sent. If it is
+	// empty, a new key is generated for each order.
 	key     string
 	out     io.Writer
 	jSON    bool
 	explain func(io.Writer)
 }
 
-// line runs one command and gives its exit code.
+// line executes one command and returns its exit code.
 func (s *session) line(text string) int {
 	c, err := parse(text)
 	if err == nil && c.file != "" {
@@ -156,7 +157,7 @@
 	return 1
 }
 
-// call tries the cores in turn until one answers.
+// call sends a request to the cores in turn until one of them responds.
 func call[A any](s *session, path string, q any) (A, error) {
 	var none A
 	err := error(apierror.New(apierror.Unreachable, "no core given: use -cores"))
@@ -192,7 +193,7 @@
 	for _, row := range a.Rows {
 		lines = append(lines, cells(row, columns))
 	}
-	if len(a.Rows) > 0 && a.Rows[0]["at"] == nil { // events come in order of time
+	if len(a.Rows) > 0 && a.Rows[0]["at"] == nil { // rows with a time are events, which are sorted by time already
 		sort.Strings(lines)
 	}
 	for _, line := range lines {
@@ -205,7 +206,7 @@
 	}
 }
 
-// rank puts names first, and the rest by the alphabet.
+// rank returns a sort key that puts identifying columns first and the rest in alphabetical order.
 func rank(column string) string {
 	for i, first := range []string{"scope", "request", "proxy", "name", "key", "replica", "agent", "tenant", "pool"} {
 		if column == first {
@@ -221,7 +222,7 @@
 		switch value := row[name].(type) {
 		case nil:
 		case map[string]any, []any:
-			raw, _ := json.Marshal(value) // it came as JSON
+			raw, _ := json.Marshal(value) // cannot fail: the value was decoded from JSON
 			all[i] = string(raw)
 		default:
 			all[i] = fmt.Sprint(value)
--- a/cmd/asterridgectl/order.go
+++ b/cmd/asterridgectl/order.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// callTimeout bounds one call to one core.
+	// callTimeout limits one call to one core.
 	callTimeout = 10 * time.Second
-	// orderTimeout is for how long an order whose answer is lost is sent again; the pause between two copies doubles from initialBackoff on.
+	// orderTimeout is how long an order is retried while its outcome is unknown. The backoff starts at initialBackoff and doubles up to
+	// maxBackoff.
 	orderTimeout   = 30 * time.Second
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 2 * time.Second
 )
 
-// submit names an order and sends it to the cores until one of them answers whether it was applied. Each copy bears the same name, so the
-// order has its effect once. The error is apierror.Undecided or Unreachable if no such answer came.
+// submit gives an order its idempotency key and sends it until a core responds whether it was applied. Every attempt carries the same key,
+// so the order takes effect only once. The error is apierror.Undecided or Unreachable if no such response arrives within orderTimeout.
 func (s *session) submit(c command) (controlplane.Accepted, error) {
 	if err := s.identify(c); err != nil {
 		return controlplane.Accepted{}, err
@@ -40,7 +41,7 @@
 	}
 }
 
-// explainLost tells how to ask again for an order whose answer is lost.
+// explainLost adds to the error of an order with unknown outcome how to send the same order again.
 func (c command) explainLost(err error, lost bool) error {
 	if !lost || c.key == nil {
 		return err
@@ -49,7 +50,7 @@
 		fmt.Sprintf("whether it was applied is not known; the same order with -key %s:%d has its effect once", c.key.IdempotencyKey, c.key.KnownVersion))
 }
 
-// identify gives an order the idempotency key, or the member, that tells it from all others.
+// identify gives an order its idempotency key, or in a change of the membership the identity of the member that it concerns.
 func (s *session) identify(c command) error {
 	switch {
 	case c.member != nil:
@@ -57,10 +58,10 @@
 	case c.key == nil:
 		return nil
 	}
-	if s.key != "" { // sent before
+	if s.key != "" { // the operator sends an earlier order again
 		text, version, _ := strings.Cut(s.key, ":")
 		c.key.IdempotencyKey = text
-		c.key.KnownVersion, _ = strconv.ParseUint(version, 10, 64) // without one a forgotten order counts as new
+		c.key.KnownVersion, _ = strconv.ParseUint(version, 10, 64) // without a version, an order whose key is no longer stored counts as new
 		return nil
 	}
 	c.key.IdempotencyKey = rand.Text()
@@ -69,7 +70,8 @@
 	return err
 }
 
-// identifyMember adds to a change of the members which member or joiner of that name it means. The error is apierror.NotFound if there is none.
+// identifyMember adds to a membership change the ID of the member to remove, or the incarnation of the core to admit. The error is
+// apierror.NotFound if there is no such core.
 func (s *session) identifyMember(change *membership.Change) error {
 	answer, err := call[controlplane.QueryResponse](s, "/query", controlplane.Query{Kind: "members", Where: []controlplane.Condition{
 		{Field: "name", Operator: "=", Value: change.Name},
@@ -78,7 +80,7 @@
 		return err
 	}
 	for _, row := range answer.Rows {
-		id, isMember := row["id"].(float64) // numbers of JSON
+		id, isMember := row["id"].(float64) // JSON numbers decode to float64; only members have an ID
 		incarnation, _ := row["incarnation"].(string)
 		switch {
 		case row["name"] != change.Name:
--- a/cmd/asterridgectl/order_test.go
+++ b/cmd/asterridgectl/order_test.go
@@ -20,7 +20,7 @@
 	"asterridge/sim"
 )
 
-// core stands for a core: it answers so many copies of an order with an error, and the others with a yes.
+// core is a fake core: it responds to the first attempts of an order, failures in number, with an error and accepts the later ones.
 type core struct {
 	failure  error
 	failures int
@@ -47,7 +47,7 @@
 	return controlplane.Accepted{Version: 9}, nil
 }
 
-// withCore plays commands against a core.
+// withCore executes commands against a fake core.
 func withCore(t *testing.T, c *core, key string, play func(is *is.I, run func(line string) int)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -66,7 +66,7 @@
 			return controlplane.QueryResponse{Rows: []router.Row{{"name": "core-3", "id": 7, "incarnation": "life"}, {"name": "core-9", "incarnation": "other"}}}, nil
 		}))
 		server := &http.Server{Handler: mux}
-		go func() { _ = server.Serve(listener) }() // it ends with the test
+		go func() { _ = server.Serve(listener) }() // returns when the test closes the server
 		s := &session{wire: rpc.NewClient("fleet", network.Host("10.0.9.1")), cores: []string{"10.0.0.1:7000"}, out: &bytes.Buffer{}, key: key}
 		play(is, s.line)
 		is.NoErr(server.Close())
@@ -75,8 +75,8 @@
 	})
 }
 
-// An order whose answer is lost is sent again, the same under the same key and with the version known before it; a refusal is final.
-func TestOrderIsSentAgainUnderItsKey(t *testing.T) {
+// An order with unknown outcome is retried unchanged, with the same idempotency key and known version. A rejection is not retried.
+func TestOrderIsRetriedWithSameIdempotencyKey(t *testing.T) {
 	lost := &core{failure: apierror.New(apierror.Undecided, "the owner did not answer"), failures: 3}
 	withCore(t, lost, "", func(is *is.I, run func(string) int) {
 		is.Equal(run("grant key k to a"), 0)
@@ -87,7 +87,7 @@
 			is.Equal(change, lost.changes[0])
 		}
 		is.Equal(run("revoke key k of a"), 0)
-		is.True(lost.changes[4].IdempotencyKey != lost.changes[0].IdempotencyKey) // another order
+		is.True(lost.changes[4].IdempotencyKey != lost.changes[0].IdempotencyKey) // another order gets another key
 	})
 	refused := &core{failure: apierror.New(apierror.Conflict, "the key was revoked"), failures: 3}
 	withCore(t, refused, "", func(is *is.I, run func(string) int) {
@@ -101,8 +101,8 @@
 	})
 }
 
-// An operator sends an order once more under the key that a message told.
-func TestOrderIsSentUnderTheOperatorsKey(t *testing.T) {
+// An order is sent with the idempotency key and known version that the operator gives, as an earlier error message printed them.
+func TestOrderUsesOperatorsIdempotencyKey(t *testing.T) {
 	c := &core{}
 	withCore(t, c, "mine:4", func(is *is.I, run func(string) int) {
 		is.Equal(run("grant key k to a"), 0)
@@ -111,8 +111,9 @@
 	})
 }
 
-// Changes of the members name the member's number, or the joiner's disk; what is neither is not sent.
-func TestChangeOfTheMembersNamesWhomItMeans(t *testing.T) {
+// A membership change carries the ID of the member to remove or the incarnation of the core to admit. If there is no such core, nothing is
+// sent.
+func TestMembershipChangeIdentifiesCore(t *testing.T) {
 	c := &core{}
 	withCore(t, c, "", func(is *is.I, run func(string) int) {
 		is.Equal(run("retire core core-3"), 0)
--- a/cmd/asterridgectl/parse.go
+++ b/cmd/asterridgectl/parse.go
@@ -13,25 +13,26 @@
 	"asterridge/membership"
 )
 
-// command is a parsed line: a query, or an order to one of the cores' endpoints.
+// command is a parsed line: a query, an order for one of the cores' endpoints, help or quit.
 type command struct {
 	query *controlplane.Query
 	order string // endpoint below /op/
 	body  any
-	// key is the order's idempotency key within the body, register what the order changes; nil for changes of the members.
+	// key points to the idempotency key within the body, and register is the register that the order changes. Both are unset for membership
+	// changes.
 	key      *idempotency.Key
 	register string
-	// member is the change of the members within the body; nil for other orders.
+	// member is the membership change in the body; nil for other orders.
 	member *membership.Change
-	file   string // of apply and merge: read into the order's text
+	file   string // file argument of apply and merge, whose content becomes the order's text
 	help   bool
 	quit   bool
 }
 
-// token is a word, a quoted string or a symbol, with its place in the line.
+// token is a word, a quoted string or a symbol, with its position in the line.
 type token struct {
 	text   string
-	at     int // from 1
+	at     int // byte position, from 1
 	quoted bool
 	symbol bool
 }
@@ -77,7 +78,7 @@
 	return all, nil
 }
 
-// reader walks over a line's tokens.
+// reader reads the tokens of a line in order.
 type reader struct {
 	all  []token
 	next int
@@ -95,7 +96,7 @@
 	return t, nil
 }
 
-// word takes one of the given words.
+// word reads the next token, which must be one of the given words and not quoted.
 func (r *reader) word(words ...string) (string, error) {
 	t, err := r.take(strings.Join(words, " or "))
 	if err != nil {
@@ -109,7 +110,7 @@
 	return "", syntaxError(t.at, "%q stands where one of %q should", t.text, words)
 }
 
-// name takes any word or string.
+// name reads the next token, which must be a word or a quoted string.
 func (r *reader) name(what string) (string, error) {
 	t, err := r.take(what)
 	if err == nil && t.symbol {
@@ -125,10 +126,10 @@
 	return syntaxError(r.all[r.next].at, "%q is too much", r.all[r.next].text)
 }
 
-// things are what show knows.
+// things are the kinds of rows that the command show accepts.
 var things = []string{"tenants", "pools", "paths", "hold", "holds", "proxyholds", "fields", "proxyfields", "backlog", "replicas", "requests", "counts", "acks", "members", "owners", "daemons", "adapters", "retirement"}
 
-// parse reads one line (grammar: docs/asterridgectl.md).
+// parse parses one line (grammar: docs/asterridgectl.md).
 func parse(line string) (command, error) {
 	all, err := tokens(line)
 	if err != nil {
@@ -211,7 +212,7 @@
 	return command{query: &controlplane.Query{Kind: "proxyholds", Where: []controlplane.Condition{{Field: "scope", Operator: "=", Value: name}}}}, err
 }
 
-// fields reads NAME = VALUE, … as JSON members.
+// fields reads NAME = VALUE, … and stores the values in into as they are to be encoded in JSON.
 func (r *reader) fields(into map[string]any) error {
 	for {
 		name, err := r.name("field")
@@ -243,13 +244,14 @@
 	}
 }
 
-// configCommand makes the command that sends a change of the configuration.
+// configCommand returns the command for a configuration change.
 func configCommand(change *controlplane.ConfigChange) command {
 	return command{order: config.Key, body: change, key: &change.Key, register: config.Key}
 }
 
+// partial returns the command that merges doc into the configuration.
 func partial(doc any, named string) command {
-	raw, _ := json.Marshal(doc) // maps of plain values always encode
+	raw, _ := json.Marshal(doc) // cannot fail: doc has only maps, slices and plain values
 	return configCommand(&controlplane.ConfigChange{Text: raw, Partial: true, NameCondition: named})
 }
 
--- a/cmd/asterridgectl/retire.go
+++ b/cmd/asterridgectl/retire.go
@@ -5,7 +5,7 @@
 	"asterridge/controlplane"
 )
 
-// between reads NAME WORD NAME WORD NAME …: the names between the given words.
+// between reads NAME WORD NAME WORD NAME … and returns the names. words alternates between an expected word and the kind of name after it.
 func (r *reader) between(first string, words ...string) (names []string, err error) {
 	name, err := r.name(first)
 	names = append(names, name)
@@ -18,7 +18,7 @@
 	return names, err
 }
 
-// build reads what follows "accept build"; err is what stood in its place.
+// build reads the rest of an "accept build" command. It returns err if the word after "accept" could not be read.
 func (r *reader) build(err error) (command, error) {
 	if err != nil {
 		return command{}, err
@@ -30,7 +30,7 @@
 	return partial(map[string]any{"adapters": []any{map[string]any{"name": n[1], "builds": map[string]string{n[2]: n[0]}}}}, "known"), nil
 }
 
-// retireModel reads what follows "retire model".
+// retireModel reads the rest of a "retire model" command. It returns err if the word after "retire" could not be read.
 func (r *reader) retireModel(err error) (command, error) {
 	if err != nil {
 		return command{}, err
@@ -42,12 +42,12 @@
 	return retirementCommand(&controlplane.RetirementChange{Action: "retire", Old: n[0], New: n[1]}), nil
 }
 
-// retirementCommand makes the command that begins or undoes a retirement.
+// retirementCommand returns the command that starts or undoes a retirement.
 func retirementCommand(change *controlplane.RetirementChange) command {
 	return command{order: "retirement", body: change, key: &change.Key, register: config.RetirementKey}
 }
 
-// undo reads what follows "undo"; the model need be named only where several retirements run.
+// undo reads the rest of an "undo" command. The model may be omitted if only one retirement is in progress.
 func (r *reader) undo() (command, error) {
 	_, err := r.word("retirement")
 	o := &controlplane.RetirementChange{Action: "undo"}
