--- a/cmd/asterridgectl/main.go
+++ b/cmd/asterridgectl/main.go
@@ -43,19 +43,19 @@
 `
 
 func main() {
-	set := flag.NewFlagSet("asterridgectl", flag.ExitOnError)
-	cores := set.String("cores", os.Getenv("ASTERRIDGE_CORES"), "`ip:port`s of cores, with commas; also from ASTERRIDGE_CORES")
-	fleet := set.String("fleet", "asterridge", "the fleet's `name`")
-	format := set.String("format", "table", "table or json")
-	key := set.String("key", "", "idempotency `key` of the order, as a lost answer's message gives it; empty: a new one for each order")
-	explain := func(w io.Writer) {
-		fmt.Fprintf(w, usage, strings.Join(things, " "))
-		set.SetOutput(w)
-		set.PrintDefaults()
-	}
-	set.Usage = func() { explain(os.Stderr) }
-	_ = set.Parse(os.Args[1:]) // never returns an error: with flag.ExitOnError the process exits instead
-	s := &session{wire: rpc.NewClient(*fleet, &rpc.TCP{}), key: *key, out: os.Stdout, jSON: *format == "json", explain: explain}
+	flags := flag.NewFlagSet("asterridgectl", flag.ExitOnError)
+	cores := flags.String("cores", os.Getenv("ASTERRIDGE_CORES"), "`ip:port`s of cores, with commas; also from ASTERRIDGE_CORES")
+	fleet := flags.String("fleet", "asterridge", "the fleet's `name`")
+	format := flags.String("format", "table", "table or json")
+	key := flags.String("key", "", "idempotency `key` of the order, as a lost answer's message gives it; empty: a new one for each order")
+	printUsage := func(w io.Writer) {
+		fmt.Fprintf(w, usage, strings.Join(rowKinds, " "))
+		flags.SetOutput(w)
+		flags.PrintDefaults()
+	}
+	flags.Usage = func() { printUsage(os.Stderr) }
+	_ = flags.Parse(os.Args[1:]) // never returns an error: with flag.ExitOnError the process exits instead
+	s := &session{client: rpc.NewClient(*fleet, &rpc.TCP{}), key: *key, out: os.Stdout, jsonOutput: *format == "json", printUsage: printUsage}
 	for _, core := range strings.Split(*cores, ",") {
 		if core = strings.TrimSpace(core); core != "" {
 			s.cores = append(s.cores, core)
@@ -65,8 +65,8 @@
 		fmt.Fprintf(os.Stderr, "format: %q is neither table nor json\n", *format)
 		os.Exit(2)
 	}
-	if set.NArg() > 0 {
-		os.Exit(s.line(strings.Join(set.Args(), " ")))
+	if flags.NArg() > 0 {
+		os.Exit(s.execute(strings.Join(flags.Args(), " ")))
 	}
 	prompt := func() {}
 	if at, err := os.Stdin.Stat(); err == nil && at.Mode()&os.ModeCharDevice != 0 {
@@ -78,7 +78,7 @@
 			break
 		}
 		if text := strings.TrimSpace(lines.Text()); text != "" && text[0] != '#' {
-			worst = max(worst, s.line(text))
+			worst = max(worst, s.execute(text))
 		}
 	}
 	os.Exit(worst)
@@ -86,18 +86,18 @@
 
 // session executes commands against the cores of one fleet.
 type session struct {
-	wire  *rpc.Client
-	cores []string
+	client *rpc.Client
+	cores  []string
 	// key is an idempotency key given by the operator, followed by a colon and the version known before the order was first sent. If it is
 	// empty, a new key is generated for each order.
-	key     string
-	out     io.Writer
-	jSON    bool
-	explain func(io.Writer)
+	key        string
+	out        io.Writer
+	jsonOutput bool
+	printUsage func(io.Writer)
 }
 
-// line executes one command and returns its exit code.
-func (s *session) line(text string) int {
+// execute parses and executes one command line and returns its exit code.
+func (s *session) execute(text string) int {
 	c, err := parse(text)
 	if err == nil && c.file != "" {
 		err = readInto(c)
@@ -110,23 +110,23 @@
 		}
 		return 2
 	case c.help:
-		s.explain(s.out)
+		s.printUsage(s.out)
 		return 0
 	case c.quit:
 		return 0
 	case c.query != nil:
 		a, err := call[controlplane.QueryResponse](s, "/query", c.query)
 		if err != nil {
-			return s.failed(err)
+			return s.reportError(err)
 		}
-		s.print(a)
+		s.printRows(a)
 		return 0
 	}
 	a, err := s.submit(c)
 	if err != nil {
-		return s.failed(err)
+		return s.reportError(err)
 	}
-	if s.jSON {
+	if s.jsonOutput {
 		_ = json.NewEncoder(s.out).Encode(a) // a terminal that is gone has nobody to tell
 	} else {
 		fmt.Fprintf(s.out, "accepted as version %d\n", a.Version)
@@ -146,8 +146,9 @@
 	return nil
 }
 
-func (s *session) failed(err error) int {
-	if s.jSON {
+// reportError prints the error of a command and returns its exit code.
+func (s *session) reportError(err error) int {
+	if s.jsonOutput {
 		_ = json.NewEncoder(s.out).Encode(apierror.ToBody(err)) // a terminal that is gone has nobody to tell
 	}
 	fmt.Fprintln(os.Stderr, err)
@@ -164,7 +165,7 @@
 	for _, core := range s.cores {
 		ctx, stop := context.WithTimeout(context.Background(), callTimeout)
 		var a A
-		a, err = rpc.Call[A](ctx, s.wire, core, path, q)
+		a, err = rpc.Call[A](ctx, s.client, core, path, q)
 		stop()
 		if err == nil || !apierror.Is(err, apierror.Unreachable) {
 			return a, err
@@ -173,8 +174,8 @@
 	return none, err
 }
 
-func (s *session) print(a controlplane.QueryResponse) {
-	if s.jSON {
+func (s *session) printRows(a controlplane.QueryResponse) {
+	if s.jsonOutput {
 		_ = json.NewEncoder(s.out).Encode(a) // a terminal that is gone has nobody to tell
 		return
 	}
@@ -191,7 +192,7 @@
 	fmt.Fprintln(w, strings.Join(columns, "\t"))
 	lines := make([]string, 0, len(a.Rows))
 	for _, row := range a.Rows {
-		lines = append(lines, cells(row, columns))
+		lines = append(lines, formatRow(row, columns))
 	}
 	if len(a.Rows) > 0 && a.Rows[0]["at"] == nil { // rows with a time are events, which are sorted by time already
 		sort.Strings(lines)
@@ -216,7 +217,7 @@
 	return "~" + column
 }
 
-func cells(row router.Row, columns []string) string {
+func formatRow(row router.Row, columns []string) string {
 	all := make([]string, len(columns))
 	for i, name := range columns {
 		switch value := row[name].(type) {
--- a/cmd/asterridgectl/order_test.go
+++ b/cmd/asterridgectl/order_test.go
@@ -67,10 +67,10 @@
 		}))
 		server := &http.Server{Handler: mux}
 		go func() { _ = server.Serve(listener) }() // returns when the test closes the server
-		s := &session{wire: rpc.NewClient("fleet", network.Host("10.0.9.1")), cores: []string{"10.0.0.1:7000"}, out: &bytes.Buffer{}, key: key}
-		play(is, s.line)
+		s := &session{client: rpc.NewClient("fleet", network.Host("10.0.9.1")), cores: []string{"10.0.0.1:7000"}, out: &bytes.Buffer{}, key: key}
+		play(is, s.execute)
 		is.NoErr(server.Close())
-		s.wire.HTTP.CloseIdleConnections()
+		s.client.HTTP.CloseIdleConnections()
 		network.End()
 	})
 }
--- a/cmd/asterridgectl/parse.go
+++ b/cmd/asterridgectl/parse.go
@@ -85,10 +85,10 @@
 	end  int
 }
 
-func (r *reader) isEnd() bool { return r.next == len(r.all) }
+func (r *reader) atEnd() bool { return r.next == len(r.all) }
 
 func (r *reader) take(what string) (token, error) {
-	if r.isEnd() {
+	if r.atEnd() {
 		return token{at: r.end}, syntaxError(r.end, "%s is missing", what)
 	}
 	t := r.all[r.next]
@@ -96,8 +96,8 @@
 	return t, nil
 }
 
-// word reads the next token, which must be one of the given words and not quoted.
-func (r *reader) word(words ...string) (string, error) {
+// expectWord reads the next token, which must be one of the given words and not quoted.
+func (r *reader) expectWord(words ...string) (string, error) {
 	t, err := r.take(strings.Join(words, " or "))
 	if err != nil {
 		return "", err
@@ -119,15 +119,16 @@
 	return t.text, err
 }
 
-func (r *reader) done() error {
-	if r.isEnd() {
+// expectEnd returns a syntax error unless all tokens have been read.
+func (r *reader) expectEnd() error {
+	if r.atEnd() {
 		return nil
 	}
 	return syntaxError(r.all[r.next].at, "%q is too much", r.all[r.next].text)
 }
 
-// things are the kinds of rows that the command show accepts.
-var things = []string{"tenants", "pools", "paths", "hold", "holds", "proxyholds", "fields", "proxyfields", "backlog", "replicas", "requests", "counts", "acks", "members", "owners", "daemons", "adapters", "retirement"}
+// rowKinds are the kinds of rows that the command show accepts.
+var rowKinds = []string{"tenants", "pools", "paths", "hold", "holds", "proxyholds", "fields", "proxyfields", "backlog", "replicas", "requests", "counts", "acks", "members", "owners", "daemons", "adapters", "retirement"}
 
 // parse parses one line (grammar: docs/asterridgectl.md).
 func parse(line string) (command, error) {
@@ -136,7 +137,7 @@
 		return command{}, err
 	}
 	r := &reader{all: all, end: len(strings.TrimRightFunc(line, unicode.IsSpace)) + 1}
-	verb, err := r.word("show", "why", "create", "set", "remove", "accept", "grant", "revoke", "apply", "merge", "admit", "retire", "undo", "help", "quit")
+	verb, err := r.expectWord("show", "why", "create", "set", "remove", "accept", "grant", "revoke", "apply", "merge", "admit", "retire", "undo", "help", "quit")
 	if err != nil {
 		return command{}, err
 	}
@@ -157,9 +158,9 @@
 	case "accept":
 		c, err = r.accept()
 	case "grant":
-		c, err = r.key("to", false)
+		c, err = r.accessKeyChange("to", false)
 	case "revoke":
-		c, err = r.key("of", true)
+		c, err = r.accessKeyChange("of", true)
 	case "admit", "retire":
 		c, err = r.members(verb)
 	case "undo":
@@ -168,29 +169,29 @@
 		c, err = r.apply(verb == "merge")
 	}
 	if err == nil {
-		err = r.done()
+		err = r.expectEnd()
 	}
 	return c, err
 }
 
 func (r *reader) show() (command, error) {
-	what, err := r.word(things...)
+	what, err := r.expectWord(rowKinds...)
 	if err != nil {
 		return command{}, err
 	}
 	q := &controlplane.Query{Kind: what}
-	for first := true; err == nil && !r.isEnd(); first = false {
+	for first := true; err == nil && !r.atEnd(); first = false {
 		var c controlplane.Condition
 		if first {
-			_, err = r.word("where")
+			_, err = r.expectWord("where")
 		} else {
-			_, err = r.word("and")
+			_, err = r.expectWord("and")
 		}
 		if err == nil {
 			c.Field, err = r.name("field")
 		}
 		if err == nil {
-			c.Operator, err = r.word("=", "!=", "<", ">")
+			c.Operator, err = r.expectWord("=", "!=", "<", ">")
 		}
 		if err == nil {
 			c.Value, err = r.name("value")
@@ -201,7 +202,7 @@
 }
 
 func (r *reader) why() (command, error) {
-	kind, err := r.word("request", "hold")
+	kind, err := r.expectWord("request", "hold")
 	if err != nil {
 		return command{}, err
 	}
@@ -219,7 +220,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := r.word("="); err != nil {
+		if _, err := r.expectWord("="); err != nil {
 			return err
 		}
 		value, err := r.take("value")
@@ -237,7 +238,7 @@
 		} else if value.text == "false" && !value.quoted {
 			into[name] = false
 		}
-		if r.isEnd() || r.all[r.next].text != "," {
+		if r.atEnd() || r.all[r.next].text != "," {
 			return nil
 		}
 		r.next++
@@ -249,8 +250,8 @@
 	return command{order: config.Key, body: change, key: &change.Key, register: config.Key}
 }
 
-// partial returns the command that merges doc into the configuration.
-func partial(doc any, named string) command {
+// mergeCommand returns the command that merges doc into the configuration.
+func mergeCommand(doc any, named string) command {
 	raw, _ := json.Marshal(doc) // cannot fail: doc has only maps, slices and plain values
 	return configCommand(&controlplane.ConfigChange{Text: raw, Partial: true, NameCondition: named})
 }
@@ -261,55 +262,55 @@
 	if verb == "set" {
 		words, named = append(words, "hold"), "known"
 	}
-	kind, err := r.word(words...)
+	kind, err := r.expectWord(words...)
 	if err != nil {
 		return command{}, err
 	}
 	if kind == "hold" {
 		hold := map[string]any{}
 		err := r.fields(hold)
-		return partial(map[string]any{"hold": hold}, ""), err
+		return mergeCommand(map[string]any{"hold": hold}, ""), err
 	}
 	item := map[string]any{}
-	if item["name"], err = r.name("name"); err == nil && (verb == "set" || !r.isEnd()) {
+	if item["name"], err = r.name("name"); err == nil && (verb == "set" || !r.atEnd()) {
 		err = r.fields(item)
 	}
-	return partial(map[string]any{kind + "s": []any{item}}, named), err
+	return mergeCommand(map[string]any{kind + "s": []any{item}}, named), err
 }
 
 func (r *reader) remove() (command, error) {
-	kind, err := r.word("tenant", "pool", "path", "adapter")
+	kind, err := r.expectWord("tenant", "pool", "path", "adapter")
 	if err != nil {
 		return command{}, err
 	}
 	name, err := r.name("name")
-	return partial(map[string]any{"remove": map[string]any{kind + "s": []string{name}}}, ""), err
+	return mergeCommand(map[string]any{"remove": map[string]any{kind + "s": []string{name}}}, ""), err
 }
 
 func (r *reader) accept() (command, error) {
-	if what, err := r.word("weights", "build"); err != nil || what == "build" {
+	if what, err := r.expectWord("weights", "build"); err != nil || what == "build" {
 		return r.build(err)
 	}
 	version, err := r.name("version")
 	if err != nil {
 		return command{}, err
 	}
-	if _, err := r.word("for"); err != nil {
+	if _, err := r.expectWord("for"); err != nil {
 		return command{}, err
 	}
 	pool, err := r.name("pool")
-	return partial(map[string]any{"pools": []any{map[string]any{"name": pool, "weights": version}}}, "known"), err
+	return mergeCommand(map[string]any{"pools": []any{map[string]any{"name": pool, "weights": version}}}, "known"), err
 }
 
-func (r *reader) key(link string, revoked bool) (command, error) {
-	if _, err := r.word("key"); err != nil {
+func (r *reader) accessKeyChange(link string, revoked bool) (command, error) {
+	if _, err := r.expectWord("key"); err != nil {
 		return command{}, err
 	}
 	key, err := r.name("key")
 	if err != nil {
 		return command{}, err
 	}
-	if _, err := r.word(link); err != nil {
+	if _, err := r.expectWord(link); err != nil {
 		return command{}, err
 	}
 	tenant, err := r.name("tenant")
@@ -322,7 +323,7 @@
 	if verb == "retire" {
 		words = append(words, "model")
 	}
-	if what, err := r.word(words...); err != nil || what == "model" {
+	if what, err := r.expectWord(words...); err != nil || what == "model" {
 		return r.retireModel(err)
 	}
 	name, err := r.name("name")
@@ -336,8 +337,8 @@
 		return command{}, err
 	}
 	o := &controlplane.ConfigChange{Partial: partial}
-	if !r.isEnd() {
-		if _, err := r.word("expect"); err != nil {
+	if !r.atEnd() {
+		if _, err := r.expectWord("expect"); err != nil {
 			return command{}, err
 		}
 		t, err := r.take("version")
--- a/cmd/asterridgectl/retire.go
+++ b/cmd/asterridgectl/retire.go
@@ -5,12 +5,13 @@
 	"asterridge/controlplane"
 )
 
-// between reads NAME WORD NAME WORD NAME … and returns the names. words alternates between an expected word and the kind of name after it.
-func (r *reader) between(first string, words ...string) (names []string, err error) {
+// namesBetween reads NAME WORD NAME WORD NAME … and returns the names. In words, each expected word is followed by the kind of the name
+// after it.
+func (r *reader) namesBetween(first string, words ...string) (names []string, err error) {
 	name, err := r.name(first)
 	names = append(names, name)
 	for i := 0; err == nil && i < len(words); i += 2 {
-		if _, err = r.word(words[i]); err == nil {
+		if _, err = r.expectWord(words[i]); err == nil {
 			name, err = r.name(words[i+1])
 			names = append(names, name)
 		}
@@ -23,11 +24,11 @@
 	if err != nil {
 		return command{}, err
 	}
-	n, err := r.between("build", "of", "adapter", "for", "model")
+	n, err := r.namesBetween("build", "of", "adapter", "for", "model")
 	if err != nil {
 		return command{}, err
 	}
-	return partial(map[string]any{"adapters": []any{map[string]any{"name": n[1], "builds": map[string]string{n[2]: n[0]}}}}, "known"), nil
+	return mergeCommand(map[string]any{"adapters": []any{map[string]any{"name": n[1], "builds": map[string]string{n[2]: n[0]}}}}, "known"), nil
 }
 
 // retireModel reads the rest of a "retire model" command. It returns err if the word after "retire" could not be read.
@@ -35,7 +36,7 @@
 	if err != nil {
 		return command{}, err
 	}
-	n, err := r.between("model", "for", "model")
+	n, err := r.namesBetween("model", "for", "model")
 	if err != nil {
 		return command{}, err
 	}
@@ -49,10 +50,10 @@
 
 // undo reads the rest of an "undo" command. The model may be omitted if only one retirement is in progress.
 func (r *reader) undo() (command, error) {
-	_, err := r.word("retirement")
+	_, err := r.expectWord("retirement")
 	o := &controlplane.RetirementChange{Action: "undo"}
-	if err == nil && !r.isEnd() {
-		if _, err = r.word("of"); err == nil {
+	if err == nil && !r.atEnd() {
+		if _, err = r.expectWord("of"); err == nil {
 			o.Old, err = r.name("model")
 		}
 	}
--- a/daemon/settings_test.go
+++ b/daemon/settings_test.go
@@ -13,7 +13,7 @@
 )
 
 // Each invalid flag or setting is reported in one line that names it.
-func TestGoldenOfSettings(t *testing.T) {
+func TestSettingsAreReadOrRejectedAsRecorded(t *testing.T) {
 	folder := t.TempDir()
 	file := func(text string) string {
 		path := filepath.Join(folder, "settings.json")
--- a/disk/folder.go
+++ b/disk/folder.go
@@ -48,7 +48,7 @@
 
 // Put writes the data to a temporary file, syncs it, renames it to name and syncs the folder.
 func (d *Folder) Put(folder, name string, data []byte) error {
-	if err := d.ensure(folder); err != nil {
+	if err := d.ensureFolder(folder); err != nil {
 		return err
 	}
 	path := filepath.Join(d.Root, folder)
@@ -73,9 +73,9 @@
 	return d.syncDir(path)
 }
 
-// ensure creates a folder and makes its name survive a power loss. That the folder exists is not enough: the sync after its creation may have
-// failed.
-func (d *Folder) ensure(folder string) error {
+// ensureFolder creates a folder and makes its name survive a power loss. That the folder exists is not enough: the sync after its creation
+// may have failed.
+func (d *Folder) ensureFolder(folder string) error {
 	d.mu.Lock()
 	durable := d.durable[folder]
 	d.mu.Unlock()
