--- a/daemon/connections.go
+++ b/daemon/connections.go
@@ -103,8 +103,8 @@
 	c.timer = time.AfterFunc(times.Idle, c.expire)
 }
 
-// expire runs when the timer fires. It interrupts an idle connection through its pending read, and closes a connection whose header is late
-// at once. It does nothing if a header started to arrive just before the timer fired, as that header's deadline is still to come.
+// expire runs when the timer fires. It interrupts an idle connection through its pending read, and closes a connection at once if its header
+// is late. It does nothing if a header started to arrive just before the timer fired, as that header's deadline is still to come.
 func (c *trackedConn) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
