--- a/cmd/asterridgectl/parse.go
+++ b/cmd/asterridgectl/parse.go
@@ -13,25 +13,26 @@
 	"asterridge/membership"
 )
 
-// command is a parsed line: a query, or an order to one of the cores' endpoints.
+// command is a parsed line: a query, an order for one of the cores' endpoints, help or quit.
 type command struct {
 	query *controlplane.Query
 	order string // endpoint below /op/
 	body  any
-	// key is the order's idempotency key within the body, register what the order changes; nil for changes of the members.
+	// key points to the idempotency key within the body, and register is the register that the order changes. Both are unset for membership
+	// changes.
 	key      *idempotency.Key
 	register string
-	// member is the change of the members within the body; nil for other orders.
+	// member is the membership change in the body; nil for other orders.
 	member *membership.Change
-	file   string // of apply and merge: read into the order's text
+	file   string // file argument of apply and merge, whose content becomes the order's text
 	help   bool
 	quit   bool
 }
 
-// token is a word, a quoted string or a symbol, with its place in the line.
+// token is a word, a quoted string or a symbol, with its position in the line.
 type token struct {
 	text   string
-	at     int // from 1
+	at     int // byte position, from 1
 	quoted bool
 	symbol bool
 }
@@ -77,17 +78,17 @@
 	return all, nil
 }
 
-// reader walks over a line's tokens.
+// reader reads the tokens of a line in order.
 type reader struct {
 	all  []token
 	next int
 	end  int
 }
 
-func (r *reader) isEnd() bool { return r.next == len(r.all) }
+func (r *reader) atEnd() bool { return r.next == len(r.all) }
 
 func (r *reader) take(what string) (token, error) {
-	if r.isEnd() {
+	if r.atEnd() {
 		return token{at: r.end}, syntaxError(r.end, "%s is missing", what)
 	}
 	t := r.all[r.next]
@@ -95,8 +96,8 @@
 	return t, nil
 }
 
-// word takes one of the given words.
-func (r *reader) word(words ...string) (string, error) {
+// expectWord reads the next token, which must be one of the given words and not quoted.
+func (r *reader) expectWord(words ...string) (string, error) {
 	t, err := r.take(strings.Join(words, " or "))
 	if err != nil {
 		return "", err
@@ -109,7 +110,7 @@
 	return "", syntaxError(t.at, "%q stands where one of %q should", t.text, words)
 }
 
-// name takes any word or string.
+// name reads the next token, which must be a word or a quoted string.
 func (r *reader) name(what string) (string, error) {
 	t, err := r.take(what)
 	if err == nil && t.symbol {
@@ -118,24 +119,25 @@
 	return t.text, err
 }
 
-func (r *reader) done() error {
-	if r.isEnd() {
+// expectEnd returns a syntax error unless all tokens have been read.
+func (r *reader) expectEnd() error {
+	if r.atEnd() {
 		return nil
 	}
 	return syntaxError(r.all[r.next].at, "%q is too much", r.all[r.next].text)
 }
 
-// things are what show knows.
-var things = []string{"tenants", "pools", "paths", "hold", "holds", "proxyholds", "fields", "proxyfields", "backlog", "replicas", "requests", "counts", "acks", "members", "owners", "daemons", "adapters", "retirement"}
+// rowKinds are the kinds of rows that the command show accepts.
+var rowKinds = []string{"tenants", "pools", "paths", "hold", "holds", "proxyholds", "fields", "proxyfields", "backlog", "replicas", "requests", "counts", "acks", "members", "owners", "daemons", "adapters", "retirement"}
 
-// parse reads one line (grammar: docs/asterridgectl.md).
+// parse parses one line (grammar: docs/asterridgectl.md).
 func parse(line string) (command, error) {
 	all, err := tokens(line)
 	if err != nil {
 		return command{}, err
 	}
 	r := &reader{all: all, end: len(strings.TrimRightFunc(line, unicode.IsSpace)) + 1}
-	verb, err := r.word("show", "why", "create", "set", "remove", "accept", "grant", "revoke", "apply", "merge", "admit", "retire", "undo", "help", "quit")
+	verb, err := r.expectWord("show", "why", "create", "set", "remove", "accept", "grant", "revoke", "apply", "merge", "admit", "retire", "undo", "help", "quit")
 	if err != nil {
 		return command{}, err
 	}
@@ -156,9 +158,9 @@
 	case "accept":
 		c, err = r.accept()
 	case "grant":
-		c, err = r.key("to", false)
+		c, err = r.accessKeyChange("to", false)
 	case "revoke":
-		c, err = r.key("of", true)
+		c, err = r.accessKeyChange("of", true)
 	case "admit", "retire":
 		c, err = r.members(verb)
 	case "undo":
@@ -167,29 +169,29 @@
 		c, err = r.apply(verb == "merge")
 	}
 	if err == nil {
-		err = r.done()
+		err = r.expectEnd()
 	}
 	return c, err
 }
 
 func (r *reader) show() (command, error) {
-	what, err := r.word(things...)
+	what, err := r.expectWord(rowKinds...)
 	if err != nil {
 		return command{}, err
 	}
 	q := &controlplane.Query{Kind: what}
-	for first := true; err == nil && !r.isEnd(); first = false {
+	for first := true; err == nil && !r.atEnd(); first = false {
 		var c controlplane.Condition
 		if first {
-			_, err = r.word("where")
+			_, err = r.expectWord("where")
 		} else {
-			_, err = r.word("and")
+			_, err = r.expectWord("and")
 		}
 		if err == nil {
 			c.Field, err = r.name("field")
 		}
 		if err == nil {
-			c.Operator, err = r.word("=", "!=", "<", ">")
+			c.Operator, err = r.expectWord("=", "!=", "<", ">")
 		}
 		if err == nil {
 			c.Value, err = r.name("value")
@@ -200,7 +202,7 @@
 }
 
 func (r *reader) why() (command, error) {
-	kind, err := r.word("request", "hold")
+	kind, err := r.expectWord("request", "hold")
 	if err != nil {
 		return command{}, err
 	}
@@ -211,14 +213,14 @@
 	return command{query: &controlplane.Query{Kind: "proxyholds", Where: []controlplane.Condition{{Field: "scope", Operator: "=", Value: name}}}}, err
 }
 
-// fields reads NAME = VALUE, … as JSON members.
+// fields reads NAME = VALUE, … and stores the values in into as they are to be encoded in JSON.
 func (r *reader) fields(into map[string]any) error {
 	for {
 		name, err := r.name("field")
 		if err != nil {
 			return err
 		}
-		if _, err := r.word("="); err != nil {
+		if _, err := r.expectWord("="); err != nil {
 			return err
 		}
 		value, err := r.take("value")
@@ -236,20 +238,21 @@
 		} else if value.text == "false" && !value.quoted {
 			into[name] = false
 		}
-		if r.isEnd() || r.all[r.next].text != "," {
+		if r.atEnd() || r.all[r.next].text != "," {
 			return nil
 		}
 		r.next++
 	}
 }
 
-// configCommand makes the command that sends a change of the configuration.
+// configCommand returns the command for a configuration change.
 func configCommand(change *controlplane.ConfigChange) command {
 	return command{order: config.Key, body: change, key: &change.Key, register: config.Key}
 }
 
-func partial(doc any, named string) command {
-	raw, _ := json.Marshal(doc) // maps of plain values always encode
+// mergeCommand returns the command that merges doc into the configuration.
+func mergeCommand(doc any, named string) command {
+	raw, _ := json.Marshal(doc) // cannot fail: doc has only maps, slices and plain values
 	return configCommand(&controlplane.ConfigChange{Text: raw, Partial: true, NameCondition: named})
 }
 
@@ -259,55 +262,55 @@
 	if verb == "set" {
 		words, named = append(words, "hold"), "known"
 	}
-	kind, err := r.word(words...)
+	kind, err := r.expectWord(words...)
 	if err != nil {
 		return command{}, err
 	}
 	if kind == "hold" {
 		hold := map[string]any{}
 		err := r.fields(hold)
-		return partial(map[string]any{"hold": hold}, ""), err
+		return mergeCommand(map[string]any{"hold": hold}, ""), err
 	}
 	item := map[string]any{}
-	if item["name"], err = r.name("name"); err == nil && (verb == "set" || !r.isEnd()) {
+	if item["name"], err = r.name("name"); err == nil && (verb == "set" || !r.atEnd()) {
 		err = r.fields(item)
 	}
-	return partial(map[string]any{kind + "s": []any{item}}, named), err
+	return mergeCommand(map[string]any{kind + "s": []any{item}}, named), err
 }
 
 func (r *reader) remove() (command, error) {
-	kind, err := r.word("tenant", "pool", "path", "adapter")
+	kind, err := r.expectWord("tenant", "pool", "path", "adapter")
 	if err != nil {
 		return command{}, err
 	}
 	name, err := r.name("name")
-	return partial(map[string]any{"remove": map[string]any{kind + "s": []string{name}}}, ""), err
+	return mergeCommand(map[string]any{"remove": map[string]any{kind + "s": []string{name}}}, ""), err
 }
 
 func (r *reader) accept() (command, error) {
-	if what, err := r.word("weights", "build"); err != nil || what == "build" {
+	if what, err := r.expectWord("weights", "build"); err != nil || what == "build" {
 		return r.build(err)
 	}
 	version, err := r.name("version")
 	if err != nil {
 		return command{}, err
 	}
-	if _, err := r.word("for"); err != nil {
+	if _, err := r.expectWord("for"); err != nil {
 		return command{}, err
 	}
 	pool, err := r.name("pool")
-	return partial(map[string]any{"pools": []any{map[string]any{"name": pool, "weights": version}}}, "known"), err
+	return mergeCommand(map[string]any{"pools": []any{map[string]any{"name": pool, "weights": version}}}, "known"), err
 }
 
-func (r *reader) key(link string, revoked bool) (command, error) {
-	if _, err := r.word("key"); err != nil {
+func (r *reader) accessKeyChange(link string, revoked bool) (command, error) {
+	if _, err := r.expectWord("key"); err != nil {
 		return command{}, err
 	}
 	key, err := r.name("key")
 	if err != nil {
 		return command{}, err
 	}
-	if _, err := r.word(link); err != nil {
+	if _, err := r.expectWord(link); err != nil {
 		return command{}, err
 	}
 	tenant, err := r.name("tenant")
@@ -320,7 +323,7 @@
 	if verb == "retire" {
 		words = append(words, "model")
 	}
-	if what, err := r.word(words...); err != nil || what == "model" {
+	if what, err := r.expectWord(words...); err != nil || what == "model" {
 		return r.retireModel(err)
 	}
 	name, err := r.name("name")
@@ -334,8 +337,8 @@
 		return command{}, err
 	}
 	o := &controlplane.ConfigChange{Partial: partial}
-	if !r.isEnd() {
-		if _, err := r.word("expect"); err != nil {
+	if !r.atEnd() {
+		if _, err := r.expectWord("expect"); err != nil {
 			return command{}, err
 		}
 		t, err := r.take("version")
--- a/cmd/asterridgectl/retire.go
+++ b/cmd/asterridgectl/retire.go
@@ -5,12 +5,13 @@
 	"asterridge/controlplane"
 )
 
-// between reads NAME WORD NAME WORD NAME …: the names between the given words.
-func (r *reader) between(first string, words ...string) (names []string, err error) {
+// namesBetween reads NAME WORD NAME WORD NAME … and returns the names. In words, each expected word is followed by the kind of the name
+// after it.
+func (r *reader) namesBetween(first string, words ...string) (names []string, err error) {
 	name, err := r.name(first)
 	names = append(names, name)
 	for i := 0; err == nil && i < len(words); i += 2 {
-		if _, err = r.word(words[i]); err == nil {
+		if _, err = r.expectWord(words[i]); err == nil {
 			name, err = r.name(words[i+1])
 			names = append(names, name)
 		}
@@ -18,41 +19,41 @@
 	return names, err
 }
 
-// build reads what follows "accept build"; err is what stood in its place.
+// build reads the rest of an "accept build" command. It returns err if the word after "accept" could not be read.
 func (r *reader) build(err error) (command, error) {
 	if err != nil {
 		return command{}, err
 	}
-	n, err := r.between("build", "of", "adapter", "for", "model")
+	n, err := r.namesBetween("build", "of", "adapter", "for", "model")
 	if err != nil {
 		return command{}, err
 	}
-	return partial(map[string]any{"adapters": []any{map[string]any{"name": n[1], "builds": map[string]string{n[2]: n[0]}}}}, "known"), nil
+	return mergeCommand(map[string]any{"adapters": []any{map[string]any{"name": n[1], "builds": map[string]string{n[2]: n[0]}}}}, "known"), nil
 }
 
-// retireModel reads what follows "retire model".
+// retireModel reads the rest of a "retire model" command. It returns err if the word after "retire" could not be read.
 func (r *reader) retireModel(err error) (command, error) {
 	if err != nil {
 		return command{}, err
 	}
-	n, err := r.between("model", "for", "model")
+	n, err := r.namesBetween("model", "for", "model")
 	if err != nil {
 		return command{}, err
 	}
 	return retirementCommand(&controlplane.RetirementChange{Action: "retire", Old: n[0], New: n[1]}), nil
 }
 
-// retirementCommand makes the command that begins or undoes a retirement.
+// retirementCommand returns the command that starts or undoes a retirement.
 func retirementCommand(change *controlplane.RetirementChange) command {
 	return command{order: "retirement", body: change, key: &change.Key, register: config.RetirementKey}
 }
 
-// undo reads what follows "undo"; the model need be named only where several retirements run.
+// undo reads the rest of an "undo" command. The model may be omitted if only one retirement is in progress.
 func (r *reader) undo() (command, error) {
-	_, err := r.word("retirement")
+	_, err := r.expectWord("retirement")
 	o := &controlplane.RetirementChange{Action: "undo"}
-	if err == nil && !r.isEnd() {
-		if _, err = r.word("of"); err == nil {
+	if err == nil && !r.atEnd() {
+		if _, err = r.expectWord("of"); err == nil {
 			o.Old, err = r.name("model")
 		}
 	}
