--- a/config/accepted.go
+++ b/config/accepted.go
@@ -88,7 +88,7 @@
 	return n, apierror.Wrap(err, apierror.Malformed, "register field "+numberField)
 }
 
-// readAccepted decodes the history from a register's fields. It converts the former format, which kept the last maxRemembered digests in
+// readAccepted decodes the history from a register's fields. It converts the former format, which kept the last maxFormerDigests digests in
 // numberField.
 func readAccepted(content register.Fields) (a acceptedHistory, err error) {
 	a.fields = register.Fields{}
