--- a/register/owner.go
+++ b/register/owner.go
@@ -213,7 +213,7 @@
 			continue
 		}
 		if err := p.ctx.Err(); err != nil { // the caller may have retried at another core, and changed the register since then
-			e.rejections[i] = apierror.Wrap(err, apierror.Undecided, "caller cancelled the change before it was applied")
+			e.rejections[i] = apierror.Wrap(err, apierror.Undecided, "caller canceled the change before it was applied")
 			continue
 		}
 		change, err := p.op(e.content, k.revision.Version)
